--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -8,193 +8,193 @@
 	"wigeontray/internal/sched"
 )
 
-// expect is the run time that is expected of a step's tasks.
-func (m *Machine) expect(q *Queue, s *Step) time.Duration {
-	if r := m.learned[q.Name]; r != nil && !m.opt.Off.Has(policy.LearnedTimes) {
-		return r.Expect(s.Estimate)
+// expectedRunTime is the run time that is expected of a step's tasks.
+func (m *Machine) expectedRunTime(q *Queue, s *Step) time.Duration {
+	if ratio := m.runTimeRatios[q.Name]; ratio != nil && !m.options.Off.Has(policy.LearnedTimes) {
+		return ratio.Expect(s.Estimate)
 	}
 	return s.Estimate
 }
 
-func (m *Machine) learn(j *job, s *step, took time.Duration) {
-	name := j.spec.Queue.Name
-	r := m.learned[name]
-	if r == nil {
-		r = new(sched.Ratio)
-		m.learned[name] = r
+func (m *Machine) recordRunTime(j *job, s *step, runTime time.Duration) {
+	queue := j.spec.Queue.Name
+	ratio := m.runTimeRatios[queue]
+	if ratio == nil {
+		ratio = new(sched.Ratio)
+		m.runTimeRatios[queue] = ratio
 	}
-	r.Observe(s.spec.Estimate, took)
+	ratio.Observe(s.spec.Estimate, runTime)
 }
 
-// chain is the expected length of the longest chain of steps of a job.
-func (m *Machine) chain(spec *Job) time.Duration {
-	return m.longest(spec, func(int) bool { return true })
+// criticalPath is the expected length of the longest chain of steps of a job.
+func (m *Machine) criticalPath(spec *Job) time.Duration {
+	return m.longestPath(spec, func(int) bool { return true })
 }
 
-// chainLeft is the same for the steps that are not done.
-func (m *Machine) chainLeft(j *job) time.Duration {
-	return m.longest(j.spec, func(i int) bool { return j.steps[i].open > 0 })
+// remainingCriticalPath is the same for the steps that are not done.
+func (m *Machine) remainingCriticalPath(j *job) time.Duration {
+	return m.longestPath(j.spec, func(i int) bool { return j.steps[i].unfinished > 0 })
 }
 
-func (m *Machine) longest(spec *Job, counts func(step int) bool) time.Duration {
+func (m *Machine) longestPath(spec *Job, isIncluded func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
-	var most time.Duration
+	var longest time.Duration
 	for i := range spec.Steps {
 		s := &spec.Steps[i]
-		for _, before := range s.After {
-			ends[i] = max(ends[i], ends[before])
+		for _, dependency := range s.After {
+			ends[i] = max(ends[i], ends[dependency])
 		}
-		if counts(i) {
-			ends[i] += m.expect(spec.Queue, s)
+		if isIncluded(i) {
+			ends[i] += m.expectedRunTime(spec.Queue, s)
 		}
-		most = max(most, ends[i])
+		longest = max(longest, ends[i])
 	}
-	return most
+	return longest
 }
 
-// quickShare is the part of the expected time in which a job may still end: the
+// minRunTimeShare is the part of the expected time in which a job may still end: the
 // callers' estimates are too long by up to two thirds. Refused at its expected
 // time, many a job of a queue whose tasks take as long as its callers wait would be
 // turned away while workers are idle, and most would have ended in time.
-const quickShare = 0.6
+const minRunTimeShare = 0.6
 
 // admit refuses what cannot be served. A refusal is true for good: nothing of the
 // job was sent.
-func (m *Machine) admit(now time.Duration, spec *Job, chain, wait time.Duration) *errkind.Error {
+func (m *Machine) admit(now time.Duration, spec *Job, criticalPath, expectedWait time.Duration) *errkind.Error {
 	if now >= spec.Deadline {
-		return refusal(errkind.DeadlineExpired, 0, "the deadline had passed on arrival")
+		return newRefusal(errkind.DeadlineExpired, 0, "the deadline had passed on arrival")
 	}
-	if err := m.fits(now, spec); err != nil {
+	if err := m.checkWorkers(now, spec); err != nil {
 		return err
 	}
-	least := time.Duration(quickShare * float64(chain))
-	if m.opt.Off.Has(policy.QuickShare) {
-		least = chain
+	minRunTime := time.Duration(minRunTimeShare * float64(criticalPath))
+	if m.options.Off.Has(policy.QuickShare) {
+		minRunTime = criticalPath
 	}
-	if end := now + wait + least; end > spec.Deadline {
-		return refusal(errkind.CannotFinishInTime, m.spread(max(afterOverloaded, wait)),
-			"it would start in %v and end %v after its deadline", wait.Round(time.Millisecond), (end - spec.Deadline).Round(time.Millisecond))
+	if end := now + expectedWait + minRunTime; end > spec.Deadline {
+		return newRefusal(errkind.CannotFinishInTime, m.addJitter(max(overloadedRetryDelay, expectedWait)),
+			"it would start in %v and end %v after its deadline", expectedWait.Round(time.Millisecond), (end - spec.Deadline).Round(time.Millisecond))
 	}
-	if most := m.mostWait(spec.Queue, chain); wait > most {
-		return refusal(errkind.Overloaded, m.spread(max(afterOverloaded, wait)),
-			"it would start in %v, later than %v from now", wait.Round(time.Millisecond), most.Round(time.Millisecond))
+	if limit := m.maxWait(spec.Queue, criticalPath); expectedWait > limit {
+		return newRefusal(errkind.Overloaded, m.addJitter(max(overloadedRetryDelay, expectedWait)),
+			"it would start in %v, later than %v from now", expectedWait.Round(time.Millisecond), limit.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// goalOf is the time from its arrival in which a job should end.
-func goalOf(q *Queue, chain time.Duration) time.Duration {
-	return time.Duration(q.Stretch*float64(chain)) + q.Slack
+// targetDuration is the time from its arrival in which a job should end.
+func targetDuration(q *Queue, criticalPath time.Duration) time.Duration {
+	return time.Duration(q.Stretch*float64(criticalPath)) + q.Slack
 }
 
-// waitShare is the part of the time to its goal for which a job may wait before anything
+// maxWaitShare is the part of the time to its goal for which a job may wait before anything
 // of it was sent. Callers who are refused that soon can still ask elsewhere. Held for as
 // long as it could still end in time, a job took its room at the last moment, and many of
 // those served ended just too late.
-const waitShare = 0.25
+const maxWaitShare = 0.25
 
-// mostWait is how long a job may wait before anything of it is sent.
-func (m *Machine) mostWait(q *Queue, chain time.Duration) time.Duration {
-	goal := goalOf(q, chain)
-	most := max(0, goal-chain)
-	if m.opt.Off.Has(policy.BoundedWait) {
-		return most
+// maxWait is how long a job may wait before anything of it is sent.
+func (m *Machine) maxWait(q *Queue, criticalPath time.Duration) time.Duration {
+	target := targetDuration(q, criticalPath)
+	slack := max(0, target-criticalPath)
+	if m.options.Off.Has(policy.BoundedWait) {
+		return slack
 	}
-	return min(most, time.Duration(waitShare*float64(goal)))
+	return min(slack, time.Duration(maxWaitShare*float64(target)))
 }
 
-// fits refuses a job if a step of it has no worker.
-func (m *Machine) fits(now time.Duration, spec *Job) *errkind.Error {
+// checkWorkers refuses a job if a step of it has no worker.
+func (m *Machine) checkWorkers(now time.Duration, spec *Job) *errkind.Error {
 	for i := range spec.Steps {
 		s := &spec.Steps[i]
-		ask := askFor(spec.Queue, s)
-		usable, suited, there := m.count(&ask)
+		req := taskRequirements(spec.Queue, s)
+		usable, suitable, present := m.countWorkers(&req)
 		switch {
 		case usable > 0:
-		case there == 0 && now-m.began < startTime && !m.opt.Off.Has(policy.StartGrace):
-		case suited > 0 || there == 0 || now-m.began < settleTime:
-			return refusal(errkind.NoWorkers, m.spread(afterNoWorkers), "no worker for step %d is ready; %d failure domains are drained", i, len(m.drains.Domains))
+		case present == 0 && now-m.startedAt < startGracePeriod && !m.options.Off.Has(policy.StartGrace):
+		case suitable > 0 || present == 0 || now-m.startedAt < neverFitsDelay:
+			return newRefusal(errkind.NoWorkers, m.addJitter(noWorkersRetryDelay), "no worker for step %d is ready; %d failure domains are drained", i, len(m.drains.Domains))
 		default:
-			return refusal(errkind.NeverFits, 0, "no worker could ever run step %d", i)
+			return newRefusal(errkind.NeverFits, 0, "no worker could ever run step %d", i)
 		}
 	}
 	return nil
 }
 
-// count counts the workers that could run a task now, ever, and those of its
+// countWorkers counts the workers that could run a task now, ever, and those of its
 // service. A worker whose capacity has shrunk may get it back.
-func (m *Machine) count(ask *sched.Ask) (usable, suited, there int) {
-	for i := range m.view {
-		v := &m.view[i]
-		if v.State == sched.Absent || v.Service != ask.Service {
+func (m *Machine) countWorkers(req *sched.Ask) (usable, suitable, present int) {
+	for i := range m.workers {
+		w := &m.workers[i]
+		if w.State == sched.Absent || w.Service != req.Service {
 			continue
 		}
-		there++
-		whole := *v
-		whole.Capacity = m.sites[i].most
-		if !whole.Suits(ask) {
+		present++
+		atMaxCapacity := *w
+		atMaxCapacity.Capacity = m.guards[i].maxCapacity
+		if !atMaxCapacity.Suits(req) {
 			continue
 		}
-		suited++
-		if v.State == sched.Usable && v.Suits(ask) {
+		suitable++
+		if w.State == sched.Usable && w.Suits(req) {
 			usable++
 		}
 	}
-	return usable, suited, there
+	return usable, suitable, present
 }
 
-// wait is how long a job is expected to wait for room: the work that goes before
+// expectedWait is how long a job is expected to wait for room: the work that goes before
 // it, and what of its own finds no room, at this entry's part of the workers.
-func (m *Machine) wait(spec *Job) time.Duration {
-	var ahead float64 // thousandths of a core, times nanoseconds
+func (m *Machine) expectedWait(spec *Job) time.Duration {
+	var workAhead float64 // thousandths of a core, times nanoseconds
 	for _, j := range m.queue {
 		if j.spec.Queue.Priority <= spec.Queue.Priority && j.spec.Queue.Service == spec.Queue.Service {
-			ahead += m.workWaiting(j)
+			workAhead += m.waitingWork(j)
 		}
 	}
-	capacity, free := m.room(spec.Queue.Service)
-	own := 0.0
-	first := true
+	capacity, free := m.serviceCPU(spec.Queue.Service)
+	ownWork := 0.0
+	hasRoom := true
 	for i := range spec.Steps {
 		s := &spec.Steps[i]
 		if len(s.After) > 0 {
 			continue
 		}
-		own += float64(int64(s.Count)*s.Need.CPU) * float64(m.expect(spec.Queue, s))
+		ownWork += float64(int64(s.Count)*s.Need.CPU) * float64(m.expectedRunTime(spec.Queue, s))
 		if int64(s.Count)*s.Need.CPU > free {
-			first = false
+			hasRoom = false
 		}
 	}
-	if ahead == 0 && first || capacity == 0 {
+	if workAhead == 0 && hasRoom || capacity == 0 {
 		return 0
 	}
-	return time.Duration((ahead + own/2) * float64(m.entries) / float64(capacity))
+	return time.Duration((workAhead + ownWork/2) * float64(m.entryCount) / float64(capacity))
 }
 
-func (m *Machine) workWaiting(j *job) float64 {
+func (m *Machine) waitingWork(j *job) float64 {
 	sum := 0.0
 	for i := range j.steps {
 		s := &j.steps[i]
-		sum += float64(int64(len(s.waiting))*s.spec.Need.CPU) * float64(m.expect(j.spec.Queue, s.spec))
+		sum += float64(int64(len(s.waiting))*s.spec.Need.CPU) * float64(m.expectedRunTime(j.spec.Queue, s.spec))
 	}
 	return sum
 }
 
-// room sums up the usable workers of a service, in thousandths of a core.
-func (m *Machine) room(service string) (capacity, free int64) {
-	for i := range m.view {
-		if v := &m.view[i]; v.State == sched.Usable && v.Service == service {
-			capacity += v.Capacity.CPU
-			free += max(0, v.Free.CPU)
+// serviceCPU sums up the usable workers of a service, in thousandths of a core.
+func (m *Machine) serviceCPU(service string) (capacity, free int64) {
+	for i := range m.workers {
+		if w := &m.workers[i]; w.State == sched.Usable && w.Service == service {
+			capacity += w.Capacity.CPU
+			free += max(0, w.Free.CPU)
 		}
 	}
 	return capacity, free
 }
 
-// spread draws a time between d and twice d, so that callers who were refused
+// addJitter draws a time between d and twice d, so that callers who were refused
 // together do not come back together.
-func (m *Machine) spread(d time.Duration) time.Duration {
-	if m.opt.Off.Has(policy.RetrySpread) {
+func (m *Machine) addJitter(d time.Duration) time.Duration {
+	if m.options.Off.Has(policy.RetrySpread) {
 		return d
 	}
 	return d + time.Duration(m.rng.Int64N(int64(d)+1))
--- a/internal/batch/admit_test.go
+++ b/internal/batch/admit_test.go
@@ -33,7 +33,7 @@
 // A need that no worker could ever meet is told from one whose worker is away.
 func TestHopelessJobsAreToldFromUnluckyOnes(t *testing.T) {
 	m := oneWorker()
-	late := settleTime + time.Second
+	late := neverFitsDelay + time.Second
 	err := m.Submit(late, testJob("huge", 1, 41_000))
 	qt.Assert(t, HasFailed(err), qt.IsTrue)
 	m.Beat(late, "g0", &wire.GuardBeat{Worker: &wire.RunWorker{ID: "w", Service: "s", Capacity: sched.Room{CPU: 40_000}, Leaving: true}})
@@ -75,7 +75,7 @@
 	qt.Assert(t, m.Submit(0, testJob("first", 10, 4000)) == nil, qt.IsTrue)
 	qt.Assert(t, m.Submit(0, testJob("second", 1, 4000)) == nil, qt.IsTrue)
 	m.Actions(0)
-	by := time.Duration(waitShare * float64(380*time.Millisecond))
+	by := time.Duration(maxWaitShare * float64(380*time.Millisecond))
 	qt.Assert(t, m.NextTick() <= by, qt.IsTrue, qt.Commentf("%v", m.NextTick()))
 	m.Tick(by - time.Millisecond)
 	qt.Assert(t, finished(m.Actions(by)), qt.HasLen, 0)
--- a/internal/batch/advertise_test.go
+++ b/internal/batch/advertise_test.go
@@ -69,9 +69,9 @@
 	m := fullFleet(72)
 	qt.Assert(t, m.Submit(0, waitingJob("j")) == nil, qt.IsTrue)
 	first := told(m.Actions(0))
-	qt.Check(t, first, qt.HasLen, firstGuards)
+	qt.Check(t, first, qt.HasLen, initialAdvertiseCount)
 	for guard := range first {
-		qt.Check(t, m.places[guard].worker.Domain, qt.Equals, "d0")
+		qt.Check(t, m.guardByID[guard].worker.Domain, qt.Equals, "d0")
 	}
 	const soon = 350 * time.Millisecond
 	var next time.Duration
--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -88,11 +88,11 @@
 
 // Kinds of Event.
 const (
-	Admitted  What = iota
-	Sent           // tasks went to a guard
-	RunEnded       // a run ended without success
-	GuardLost      // runs are in doubt until they have ended for sure
-	Withdrawn      // what runs of the job is stopped
+	EventAdmitted  What = iota
+	EventTasksSent      // tasks went to a guard
+	EventRunEnded       // a run ended without success
+	EventGuardLost      // runs are in doubt until they have ended for sure
+	EventWithdrawn      // what runs of the job is stopped
 )
 
 // String gives the word that logs have.
@@ -100,8 +100,8 @@
 	return [...]string{"admitted", "tasks sent", "run ended", "guard lost", "withdrawn"}[w]
 }
 
-// mostEvents bounds the story of a job; the newest are left out.
-const mostEvents = 64
+// maxEvents bounds the story of a job; the newest are left out.
+const maxEvents = 64
 
 // Action is one thing that the owner of a Machine must do. Exactly one of Frame,
 // Drop and Finish is set.
@@ -135,26 +135,26 @@
 
 // Figures of the machine.
 const (
-	// renumberBy is by how much a run's number grows when the worker has seen it
+	// runNumberIncrement is by how much a run's number grows when the worker has seen it
 	// or a later one. Another entry may be counting the same task.
-	renumberBy = 16
-	// mostRefusals is how often a task is placed again after a run of it was lost
+	runNumberIncrement = 16
+	// maxRefusals is how often a task is placed again after a run of it was lost
 	// or refused for another reason than room. It ends a loop that a faulty guard
 	// could keep up until the caller leaves.
-	mostRefusals = 32
-	// remembered is how many ended jobs are kept for callers who ask for their
+	maxRefusals = 32
+	// historySize is how many ended jobs are kept for callers who ask for their
 	// state or send them again: about a minute's worth at 70 jobs a second.
-	remembered = 4096
-	// settleTime is how long after the start workers are expected to appear. A
+	historySize = 4096
+	// neverFitsDelay is how long after the start workers are expected to appear. A
 	// need that no known worker meets is called hopeless only after it.
-	settleTime = 5 * time.Second
-	// startTime is how long after the start jobs wait for the first workers rather
+	neverFitsDelay = 5 * time.Second
+	// startGracePeriod is how long after the start jobs wait for the first workers rather
 	// than being refused: guards link within a few hundred milliseconds, and a job
 	// of a second has that much time.
-	startTime = 2 * time.Second
-	// slowFactor is how many times longer than expected a slow run lasts. Run
+	startGracePeriod = 2 * time.Second
+	// slowRunFactor is how many times longer than expected a slow run lasts. Run
 	// times of good workers spread by about 0.4 around their mean.
-	slowFactor = 2.5
+	slowRunFactor = 2.5
 )
 
 // A process that was frozen.
@@ -167,6 +167,6 @@
 
 // When a caller is told to come back, before random spreading to twice the time.
 const (
-	afterNoWorkers  = time.Second
-	afterOverloaded = 500 * time.Millisecond
+	noWorkersRetryDelay  = time.Second
+	overloadedRetryDelay = 500 * time.Millisecond
 )
--- a/internal/batch/bench_test.go
+++ b/internal/batch/bench_test.go
@@ -32,7 +32,7 @@
 	for i := range guards {
 		m.GuardUp(0, hello(i))
 	}
-	m.noteUrgency(0, testQueue)
+	m.recordPriority(0, testQueue)
 	q := *testQueue
 	q.Priority, q.Stretch = priority, 1000
 	for i := range 30 {
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -10,11 +10,11 @@
 // Bounds of the crashes of workers under a task. All that was at a worker is suspected of its
 // crash; suspects run apart from each other, so that the second crash tells the cause.
 const (
-	// mostCrashes is under how many crashes a task may run before its job has failed.
-	mostCrashes = 2
-	// mostSuspected is how many workers may crash where the task ran or may have run before it
+	// maxCrashes is under how many crashes a task may run before its job has failed.
+	maxCrashes = 2
+	// maxSuspectedCrashes is how many workers may crash where the task ran or may have run before it
 	// is not started any more.
-	mostSuspected = 3
+	maxSuspectedCrashes = 3
 )
 
 // crashCount counts the crashes of workers under one task.
@@ -23,7 +23,7 @@
 	possible int // it may have been there
 }
 
-func (c crashCount) all() int { return c.certain + c.possible }
+func (c crashCount) total() int { return c.certain + c.possible }
 
 // crashCounts counts the crashes of workers under tasks, for the newest tasks. The counts
 // outlast the jobs: a caller may send a job again, here or to another entry.
@@ -38,19 +38,21 @@
 }
 
 // add adds to the count of a task.
-func (c *crashCounts) add(t wire.TaskName, more crashCount) {
-	n, known := c.counts[t]
-	if !known {
+func (c *crashCounts) add(t wire.TaskName, delta crashCount) {
+	count, exists := c.counts[t]
+	if !exists {
 		delete(c.counts, c.ring[c.next])
 		c.ring[c.next] = t
 		c.next = (c.next + 1) % len(c.ring)
 	}
-	c.counts[t] = crashCount{certain: n.certain + more.certain, possible: n.possible + more.possible}
+	c.counts[t] = crashCount{certain: count.certain + delta.certain, possible: count.possible + delta.possible}
 }
 
-func (c *crashCounts) of(t wire.TaskName) crashCount { return c.counts[t] }
+func (c *crashCounts) get(t wire.TaskName) crashCount { return c.counts[t] }
 
-func nameOf(k runs.Key) wire.TaskName { return wire.TaskName{Job: k.Job, Step: k.Step, Index: k.Index} }
+func taskNameOf(k runs.Key) wire.TaskName {
+	return wire.TaskName{Job: k.Job, Step: k.Step, Index: k.Index}
+}
 
 // NoteCrash takes the tasks of other entries that were at a worker when it crashed.
 func (m *Machine) NoteCrash(c *wire.WorkerCrash) {
@@ -62,26 +64,26 @@
 	}
 }
 
-// noteCrash counts what an end says of a crash of its worker.
-func (m *Machine) noteCrash(k runs.Key, e *wire.RunEnd) {
+// recordCrash counts what an end says of a crash of its worker.
+func (m *Machine) recordCrash(k runs.Key, e *wire.RunEnd) {
 	switch {
-	case m.opt.Off.Has(policy.CrashLimit):
+	case m.options.Off.Has(policy.CrashLimit):
 	case e.Crashed:
-		m.crashes.add(nameOf(k), crashCount{certain: 1})
+		m.crashes.add(taskNameOf(k), crashCount{certain: 1})
 	case e.Suspected:
-		m.crashes.add(nameOf(k), crashCount{possible: 1})
+		m.crashes.add(taskNameOf(k), crashCount{possible: 1})
 	}
 }
 
-// givenUp tells why no task of a job that comes again is started, or nil.
-func (m *Machine) givenUp(spec *Job) *errkind.Error {
+// checkCrashLimits tells why no task of a job that comes again is started, or nil.
+func (m *Machine) checkCrashLimits(spec *Job) *errkind.Error {
 	if len(m.crashes.counts) == 0 {
 		return nil
 	}
 	for step := range spec.Steps {
 		for index := range spec.Steps[step].Count {
 			t := wire.TaskName{Job: spec.ID, Step: step, Index: index}
-			if err := m.crashes.of(t).limit(t); err != nil {
+			if err := m.crashes.get(t).checkLimit(t); err != nil {
 				return err
 			}
 		}
@@ -89,13 +91,13 @@
 	return nil
 }
 
-// limit tells why a task is not started any more, or nil.
-func (c crashCount) limit(t wire.TaskName) *errkind.Error {
+// checkLimit tells why a task is not started any more, or nil.
+func (c crashCount) checkLimit(t wire.TaskName) *errkind.Error {
 	switch {
-	case c.certain >= mostCrashes:
+	case c.certain >= maxCrashes:
 		return errkind.New(errkind.UpstreamFailed, "%d workers crashed under task %d of step %d", c.certain, t.Index, t.Step)
-	case c.all() >= mostSuspected:
-		return errkind.New(errkind.WorkerLost, "%d workers crashed where task %d of step %d may have run", c.all(), t.Index, t.Step)
+	case c.total() >= maxSuspectedCrashes:
+		return errkind.New(errkind.WorkerLost, "%d workers crashed where task %d of step %d may have run", c.total(), t.Index, t.Step)
 	}
 	return nil
 }
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -12,28 +12,28 @@
 func (m *Machine) SetDrains(now time.Duration, d *wire.Drains) {
 	before := m.drains
 	m.drains = *d
-	for _, s := range m.sites {
-		if s == nil || d.Has(s.worker.Domain) == before.Has(s.worker.Domain) {
+	for _, g := range m.guards {
+		if g == nil || d.Has(g.worker.Domain) == before.Has(g.worker.Domain) {
 			continue
 		}
-		m.setState(s)
-		m.tryCold(s)
+		m.updateState(g)
+		m.limitColdWorker(g)
 	}
-	m.pump(now)
+	m.dispatchWaiting(now)
 }
 
-// tryCold lets a worker that says it is cold begin with one task at a time.
-func (m *Machine) tryCold(s *site) {
-	if s.worker.Cold && s.worker.Usable && !m.drains.Has(s.worker.Domain) {
-		m.view[s.place].Limit = 1
+// limitColdWorker lets a worker that says it is cold begin with one task at a time.
+func (m *Machine) limitColdWorker(g *guard) {
+	if g.worker.Cold && g.worker.Usable && !m.drains.Has(g.worker.Domain) {
+		m.workers[g.position].Limit = 1
 	}
 }
 
 // WorkersIn counts the workers that are known in a failure domain.
 func (m *Machine) WorkersIn(domain string) int {
 	n := 0
-	for _, s := range m.sites {
-		if s != nil && s.worker.ID != "" && s.worker.Domain == domain {
+	for _, g := range m.guards {
+		if g != nil && g.worker.ID != "" && g.worker.Domain == domain {
 			n++
 		}
 	}
--- a/internal/batch/health.go
+++ b/internal/batch/health.go
@@ -9,70 +9,70 @@
 	"wigeontray/internal/wire"
 )
 
-// noteHealth learns from an end how the worker does.
-func (m *Machine) noteHealth(now time.Duration, f *flight, e *wire.RunEnd) {
-	s := f.site
-	v := &m.view[s.place]
+// recordHealth learns from an end how the worker does.
+func (m *Machine) recordHealth(now time.Duration, r *activeRun, e *wire.RunEnd) {
+	g := r.guard
+	w := &m.workers[g.position]
 	switch {
 	case e.Kind == errkind.None:
-		slow := milliseconds(e.RunMs) > time.Duration(slowFactor*float64(m.expect(f.job.spec.Queue, f.step.spec)))
-		s.health.Ran(slow)
-		if v.Limit > 0 && !s.sick {
-			v.Limit = int(s.health.Probed(int32(v.Limit), probeLimit, slow))
+		isSlow := milliseconds(e.RunMs) > time.Duration(slowRunFactor*float64(m.expectedRunTime(r.job.spec.Queue, r.step.spec)))
+		g.health.Ran(isSlow)
+		if w.Limit > 0 && !g.isQuarantined {
+			w.Limit = int(g.health.Probed(int32(w.Limit), probationTaskLimit, isSlow))
 		}
 	case e.Kind == errkind.UpstreamFailed || e.Kind == errkind.TimedOut || e.Kind == errkind.Stalled:
-		s.health.Failed(f.key.Job)
+		g.health.Failed(r.key.Job)
 	default:
 		return
 	}
-	if s.health.Sick() {
-		m.bar(now, s)
+	if g.health.Sick() {
+		m.quarantine(now, g)
 	}
 }
 
-// bar keeps a worker from new tasks for a while, unless too few would be left.
-func (m *Machine) bar(now time.Duration, s *site) {
-	if s.sick || !m.mayBar() || m.opt.Off.Has(policy.Quarantine) {
+// quarantine keeps a worker from new tasks for a while, unless too few would be left.
+func (m *Machine) quarantine(now time.Duration, g *guard) {
+	if g.isQuarantined || !m.canQuarantine() || m.options.Off.Has(policy.Quarantine) {
 		return
 	}
-	s.sick = true
-	s.until = s.health.Quarantine(time.Time{}.Add(now)).Sub(time.Time{})
-	m.setState(s)
+	g.isQuarantined = true
+	g.quarantinedUntil = g.health.Quarantine(time.Time{}.Add(now)).Sub(time.Time{})
+	m.updateState(g)
 }
 
-// noteSlow bars a worker whose guard sees that its runs hardly advance.
-func (m *Machine) noteSlow(now time.Duration, s *site) {
-	if s.worker.Slow {
-		m.bar(now, s)
+// quarantineIfSlow bars a worker whose guard sees that its runs hardly advance.
+func (m *Machine) quarantineIfSlow(now time.Duration, g *guard) {
+	if g.worker.Slow {
+		m.quarantine(now, g)
 	}
 }
 
-// probeLimit is the number of this entry's tasks at which a worker that comes
+// probationTaskLimit is the number of this entry's tasks at which a worker that comes
 // back is trusted again.
-const probeLimit = 8
+const probationTaskLimit = 8
 
-// mayBar keeps at least half of the workers in use: a fault of all of them must
+// canQuarantine keeps at least half of the workers in use: a fault of all of them must
 // not empty the pool.
-func (m *Machine) mayBar() bool {
-	usable, barred := 0, 0
-	for i := range m.view {
-		switch m.view[i].State {
+func (m *Machine) canQuarantine() bool {
+	usable, quarantined := 0, 0
+	for i := range m.workers {
+		switch m.workers[i].State {
 		case sched.Usable:
 			usable++
 		case sched.Quarantined:
-			barred++
+			quarantined++
 		}
 	}
-	return usable-1 >= (usable+barred+1)/2
+	return usable-1 >= (usable+quarantined+1)/2
 }
 
-// comeBack ends a quarantine, with one task at first; one of a worker that is still slow
+// endQuarantine ends a quarantine, with one task at first; one of a worker that is still slow
 // begins anew.
-func (m *Machine) comeBack(now time.Duration, s *site) {
-	s.sick = false
-	if !m.opt.Off.Has(policy.Probation) {
-		m.view[s.place].Limit = 1
+func (m *Machine) endQuarantine(now time.Duration, g *guard) {
+	g.isQuarantined = false
+	if !m.options.Off.Has(policy.Probation) {
+		m.workers[g.position].Limit = 1
 	}
-	m.setState(s)
-	m.noteSlow(now, s)
+	m.updateState(g)
+	m.quarantineIfSlow(now, g)
 }
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -10,89 +10,89 @@
 
 // job is a job that has not been answered.
 type job struct {
-	spec    *Job
-	packed  *wire.PackedText // its text; nil if packing saves nothing
-	source  *site            // whose guard has its text for others; nil for none
-	seq     uint64           // order of arrival
-	goal    time.Duration    // by when it should end
-	sendBy  time.Duration    // when it is refused if nothing of it was sent
-	steps   []step
-	flights []*flight
-	story   []Event
-	open    int  // tasks that are not done
-	waiting int  // tasks that wait for room
-	sent    bool // a task was sent to a guard
-	ran     bool // a task was, or may have been, started
-	done    bool // it was answered
-	tried   bool // room was looked for, and some tasks found none
+	spec              *Job
+	packedText        *wire.PackedText // its text; nil if packing saves nothing
+	textSource        *guard           // whose guard has its text for others; nil for none
+	seq               uint64           // order of arrival
+	targetEnd         time.Duration    // by when it should end
+	sendDeadline      time.Duration    // when it is refused if nothing of it was sent
+	steps             []step
+	activeRuns        []*activeRun
+	events            []Event
+	unfinished        int  // tasks that are not done
+	waiting           int  // tasks that wait for room
+	hasSentTasks      bool // a task was sent to a guard
+	mayHaveRun        bool // a task was, or may have been, started
+	isAnswered        bool // it was answered
+	hasTriedPlacement bool // room was looked for, and some tasks found none
 }
 
 // step is the state of one step.
 type step struct {
-	spec    *Step
-	number  int
-	tasks   []task
-	open    int // tasks that are not done
-	waiting []int
-	at      map[*site]int // tasks at each site
+	spec       *Step
+	stepIndex  int
+	tasks      []task
+	unfinished int // tasks that are not done
+	waiting    []int
+	at         map[*guard]int // tasks at each site
 }
 
 // task is the state of one task.
 type task struct {
-	run      int64 // number of its last start
-	failed   int   // runs that failed
-	refusals int
-	crashes  int     // of workers where it ran or may have run
-	moved    bool    // a run of it was given back as too slow, or stood still
-	avoid    []*site // sites where it failed or was lost
+	runNumber  int64 // number of its last start
+	failedRuns int   // runs that failed
+	refusals   int
+	crashes    int      // of workers where it ran or may have run
+	wasMoved   bool     // a run of it was given back as too slow, or stood still
+	avoid      []*guard // sites where it failed or was lost
 }
 
-// newJob takes a job whose longest chain of steps is expected to take chain. lastRun is
+// newJob takes a job whose longest chain of steps is expected to take chain. runNumber is
 // the greatest number of an earlier run of its tasks.
-func (m *Machine) newJob(spec *Job, now, chain time.Duration, lastRun int64) *job {
+func (m *Machine) newJob(spec *Job, now, criticalPath time.Duration, lastRun int64) *job {
 	m.seq++
-	j := &job{spec: spec, packed: wire.PackText(spec.Text), seq: m.seq, steps: make([]step, len(spec.Steps))}
-	j.goal = now + goalOf(spec.Queue, chain)
-	j.sendBy = now + m.mostWait(spec.Queue, chain)
+	j := &job{spec: spec, packedText: wire.PackText(spec.Text), seq: m.seq, steps: make([]step, len(spec.Steps))}
+	j.targetEnd = now + targetDuration(spec.Queue, criticalPath)
+	j.sendDeadline = now + m.maxWait(spec.Queue, criticalPath)
 	for i := range spec.Steps {
 		s := &j.steps[i]
-		s.spec, s.number = &spec.Steps[i], i
-		s.open = s.spec.Count
+		s.spec, s.stepIndex = &spec.Steps[i], i
+		s.unfinished = s.spec.Count
 		s.tasks = make([]task, s.spec.Count)
 		for t := range s.tasks {
-			s.tasks[t].run = lastRun
-			s.tasks[t].crashes = m.crashes.of(wire.TaskName{Job: spec.ID, Step: i, Index: t}).all()
+			s.tasks[t].runNumber = lastRun
+			s.tasks[t].crashes = m.crashes.get(wire.TaskName{Job: spec.ID, Step: i, Index: t}).total()
 		}
-		s.at = make(map[*site]int)
-		j.open += s.spec.Count
+		s.at = make(map[*guard]int)
+		j.unfinished += s.spec.Count
 	}
 	for i := range j.steps {
-		j.release(&j.steps[i])
+		j.releaseStep(&j.steps[i])
 	}
 	return j
 }
 
-// lastRun is the greatest number of a run of the job's tasks.
-func (j *job) lastRun() int64 {
-	last := int64(0)
+// runNumber is the greatest number of a run of the job's tasks.
+func (j *job) maxRun() int64 {
+	highest := int64(0)
 	for i := range j.steps {
 		for t := range j.steps[i].tasks {
-			last = max(last, j.steps[i].tasks[t].run)
+			highest = max(highest, j.steps[i].tasks[t].runNumber)
 		}
 	}
-	return last
+	return highest
 }
 
-func (j *job) note(e Event) {
-	if len(j.story) < mostEvents {
-		j.story = append(j.story, e)
+func (j *job) addEvent(e Event) {
+	if len(j.events) < maxEvents {
+		j.events = append(j.events, e)
 	}
 }
 
-// release lets the tasks of a step wait for room if all steps before are done.
-func (j *job) release(s *step) {
-	for _, before := range s.spec.After {
-		if j.steps[before].open > 0 {
+// releaseStep lets the tasks of a step wait for room if all steps before are done.
+func (j *job) releaseStep(s *step) {
+	for _, dependency := range s.spec.After {
+		if j.steps[dependency].unfinished > 0 {
 			return
 		}
 	}
@@ -103,41 +103,41 @@
 	j.waiting += s.spec.Count
 }
 
-// stepDone releases the steps that waited for a step.
-func (j *job) stepDone(done int) {
+// releaseDependents releases the steps that waited for a step.
+func (j *job) releaseDependents(finished int) {
 	for i := range j.steps {
 		s := &j.steps[i]
-		if slices.Contains(s.spec.After, done) {
-			j.release(s)
+		if slices.Contains(s.spec.After, finished) {
+			j.releaseStep(s)
 		}
 	}
 }
 
-// again lets a task wait for room once more.
-func (j *job) again(s *step, index int) {
+// requeueTask lets a task wait for room once more.
+func (j *job) requeueTask(s *step, index int) {
 	s.waiting = append(s.waiting, index)
 	j.waiting++
 }
 
-// before orders jobs that wait: by priority, then by arrival.
-func (j *job) before(o *job) bool {
-	if j.spec.Queue.Priority != o.spec.Queue.Priority {
-		return j.spec.Queue.Priority < o.spec.Queue.Priority
+// precedes orders jobs that wait: by priority, then by arrival.
+func (j *job) precedes(other *job) bool {
+	if j.spec.Queue.Priority != other.spec.Queue.Priority {
+		return j.spec.Queue.Priority < other.spec.Queue.Priority
 	}
-	return j.seq < o.seq
+	return j.seq < other.seq
 }
 
 func compareJobs(a, b *job) int {
 	switch {
 	case a == b:
 		return 0
-	case a.before(b):
+	case a.precedes(b):
 		return -1
 	}
 	return 1
 }
 
-// refusal makes the error of a job of which no task was started.
-func refusal(kind errkind.Kind, after time.Duration, format string, args ...any) *errkind.Error {
-	return errkind.New(kind, format, args...).WithRan(errkind.RanNo).WithAfter(after)
+// newRefusal makes the error of a job of which no task was started.
+func newRefusal(kind errkind.Kind, retryAfter time.Duration, format string, args ...any) *errkind.Error {
+	return errkind.New(kind, format, args...).WithRan(errkind.RanNo).WithAfter(retryAfter)
 }
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -14,92 +14,92 @@
 	"wigeontray/internal/wire"
 )
 
-// flight is one run that was sent to a guard and has not ended.
-type flight struct {
-	key  runs.Key
-	job  *job
-	step *step
-	site *site
-	lost time.Duration // when it has ended for sure, if its guard was lost; else 0
+// activeRun is one run that was sent to a guard and has not ended.
+type activeRun struct {
+	key     runs.Key
+	job     *job
+	step    *step
+	guard   *guard
+	endedBy time.Duration // when it has ended for sure, if its guard was lost; else 0
 	// suspect tells that the task has run under a worker's crash.
-	suspect bool
+	isSuspect bool
 }
 
-// flightsInOrder gives the flights in a fixed order, so that the same events lead
+// activeRunsInOrder gives the flights in a fixed order, so that the same events lead
 // to the same actions each time.
-func (m *Machine) flightsInOrder() []*flight {
-	return slices.SortedFunc(maps.Values(m.flights), func(a, b *flight) int {
+func (m *Machine) activeRunsInOrder() []*activeRun {
+	return slices.SortedFunc(maps.Values(m.activeRuns), func(a, b *activeRun) int {
 		return cmp.Or(cmp.Compare(a.job.seq, b.job.seq), a.key.Step-b.key.Step, a.key.Index-b.key.Index)
 	})
 }
 
 // Machine is the state of one entry's jobs.
 type Machine struct {
-	opt     Options
-	rng     *rand.Rand
-	began   time.Duration
-	entries int // that share the workers
-
-	sites  []*site // same places as view
-	view   []sched.Site
-	places map[identity.Incarnation]*site
-
-	jobs         map[string]*job
-	queue        []*job // with tasks that wait, in order
-	flights      map[runs.Key]*flight
-	learned      map[string]*sched.Ratio // by queue
-	past         *past
-	crashes      *crashCounts
-	seq          uint64
-	urgent       map[string]urgency // by service
-	anyLost      bool               // a guard with flights was lost
-	advertised   wire.RunDemand     // the demand that guards have heard of
-	advertisedAt time.Duration      // and when
-	// advertisedTo is to how many guards at most.
-	advertisedTo int
-	uplink       uplink
-	drains       wire.Drains // failure domains in which nothing is started
+	options    Options
+	rng        *rand.Rand
+	startedAt  time.Duration
+	entryCount int // that share the workers
+
+	guards    []*guard // same places as view
+	workers   []sched.Site
+	guardByID map[identity.Incarnation]*guard
+
+	jobs             map[string]*job
+	queue            []*job // with tasks that wait, in order
+	activeRuns       map[runs.Key]*activeRun
+	runTimeRatios    map[string]*sched.Ratio // by queue
+	endedJobs        *endedJobs
+	crashes          *crashCounts
+	seq              uint64
+	recentPriorities map[string]recentPriority // by service
+	hasLostRuns      bool                      // a guard with flights was lost
+	advertised       wire.RunDemand            // the demand that guards have heard of
+	advertisedAt     time.Duration             // and when
+	// advertisedCount is to how many guards at most.
+	advertisedCount int
+	uplink          uplink
+	drains          wire.Drains // failure domains in which nothing is started
 
 	actions []Action
 }
 
 // New returns the machine of an entry that starts now.
-func New(now time.Duration, opt Options) *Machine {
-	opt.Timing = opt.Timing.OrDefault()
+func New(now time.Duration, options Options) *Machine {
+	options.Timing = options.Timing.OrDefault()
 	return &Machine{
-		opt:     opt,
-		rng:     rand.New(rand.NewPCG(opt.Seed, 0)),
-		began:   now,
-		entries: 1,
-		places:  make(map[identity.Incarnation]*site),
-		jobs:    make(map[string]*job),
-		flights: make(map[runs.Key]*flight),
-		learned: make(map[string]*sched.Ratio),
-		urgent:  make(map[string]urgency),
-		past:    newPast(remembered),
-		crashes: newCrashCounts(remembered),
+		options:          options,
+		rng:              rand.New(rand.NewPCG(options.Seed, 0)),
+		startedAt:        now,
+		entryCount:       1,
+		guardByID:        make(map[identity.Incarnation]*guard),
+		jobs:             make(map[string]*job),
+		activeRuns:       make(map[runs.Key]*activeRun),
+		runTimeRatios:    make(map[string]*sched.Ratio),
+		recentPriorities: make(map[string]recentPriority),
+		endedJobs:        newEndedJobs(historySize),
+		crashes:          newCrashCounts(historySize),
 	}
 }
 
 // Actions returns the actions since the last call, for the caller to keep.
 func (m *Machine) Actions(now time.Duration) []Action {
 	m.advertise(now)
-	out := m.actions
+	pending := m.actions
 	m.actions = nil
-	return out
+	return pending
 }
 
 // Beside notes a frame that is sent to a guard beside those of the machine.
-func (m *Machine) Beside(now time.Duration, f *wire.Frame) { m.uplink.put(now, f) }
+func (m *Machine) Beside(now time.Duration, f *wire.Frame) { m.uplink.recordSend(now, f) }
 
 // SetEntries tells how many entries share the workers.
-func (m *Machine) SetEntries(n int) { m.entries = max(1, n) }
+func (m *Machine) SetEntries(n int) { m.entryCount = max(1, n) }
 
 // Jobs tells how many jobs are not answered, and how many of a queue no task has
 // been sent of.
 func (m *Machine) Jobs(queue string) (open, pending int) {
 	for _, j := range m.jobs {
-		if j.spec.Queue.Name == queue && !j.sent {
+		if j.spec.Queue.Name == queue && !j.hasSentTasks {
 			pending++
 		}
 	}
@@ -124,12 +124,12 @@
 // Snapshot reads the machine.
 func (m *Machine) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
-		Waiting: len(m.queue), Running: len(m.flights), Workers: m.Workers(), Entries: m.entries,
-		LinkRate: m.LinkRate(), LinkAhead: max(0, m.uplink.free-now),
+		Waiting: len(m.queue), Running: len(m.activeRuns), Workers: m.Workers(), Entries: m.entryCount,
+		LinkRate: m.LinkRate(), LinkAhead: max(0, m.uplink.idleAt-now),
 	}
-	for i := range m.view {
-		if v := &m.view[i]; v.State == sched.Usable {
-			s.Free += max(0, v.Free.CPU)
+	for i := range m.workers {
+		if w := &m.workers[i]; w.State == sched.Usable {
+			s.Free += max(0, w.Free.CPU)
 		}
 	}
 	return s
@@ -138,8 +138,8 @@
 // Workers tells how many workers may be given tasks.
 func (m *Machine) Workers() int {
 	n := 0
-	for i := range m.view {
-		if m.view[i].State == sched.Usable {
+	for i := range m.workers {
+		if m.workers[i].State == sched.Usable {
 			n++
 		}
 	}
@@ -151,8 +151,8 @@
 	j := m.jobs[id]
 	switch {
 	case j == nil:
-		return m.past.state(id)
-	case j.sent:
+		return m.endedJobs.state(id)
+	case j.hasSentTasks:
 		return Running
 	}
 	return Queued
@@ -162,21 +162,21 @@
 // comes as a Finish action. A job that has been admitted and is not answered must
 // not be submitted again.
 func (m *Machine) Submit(now time.Duration, spec *Job) *errkind.Error {
-	m.noteUrgency(now, spec.Queue)
-	chain := m.chain(spec)
-	wait := m.wait(spec)
-	if err := m.givenUp(spec); err != nil {
+	m.recordPriority(now, spec.Queue)
+	criticalPath := m.criticalPath(spec)
+	expectedWait := m.expectedWait(spec)
+	if err := m.checkCrashLimits(spec); err != nil {
 		return err
 	}
-	if err := m.admit(now, spec, chain, wait); err != nil {
+	if err := m.admit(now, spec, criticalPath, expectedWait); err != nil {
 		return err
 	}
-	j := m.newJob(spec, now, chain, m.past.lastRun(spec.ID))
-	_, free := m.room(spec.Queue.Service)
-	j.note(Event{At: now, What: Admitted, Tasks: j.open, Free: free, Wait: wait, Goal: j.goal - now})
+	j := m.newJob(spec, now, criticalPath, m.endedJobs.maxRun(spec.ID))
+	_, freeCPU := m.serviceCPU(spec.Queue.Service)
+	j.addEvent(Event{At: now, What: EventAdmitted, Tasks: j.unfinished, Free: freeCPU, Wait: expectedWait, Goal: j.targetEnd - now})
 	m.jobs[spec.ID] = j
 	m.enqueue(j)
-	m.pump(now)
+	m.dispatchWaiting(now)
 	return nil
 }
 
@@ -186,8 +186,8 @@
 	if j == nil {
 		return false
 	}
-	m.fail(now, j, errkind.New(errkind.Cancelled, "the caller cancelled the job"))
-	m.pump(now)
+	m.failJob(now, j, errkind.New(errkind.Cancelled, "the caller cancelled the job"))
+	m.dispatchWaiting(now)
 	return true
 }
 
@@ -195,15 +195,15 @@
 	if j.waiting == 0 {
 		return
 	}
-	at, found := slices.BinarySearchFunc(m.queue, j, compareJobs)
+	position, found := slices.BinarySearchFunc(m.queue, j, compareJobs)
 	if !found {
-		m.queue = slices.Insert(m.queue, at, j)
+		m.queue = slices.Insert(m.queue, position, j)
 	}
 }
 
 func (m *Machine) dequeue(j *job) {
-	if at, found := slices.BinarySearchFunc(m.queue, j, compareJobs); found {
-		m.queue = slices.Delete(m.queue, at, at+1)
+	if position, found := slices.BinarySearchFunc(m.queue, j, compareJobs); found {
+		m.queue = slices.Delete(m.queue, position, position+1)
 	}
 }
 
--- a/internal/batch/past.go
+++ b/internal/batch/past.go
@@ -4,40 +4,40 @@
 	"wigeontray/internal/errkind"
 )
 
-// past remembers how the newest jobs ended, in a ring.
-type past struct {
-	jobs map[string]pastJob
+// endedJobs remembers how the newest jobs ended, in a ring.
+type endedJobs struct {
+	jobs map[string]endedJob
 	ring []string
 	next int
 }
 
-type pastJob struct {
-	state State
-	run   int64 // greatest number of a run of its tasks
-	slot  int   // in the ring
+type endedJob struct {
+	state     State
+	runNumber int64 // greatest number of a run of its tasks
+	slot      int   // in the ring
 }
 
-func newPast(size int) *past {
-	return &past{jobs: make(map[string]pastJob), ring: make([]string, size)}
+func newEndedJobs(size int) *endedJobs {
+	return &endedJobs{jobs: make(map[string]endedJob), ring: make([]string, size)}
 }
 
-func (p *past) add(id string, s State, run int64) {
-	if before, ok := p.jobs[id]; ok {
-		p.ring[before.slot] = ""
+func (e *endedJobs) add(id string, s State, runNumber int64) {
+	if previous, exists := e.jobs[id]; exists {
+		e.ring[previous.slot] = ""
 	}
-	delete(p.jobs, p.ring[p.next])
-	p.ring[p.next] = id
-	p.jobs[id] = pastJob{state: s, run: run, slot: p.next}
-	p.next = (p.next + 1) % len(p.ring)
+	delete(e.jobs, e.ring[e.next])
+	e.ring[e.next] = id
+	e.jobs[id] = endedJob{state: s, runNumber: runNumber, slot: e.next}
+	e.next = (e.next + 1) % len(e.ring)
 }
 
-func (p *past) state(id string) State { return p.jobs[id].state }
+func (e *endedJobs) state(id string) State { return e.jobs[id].state }
 
-// lastRun is the greatest number that a run of a job had here. When the job comes
+// runNumber is the greatest number that a run of a job had here. When the job comes
 // again, its runs get greater ones: with the same numbers, a guard's late word on a
 // run of the first time would be taken for one on the second, and the task be
 // started at another worker while it runs.
-func (p *past) lastRun(id string) int64 { return p.jobs[id].run }
+func (e *endedJobs) maxRun(id string) int64 { return e.jobs[id].runNumber }
 
 // stateOf tells how a job that ended with err is shown. A job without a final
 // end counts as unknown: its caller may send it again.
--- a/internal/batch/simworker_test.go
+++ b/internal/batch/simworker_test.go
@@ -77,7 +77,7 @@
 	w.s.after(down, w.reset)
 }
 
-// noteCrash counts a crash of a worker where a task was.
+// recordCrash counts a crash of a worker where a task was.
 func (j *simJob) noteCrash(task string) {
 	if j.under == nil {
 		j.under = make(map[string]int)
--- a/internal/batch/site.go
+++ b/internal/batch/site.go
@@ -10,173 +10,175 @@
 	"wigeontray/internal/wire"
 )
 
-// site is one guard with its worker, from its link's start to its end.
-type site struct {
-	guard    identity.Incarnation
-	place    int
-	worker   wire.RunWorker
-	most     sched.Room    // the largest capacity that the worker has told in this life
-	seq      uint64        // of the last RunTasks
-	unseen   []unseen      // RunTasks that its load does not count in yet
-	free     sched.Room    // by its last load
-	ahead    time.Duration // its clock less this entry's, at least
-	packs    bool          // it reads packed texts
-	texts    string        // where other guards fetch texts from it; empty for nowhere
-	aged     time.Duration // how old this entry's tasks are when they come, at least
-	heard    time.Duration
-	lastSent time.Duration  // when it was last sent a frame
-	since    time.Duration  // when the first of the runs that it has was sent
-	demand   wire.RunDemand // what the guard was last told of tasks that wait
+// guard is one guard with its worker, from its link's start to its end.
+type guard struct {
+	id               identity.Incarnation
+	position         int
+	worker           wire.RunWorker
+	maxCapacity      sched.Room     // the largest capacity that the worker has told in this life
+	seq              uint64         // of the last RunTasks
+	pendingTasks     []pendingTasks // RunTasks that its load does not count in yet
+	free             sched.Room     // by its last load
+	clockOffset      time.Duration  // its clock less this entry's, at least
+	readsPackedTexts bool           // it reads packed texts
+	textsAddress     string         // where other guards fetch texts from it; empty for nowhere
+	minTaskAge       time.Duration  // how old this entry's tasks are when they come, at least
+	lastHeardAt      time.Duration
+	lastSentAt       time.Duration  // when it was last sent a frame
+	busySince        time.Duration  // when the first of the runs that it has was sent
+	demand           wire.RunDemand // what the guard was last told of tasks that wait
 	// suspects is how many of this entry's tasks there have run under a worker's crash.
-	suspects int
-	health   sched.Health
-	sick     bool
-	until    time.Duration // end of its quarantine
+	suspectRuns      int
+	health           sched.Health
+	isQuarantined    bool
+	quarantinedUntil time.Duration // end of its quarantine
 }
 
-type unseen struct {
+type pendingTasks struct {
 	seq  uint64
 	room sched.Room
-	sent mark
+	sent sendRecord
 }
 
-// clockMs is the guard's clock as far as it is known here: never ahead of it, so
+// estimatedClockMs is the guard's clock as far as it is known here: never ahead of it, so
 // that a frame that is held up looks its age.
-func (s *site) clockMs(now time.Duration) int64 { return (now + s.ahead).Milliseconds() }
+func (g *guard) estimatedClockMs(now time.Duration) int64 {
+	return (now + g.clockOffset).Milliseconds()
+}
 
 // GuardUp adds a guard, with its worker, whose link is ready.
-func (m *Machine) GuardUp(now time.Duration, h *wire.RunHello) {
-	if m.places[h.Incarnation] != nil {
-		m.GuardDown(now, h.Incarnation)
+func (m *Machine) GuardUp(now time.Duration, hello *wire.RunHello) {
+	if m.guardByID[hello.Incarnation] != nil {
+		m.GuardDown(now, hello.Incarnation)
 	}
-	s := &site{guard: h.Incarnation, place: slices.Index(m.sites, nil)}
-	if s.place < 0 {
-		s.place = len(m.sites)
-		m.sites = append(m.sites, nil)
-		m.view = append(m.view, sched.Site{})
+	g := &guard{id: hello.Incarnation, position: slices.Index(m.guards, nil)}
+	if g.position < 0 {
+		g.position = len(m.guards)
+		m.guards = append(m.guards, nil)
+		m.workers = append(m.workers, sched.Site{})
 	}
-	m.sites[s.place] = s
-	m.places[s.guard] = s
-	s.packs, s.texts = h.Version >= wire.PackedSince, h.Texts
-	s.ahead, s.aged = milliseconds(h.Load.ClockMs)-now, m.leastAge()+farthest
-	m.describe(s, &h.Worker)
-	m.takeLoad(now, s, &h.Load)
-	m.pump(now)
+	m.guards[g.position] = g
+	m.guardByID[g.id] = g
+	g.readsPackedTexts, g.textsAddress = hello.Version >= wire.PackedSince, hello.Texts
+	g.clockOffset, g.minTaskAge = milliseconds(hello.Load.ClockMs)-now, m.nearestTaskAge()+maxExtraLatency
+	m.setWorker(g, &hello.Worker)
+	m.updateLoad(now, g, &hello.Load)
+	m.dispatchWaiting(now)
 }
 
 // GuardDown notes the loss of a guard's link. What runs there may go on for
 // Timing.Loss; only then is it started elsewhere. A job that has no time for
 // that is answered at once.
-func (m *Machine) GuardDown(now time.Duration, guard identity.Incarnation) {
-	s := m.places[guard]
-	if s == nil {
+func (m *Machine) GuardDown(now time.Duration, id identity.Incarnation) {
+	g := m.guardByID[id]
+	if g == nil {
 		return
 	}
-	delete(m.places, guard)
-	m.sites[s.place] = nil
-	m.view[s.place] = sched.Site{}
-	free := now + m.opt.Timing.Loss()
-	m.anyLost = true
-	for _, f := range m.flightsInOrder() {
-		if f.site == s && f.lost == 0 {
-			f.job.note(Event{At: now, What: GuardLost, Guard: guard, Tasks: 1, Age: now - s.heard})
+	delete(m.guardByID, id)
+	m.guards[g.position] = nil
+	m.workers[g.position] = sched.Site{}
+	latestEnd := now + m.options.Timing.Loss()
+	m.hasLostRuns = true
+	for _, r := range m.activeRunsInOrder() {
+		if r.guard == g && r.endedBy == 0 {
+			r.job.addEvent(Event{At: now, What: EventGuardLost, Guard: id, Tasks: 1, Age: now - g.lastHeardAt})
 		}
 		switch {
-		case f.site != s || f.lost > 0:
-		case f.job.done:
-			m.forget(f)
-		case free+m.chainLeft(f.job) > f.job.spec.Deadline:
-			f.lost = free
-			m.fail(now, f.job, errkind.New(errkind.WorkerLost, "the guard %s was lost", guard))
+		case r.guard != g || r.endedBy > 0:
+		case r.job.isAnswered:
+			m.deleteRun(r)
+		case latestEnd+m.remainingCriticalPath(r.job) > r.job.spec.Deadline:
+			r.endedBy = latestEnd
+			m.failJob(now, r.job, errkind.New(errkind.WorkerLost, "the guard %s was lost", id))
 		default:
-			f.lost = free
+			r.endedBy = latestEnd
 		}
 	}
-	m.pump(now)
+	m.dispatchWaiting(now)
 }
 
 // Beat takes a guard's word that it lives, and its state.
-func (m *Machine) Beat(now time.Duration, guard identity.Incarnation, b *wire.GuardBeat) {
-	s := m.places[guard]
-	if s == nil {
+func (m *Machine) Beat(now time.Duration, id identity.Incarnation, beat *wire.GuardBeat) {
+	g := m.guardByID[id]
+	if g == nil {
 		return
 	}
-	if b.Worker != nil {
-		m.describe(s, b.Worker)
-		m.noteSlow(now, s)
+	if beat.Worker != nil {
+		m.setWorker(g, beat.Worker)
+		m.quarantineIfSlow(now, g)
 	}
-	m.takeLoad(now, s, &b.Load)
-	m.pump(now)
-	m.decline(now, s)
+	m.updateLoad(now, g, &beat.Load)
+	m.dispatchWaiting(now)
+	m.declineOffer(now, g)
 }
 
-func (m *Machine) describe(s *site, w *wire.RunWorker) {
-	before := s.worker
-	if w.ID != before.ID {
-		s.health, s.sick = sched.Health{}, false
-		m.view[s.place].Limit = 0
-		s.most = sched.Room{}
+func (m *Machine) setWorker(g *guard, w *wire.RunWorker) {
+	previous := g.worker
+	if w.ID != previous.ID {
+		g.health, g.isQuarantined = sched.Health{}, false
+		m.workers[g.position].Limit = 0
+		g.maxCapacity = sched.Room{}
 	}
-	s.worker = *w
-	s.most = s.most.Most(w.Capacity)
-	if w.ID != before.ID || !before.Usable || !before.Cold {
-		m.tryCold(s)
+	g.worker = *w
+	g.maxCapacity = g.maxCapacity.Most(w.Capacity)
+	if w.ID != previous.ID || !previous.Usable || !previous.Cold {
+		m.limitColdWorker(g)
 	}
-	v := &m.view[s.place]
-	v.Service, v.Domain, v.Rack, v.Labels, v.Capacity = w.Service, w.Domain, w.Rack, w.Labels, w.Capacity
-	m.setState(s)
+	view := &m.workers[g.position]
+	view.Service, view.Domain, view.Rack, view.Labels, view.Capacity = w.Service, w.Domain, w.Rack, w.Labels, w.Capacity
+	m.updateState(g)
 }
 
-func (m *Machine) setState(s *site) {
-	v := &m.view[s.place]
+func (m *Machine) updateState(g *guard) {
+	w := &m.workers[g.position]
 	switch {
-	case s.worker.ID == "":
-		v.State = sched.Absent
-	case !s.worker.Usable, m.drains.Has(s.worker.Domain):
-		v.State = sched.Leaving
-	case s.sick:
-		v.State = sched.Quarantined
+	case g.worker.ID == "":
+		w.State = sched.Absent
+	case !g.worker.Usable, m.drains.Has(g.worker.Domain):
+		w.State = sched.Leaving
+	case g.isQuarantined:
+		w.State = sched.Quarantined
 	default:
-		v.State = sched.Usable
+		w.State = sched.Usable
 	}
 }
 
-// takeLoad notes what is free at a guard, less what is on its way there.
-func (m *Machine) takeLoad(now time.Duration, s *site, l *wire.RunLoad) {
-	s.heard = now
-	s.ahead = max(s.ahead, milliseconds(l.ClockMs)-now)
-	m.takeAge(now, s, l)
-	s.free = l.Free
-	s.unseen = slices.DeleteFunc(s.unseen, func(u unseen) bool { return u.seq <= l.Seen })
-	free := s.free
-	for _, u := range s.unseen {
-		free = free.Minus(u.room)
+// updateLoad notes what is free at a guard, less what is on its way there.
+func (m *Machine) updateLoad(now time.Duration, g *guard, load *wire.RunLoad) {
+	g.lastHeardAt = now
+	g.clockOffset = max(g.clockOffset, milliseconds(load.ClockMs)-now)
+	m.recordTaskAge(now, g, load)
+	g.free = load.Free
+	g.pendingTasks = slices.DeleteFunc(g.pendingTasks, func(p pendingTasks) bool { return p.seq <= load.Seen })
+	free := g.free
+	for _, p := range g.pendingTasks {
+		free = free.Minus(p.room)
 	}
-	m.view[s.place].Free = free
+	m.workers[g.position].Free = free
 }
 
-// farthest is by how much longer than to the nearest guard tasks may be on their way to
+// maxExtraLatency is by how much longer than to the nearest guard tasks may be on their way to
 // another, over idle links: it may be in another region.
-const farthest = 30 * time.Millisecond
+const maxExtraLatency = 30 * time.Millisecond
 
-// leastAge is how old tasks are when they come at the nearest guard.
-func (m *Machine) leastAge() time.Duration {
-	least := farthest
-	for _, s := range m.sites {
-		if s != nil {
-			least = min(least, s.aged)
+// nearestTaskAge is how old tasks are when they come at the nearest guard.
+func (m *Machine) nearestTaskAge() time.Duration {
+	minAge := maxExtraLatency
+	for _, g := range m.guards {
+		if g != nil {
+			minAge = min(minAge, g.minTaskAge)
 		}
 	}
-	return least
+	return minAge
 }
 
-// takeAge notes how old the newest tasks that a guard has seen were when they came.
-func (m *Machine) takeAge(now time.Duration, s *site, l *wire.RunLoad) {
-	for _, u := range s.unseen {
-		if u.seq == l.Seen {
-			age := milliseconds(l.AgeMs)
-			s.aged = min(s.aged, age)
-			m.uplink.arrived(now, u.sent, age-s.aged)
+// recordTaskAge notes how old the newest tasks that a guard has seen were when they came.
+func (m *Machine) recordTaskAge(now time.Duration, g *guard, load *wire.RunLoad) {
+	for _, p := range g.pendingTasks {
+		if p.seq == load.Seen {
+			age := milliseconds(load.AgeMs)
+			g.minTaskAge = min(g.minTaskAge, age)
+			m.uplink.recordArrival(now, p.sent, age-g.minTaskAge)
 		}
 	}
 }
--- a/internal/batch/slow_test.go
+++ b/internal/batch/slow_test.go
@@ -45,7 +45,7 @@
 	qt.Check(t, again > back+time.Second, qt.IsTrue, qt.Commentf("%v after %v", again, back))
 	m.Tick(again)
 	qt.Check(t, m.Workers(), qt.Equals, 3)
-	qt.Check(t, m.view[0].Limit, qt.Equals, 1)
+	qt.Check(t, m.workers[0].Limit, qt.Equals, 1)
 }
 
 // All workers look slow: the callers' estimates have changed, or the pool is overloaded.
--- a/internal/batch/table.go
+++ b/internal/batch/table.go
@@ -26,8 +26,8 @@
 	for _, r := range routes {
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
 	}
-	for _, rs := range t.byHost {
-		slices.SortStableFunc(rs, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, hostRoutes := range t.byHost {
+		slices.SortStableFunc(hostRoutes, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	return t
 }
@@ -35,10 +35,10 @@
 // Find gives the route with the longest prefix of path, and what follows the
 // prefix; nil if there is none.
 func (t *Table) Find(host, path string) (r *Route, rest string) {
-	rs := t.byHost[host]
-	for i := range rs {
-		if rest, ok := strings.CutPrefix(path, rs[i].Prefix); ok {
-			return &rs[i], rest
+	hostRoutes := t.byHost[host]
+	for i := range hostRoutes {
+		if rest, ok := strings.CutPrefix(path, hostRoutes[i].Prefix); ok {
+			return &hostRoutes[i], rest
 		}
 	}
 	return nil, ""
--- a/internal/batch/tick.go
+++ b/internal/batch/tick.go
@@ -13,9 +13,9 @@
 // beats, guards that are silent, and the ends of quarantines.
 func (m *Machine) Tick(now time.Duration) {
 	m.tickJobs(now)
-	m.tickFlights(now)
-	m.tickSites(now)
-	m.pump(now)
+	m.tickLostRuns(now)
+	m.tickGuards(now)
+	m.dispatchWaiting(now)
 }
 
 // Woke answers every job after the entry was frozen. Meanwhile callers have left
@@ -24,9 +24,9 @@
 func (m *Machine) Woke(now time.Duration) { m.AnswerAll(now, "this entry was frozen") }
 
 // AnswerAll answers every job: its outcome is unknown, unless nothing of it ran.
-func (m *Machine) AnswerAll(now time.Duration, why string) {
+func (m *Machine) AnswerAll(now time.Duration, reason string) {
 	for _, j := range m.jobsInOrder() {
-		m.fail(now, j, errkind.New(errkind.WorkerLost, "%s", why))
+		m.failJob(now, j, errkind.New(errkind.WorkerLost, "%s", reason))
 	}
 }
 
@@ -38,68 +38,68 @@
 	for _, j := range m.jobsInOrder() {
 		switch {
 		case now >= j.spec.Deadline:
-			m.expire(now, j)
-		case now >= j.endsBy():
-			m.fail(now, j, refusal(errkind.Overloaded, m.spread(afterOverloaded), "no worker had room in time"))
+			m.expireJob(now, j)
+		case now >= j.answerDeadline():
+			m.failJob(now, j, newRefusal(errkind.Overloaded, m.addJitter(overloadedRetryDelay), "no worker had room in time"))
 		}
 	}
 }
 
-// endsBy is when a job is answered at the latest: at its deadline, or once nothing of it
+// answerDeadline is when a job is answered at the latest: at its deadline, or once nothing of it
 // was sent in time. Held on, it would take the room of jobs that still can end in time.
-func (j *job) endsBy() time.Duration {
-	if j.sent {
+func (j *job) answerDeadline() time.Duration {
+	if j.hasSentTasks {
 		return j.spec.Deadline
 	}
-	return min(j.spec.Deadline, j.sendBy)
+	return min(j.spec.Deadline, j.sendDeadline)
 }
 
-// tickFlights starts tasks of lost guards elsewhere once they have ended there.
-func (m *Machine) tickFlights(now time.Duration) {
-	if !m.anyLost {
+// tickLostRuns starts tasks of lost guards elsewhere once they have ended there.
+func (m *Machine) tickLostRuns(now time.Duration) {
+	if !m.hasLostRuns {
 		return
 	}
-	m.anyLost = false
-	for _, f := range m.flightsInOrder() {
-		if f.lost == 0 || now < f.lost {
-			m.anyLost = m.anyLost || f.lost > 0
+	m.hasLostRuns = false
+	for _, r := range m.activeRunsInOrder() {
+		if r.endedBy == 0 || now < r.endedBy {
+			m.hasLostRuns = m.hasLostRuns || r.endedBy > 0
 			continue
 		}
-		m.forget(f)
-		f.step.at[f.site]--
-		f.job.ran = true
-		f.job.again(f.step, f.key.Index)
-		m.enqueue(f.job)
+		m.deleteRun(r)
+		r.step.at[r.guard]--
+		r.job.mayHaveRun = true
+		r.job.requeueTask(r.step, r.key.Index)
+		m.enqueue(r.job)
 	}
 }
 
-func (m *Machine) tickSites(now time.Duration) {
-	busy := m.busySites()
-	for _, s := range m.sites {
-		if s == nil {
+func (m *Machine) tickGuards(now time.Duration) {
+	busy := m.busyGuards()
+	for _, g := range m.guards {
+		if g == nil {
 			continue
 		}
-		if s.sick && now >= s.until {
-			m.comeBack(now, s)
+		if g.isQuarantined && now >= g.quarantinedUntil {
+			m.endQuarantine(now, g)
 		}
 		switch {
-		case !busy[s]:
-		case now-max(s.heard, s.since) > m.opt.Timing.Permit:
-			m.actions = append(m.actions, Action{Guard: s.guard, Drop: true})
-			m.GuardDown(now, s.guard)
-		case now-s.lastSent >= m.opt.Timing.Beat:
-			m.beat(now, s)
+		case !busy[g]:
+		case now-max(g.lastHeardAt, g.busySince) > m.options.Timing.Permit:
+			m.actions = append(m.actions, Action{Guard: g.id, Drop: true})
+			m.GuardDown(now, g.id)
+		case now-g.lastSentAt >= m.options.Timing.Beat:
+			m.sendBeat(now, g)
 		}
 	}
 }
 
-// busySites gives the sites that owe an end. Only these are expected to speak: a
+// busyGuards gives the sites that owe an end. Only these are expected to speak: a
 // guard that has nothing to do is rightly silent.
-func (m *Machine) busySites() map[*site]bool {
-	busy := make(map[*site]bool)
-	for _, f := range m.flights {
-		if f.lost == 0 {
-			busy[f.site] = true
+func (m *Machine) busyGuards() map[*guard]bool {
+	busy := make(map[*guard]bool)
+	for _, r := range m.activeRuns {
+		if r.endedBy == 0 {
+			busy[r.guard] = true
 		}
 	}
 	return busy
@@ -108,32 +108,32 @@
 // NextTick tells when Tick is next due; 0 for never.
 func (m *Machine) NextTick() time.Duration {
 	var next time.Duration
-	sooner := func(t time.Duration) {
+	consider := func(t time.Duration) {
 		if next == 0 || t < next {
 			next = t
 		}
 	}
 	for _, j := range m.jobs {
-		sooner(j.endsBy())
+		consider(j.answerDeadline())
 	}
-	for _, f := range m.flights {
-		if f.lost > 0 {
-			sooner(f.lost)
+	for _, r := range m.activeRuns {
+		if r.endedBy > 0 {
+			consider(r.endedBy)
 			continue
 		}
-		sooner(f.site.lastSent + m.opt.Timing.Beat)
-		sooner(max(f.site.heard, f.site.since) + m.opt.Timing.Permit + time.Millisecond)
+		consider(r.guard.lastSentAt + m.options.Timing.Beat)
+		consider(max(r.guard.lastHeardAt, r.guard.busySince) + m.options.Timing.Permit + time.Millisecond)
 	}
-	for _, s := range m.sites {
-		if s != nil && s.sick {
-			sooner(s.until)
+	for _, g := range m.guards {
+		if g != nil && g.isQuarantined {
+			consider(g.quarantinedUntil)
 		}
 	}
-	if len(m.queue) > 0 && m.uplink.holds {
-		sooner(m.uplink.opensAt())
+	if len(m.queue) > 0 && m.uplink.isHolding {
+		consider(m.uplink.nextSendAt())
 	}
-	if m.advertised.CPU > 0 && m.advertisedTo < len(m.places) {
-		sooner(m.advertisedAt + m.advertisePause())
+	if m.advertised.CPU > 0 && m.advertisedCount < len(m.guardByID) {
+		consider(m.advertisedAt + m.advertiseInterval())
 	}
 	return next
 }
--- a/internal/batch/uplink_test.go
+++ b/internal/batch/uplink_test.go
@@ -26,9 +26,9 @@
 	came := now
 	for range frames {
 		f := tasksOf(longText)
-		m := u.put(now, f)
+		m := u.recordSend(now, f)
 		came += time.Duration(frameBytes(f) / rate * float64(time.Second))
-		u.arrived(came, m, came-now)
+		u.recordArrival(came, m, came-now)
 	}
 	return came
 }
@@ -38,9 +38,9 @@
 	var u uplink
 	burst(&u, time.Second, 8, thinRate)
 	qt.Check(t, u.rate > 0.8*thinRate && u.rate <= thinRate, qt.IsTrue, qt.Commentf("%.0f", u.rate))
-	u.put(2*time.Second, tasksOf(10*longText))
-	qt.Check(t, u.open(2*time.Second), qt.IsFalse)
-	qt.Check(t, u.open(u.opensAt()), qt.IsTrue)
+	u.recordSend(2*time.Second, tasksOf(10*longText))
+	qt.Check(t, u.canSend(2*time.Second), qt.IsFalse)
+	qt.Check(t, u.canSend(u.nextSendAt()), qt.IsTrue)
 }
 
 // Guards against a pause of the process taken for a thin link.
@@ -48,12 +48,12 @@
 	var u uplink
 	now := time.Second
 	for i := range 8 {
-		m := u.put(now, tasksOf(longText))
+		m := u.recordSend(now, tasksOf(longText))
 		late := time.Duration(0)
 		if i >= 3 {
 			late = 80 * time.Millisecond
 		}
-		u.arrived(now+late, m, late)
+		u.recordArrival(now+late, m, late)
 	}
 	qt.Check(t, u.rate, qt.Equals, 0.0)
 }
@@ -65,9 +65,9 @@
 	qt.Assert(t, u.rate < thinRate/5, qt.IsTrue)
 	for range 40 {
 		now += 100 * time.Millisecond
-		m := u.put(now, tasksOf(longText))
-		u.open(now) // the next job is held back
-		u.arrived(now+time.Millisecond, m, 0)
+		m := u.recordSend(now, tasksOf(longText))
+		u.canSend(now) // the next job is held back
+		u.recordArrival(now+time.Millisecond, m, 0)
 	}
 	qt.Check(t, u.rate > thinRate, qt.IsTrue, qt.Commentf("%.0f", u.rate))
 }
@@ -77,19 +77,19 @@
 	var u uplink
 	now := time.Second
 	sent := 0.0
-	for u.open(now) {
+	for u.canSend(now) {
 		sent += frameBytes(tasksOf(longText))
-		u.put(now, tasksOf(longText))
+		u.recordSend(now, tasksOf(longText))
 	}
-	qt.Check(t, sent < 2*firstWindow, qt.IsTrue)
-	qt.Check(t, u.open(now+windowTimeout), qt.IsTrue) // no word came
-	m := u.put(now, tasksOf(longText))
-	u.arrived(now, m, 0)
-	for u.open(now) && sent < 2*openWindow {
+	qt.Check(t, sent < 2*initialWindow, qt.IsTrue)
+	qt.Check(t, u.canSend(now+windowTimeout), qt.IsTrue) // no word came
+	m := u.recordSend(now, tasksOf(longText))
+	u.recordArrival(now, m, 0)
+	for u.canSend(now) && sent < 2*unlimitedWindow {
 		sent += frameBytes(tasksOf(longText))
-		u.arrived(now, u.put(now, tasksOf(longText)), 0)
+		u.recordArrival(now, u.recordSend(now, tasksOf(longText)), 0)
 	}
-	qt.Check(t, sent >= 2*openWindow, qt.IsTrue) // each that has come lets more be sent
+	qt.Check(t, sent >= 2*unlimitedWindow, qt.IsTrue) // each that has come lets more be sent
 }
 
 // thinEntry is an entry with a thin link and guards with room for two tasks each.
@@ -173,7 +173,7 @@
 // Guards against room held idle for jobs that wait for the link.
 func TestNoRoomIsHeldForJobsThatWaitForTheLink(t *testing.T) {
 	m := thinEntry(2)
-	m.uplink.free = time.Second
+	m.uplink.idleAt = time.Second
 	j := longJob("j", 1)
 	q := *testQueue
 	q.Stretch = 100 // it may wait
