--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -8,7 +8,8 @@
 	"wigeontray/internal/sched"
 )
 
-// expectedRunTime is the run time that is expected of a step's tasks.
+// expectedRunTime returns the run time expected of a step's tasks: the caller's estimate,
+// corrected by the observed run times of the queue.
 func (m *Machine) expectedRunTime(q *Queue, s *Step) time.Duration {
 	if ratio := m.runTimeRatios[q.Name]; ratio != nil && !m.options.Off.Has(policy.LearnedTimes) {
 		return ratio.Expect(s.Estimate)
@@ -16,6 +17,7 @@
 	return s.Estimate
 }
 
+// recordRunTime updates the queue's ratio of actual to estimated run times.
 func (m *Machine) recordRunTime(j *job, s *step, runTime time.Duration) {
 	queue := j.spec.Queue.Name
 	ratio := m.runTimeRatios[queue]
@@ -26,16 +28,19 @@
 	ratio.Observe(s.spec.Estimate, runTime)
 }
 
-// criticalPath is the expected length of the longest chain of steps of a job.
+// criticalPath returns the expected length of the longest chain of steps of a job.
 func (m *Machine) criticalPath(spec *Job) time.Duration {
 	return m.longestPath(spec, func(int) bool { return true })
 }
 
-// remainingCriticalPath is the same for the steps that are not done.
+// remainingCriticalPath returns the expected length of the longest chain of unfinished steps of a
+// job.
 func (m *Machine) remainingCriticalPath(j *job) time.Duration {
 	return m.longestPath(j.spec, func(i int) bool { return j.steps[i].unfinished > 0 })
 }
 
+// longestPath returns the expected length of the longest chain of steps, in which only the
+// included steps take time.
 func (m *Machine) longestPath(spec *Job, isIncluded func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	var longest time.Duration
@@ -52,14 +57,13 @@
 	return longest
 }
 
-// minRunTimeShare is the part of the expected time in which a job may still end: the
-// callers' estimates are too long by up to two thirds. Refused at its expected
-// time, many a job of a queue whose tasks take as long as its callers wait would be
-// turned away while workers are idle, and most would have ended in time.
+// minRunTimeShare is the share of the expected time in which a job may still complete: the
+// callers' estimates are too long by up to two thirds. If jobs were refused on their full
+// expected time, a queue whose tasks take about as long as its callers wait would refuse many
+// jobs while workers are idle, although most of them would complete in time.
 const minRunTimeShare = 0.6
 
-// admit refuses what cannot be served. A refusal is true for good: nothing of the
-// job was sent.
+// admit refuses jobs that cannot be served. A refusal is final: no task of the job was sent.
 func (m *Machine) admit(now time.Duration, spec *Job, criticalPath, expectedWait time.Duration) *errkind.Error {
 	if now >= spec.Deadline {
 		return newRefusal(errkind.DeadlineExpired, 0, "the deadline had passed on arrival")
@@ -82,18 +86,18 @@
 	return nil
 }
 
-// targetDuration is the time from its arrival in which a job should end.
+// targetDuration returns the time, counted from its arrival, in which a job should end.
 func targetDuration(q *Queue, criticalPath time.Duration) time.Duration {
 	return time.Duration(q.Stretch*float64(criticalPath)) + q.Slack
 }
 
-// maxWaitShare is the part of the time to its goal for which a job may wait before anything
-// of it was sent. Callers who are refused that soon can still ask elsewhere. Held for as
-// long as it could still end in time, a job took its room at the last moment, and many of
-// those served ended just too late.
+// maxWaitShare is the share of its target duration for which a job may wait before its first task
+// is sent. A caller that is refused this early can still try another entry. When jobs were kept
+// as long as they could still complete in time, they took room at the last moment, and many of
+// those that were served ended just too late.
 const maxWaitShare = 0.25
 
-// maxWait is how long a job may wait before anything of it is sent.
+// maxWait returns how long a job may wait before its first task is sent.
 func (m *Machine) maxWait(q *Queue, criticalPath time.Duration) time.Duration {
 	target := targetDuration(q, criticalPath)
 	slack := max(0, target-criticalPath)
@@ -103,7 +107,7 @@
 	return min(slack, time.Duration(maxWaitShare*float64(target)))
 }
 
-// checkWorkers refuses a job if a step of it has no worker.
+// checkWorkers refuses a job if no worker can run one of its steps.
 func (m *Machine) checkWorkers(now time.Duration, spec *Job) *errkind.Error {
 	for i := range spec.Steps {
 		s := &spec.Steps[i]
@@ -121,8 +125,9 @@
 	return nil
 }
 
-// countWorkers counts the workers that could run a task now, ever, and those of its
-// service. A worker whose capacity has shrunk may get it back.
+// countWorkers counts a service's workers: those that could run the task now, those that could
+// run it at the largest capacity they have reported, as a reduced capacity may be restored, and
+// all that are present.
 func (m *Machine) countWorkers(req *sched.Ask) (usable, suitable, present int) {
 	for i := range m.workers {
 		w := &m.workers[i]
@@ -143,8 +148,9 @@
 	return usable, suitable, present
 }
 
-// expectedWait is how long a job is expected to wait for room: the work that goes before
-// it, and what of its own finds no room, at this entry's part of the workers.
+// expectedWait returns how long a job is expected to wait for room: the work queued ahead of it,
+// and half of its own work if that does not fit into the free room, divided by this entry's share
+// of the service's capacity.
 func (m *Machine) expectedWait(spec *Job) time.Duration {
 	var workAhead float64 // thousandths of a core, times nanoseconds
 	for _, j := range m.queue {
@@ -171,6 +177,8 @@
 	return time.Duration((workAhead + ownWork/2) * float64(m.entryCount) / float64(capacity))
 }
 
+// waitingWork returns the expected work of a job's waiting tasks, in thousandths of a core times
+// nanoseconds.
 func (m *Machine) waitingWork(j *job) float64 {
 	sum := 0.0
 	for i := range j.steps {
@@ -180,7 +188,8 @@
 	return sum
 }
 
-// serviceCPU sums up the usable workers of a service, in thousandths of a core.
+// serviceCPU returns the total and the free CPU of a service's usable workers, in thousandths of
+// a core.
 func (m *Machine) serviceCPU(service string) (capacity, free int64) {
 	for i := range m.workers {
 		if w := &m.workers[i]; w.State == sched.Usable && w.Service == service {
@@ -191,8 +200,8 @@
 	return capacity, free
 }
 
-// addJitter draws a time between d and twice d, so that callers who were refused
-// together do not come back together.
+// addJitter returns a random duration between d and twice d, so that callers refused at the same
+// time do not retry at the same time.
 func (m *Machine) addJitter(d time.Duration) time.Duration {
 	if m.options.Off.Has(policy.RetrySpread) {
 		return d
--- a/internal/batch/advertise.go
+++ b/internal/batch/advertise.go
@@ -9,29 +9,31 @@
 	"wigeontray/internal/wire"
 )
 
-// An entry advertises its demand, the tasks that wait for room, to initialAdvertiseCount guards at first,
-// and after a pause to twice as many as before while they go on waiting. Each advertisement is a
-// frame: with one to all guards of a large fleet, a small entry spends more on these than on its
-// jobs, and a dozen workers have free room again within milliseconds. The pause is minAdvertiseInterval
-// for each two times initialAdvertiseCount.
+// An entry advertises its demand, the tasks that wait for room, to initialAdvertiseCount guards
+// at first. While tasks go on waiting, it advertises to twice as many guards after each interval.
+// Each advertisement is one frame per guard. Sent to all guards of a large fleet, these frames
+// would cost a small entry more than its jobs, and some of a dozen workers usually have free room
+// again within milliseconds. The interval is minAdvertiseInterval for each 2*initialAdvertiseCount guards.
 const (
 	minAdvertiseInterval  = 50 * time.Millisecond
 	initialAdvertiseCount = 12
 )
 
-// maxAdvertiseShare is the part of a thin link that this may take.
+// maxAdvertiseShare is the maximum share of a thin link's bandwidth spent on advertisements.
 const maxAdvertiseShare = 0.1
 
+// advertiseInterval returns the minimum delay between two advertisements, which grows with the
+// number of guards addressed and with the time that their frames take on the link.
 func (m *Machine) advertiseInterval() time.Duration {
 	interval := minAdvertiseInterval * time.Duration(max(1, m.advertisedCount/(2*initialAdvertiseCount)))
 	linkTime := m.uplink.transferTime(float64(smallFrameBytes * m.advertisedCount))
 	return max(interval, time.Duration(float64(linkTime)/maxAdvertiseShare))
 }
 
-// advertise sends the demand to guards when it is due. A job that is more urgent than the
-// advertised ones is due at once: it would wait for the pause otherwise, while room goes to
-// less urgent ones. The end of the demand goes to all who have heard of it, as they would hold
-// room in vain.
+// advertise sends the demand to guards when it is due. Demand that is more urgent than the
+// advertised demand is sent at once: otherwise room would go to less urgent tasks during the
+// interval. The end of the demand is sent to all guards that have received the demand, as they
+// would hold room in vain.
 func (m *Machine) advertise(now time.Duration) {
 	demand := m.demand()
 	switch {
@@ -47,7 +49,7 @@
 	}
 }
 
-// advertiseTo advertises the demand to n guards.
+// advertiseTo sends the demand to n guards.
 func (m *Machine) advertiseTo(now time.Duration, demand wire.RunDemand, n int) {
 	m.advertised, m.advertisedAt, m.advertisedCount = demand, now, n
 	for _, g := range m.advertiseTargets(n) {
@@ -55,9 +57,9 @@
 	}
 }
 
-// advertiseTargets gives n sites to advertise to: those that have heard of the demand, others of the own
-// failure domain, and then the rest, drawn at random: entries that advertised to the same guards
-// would wait for the same room.
+// advertiseTargets returns n guards to send the demand to: first those that have already received
+// it, then others in the entry's failure domain, then the rest. The order within each group is
+// random, because entries that advertised to the same guards would wait for the same room.
 func (m *Machine) advertiseTargets(n int) []*guard {
 	present := slices.DeleteFunc(slices.Clone(m.guards), func(g *guard) bool { return g == nil })
 	if n >= len(present) {
@@ -68,7 +70,7 @@
 	return present[:n]
 }
 
-// advertiseRank orders sites for listeners.
+// advertiseRank returns a guard's rank in the order of advertiseTargets, lowest first.
 func (m *Machine) advertiseRank(g *guard) int {
 	switch {
 	case g.demand.CPU > 0:
@@ -79,7 +81,7 @@
 	return 2
 }
 
-// withdrawDemand tells the guards that know of tasks here that none waits any more.
+// withdrawDemand informs the guards that received a demand that no task waits any more.
 func (m *Machine) withdrawDemand(now time.Duration) {
 	m.advertised, m.advertisedAt, m.advertisedCount = wire.RunDemand{}, now, 0
 	for _, g := range m.guards {
@@ -89,12 +91,12 @@
 	}
 }
 
-// demand sums up the tasks that wait for room.
+// demand returns the total demand of the tasks that wait for room.
 func (m *Machine) demand() wire.RunDemand {
 	var total wire.RunDemand
 	for _, j := range m.queue {
 		if !j.hasTriedPlacement {
-			continue // it waits for the link; room that is held for it would stand empty
+			continue // it waits for the link, so room held for it would stay unused
 		}
 		if total.CPU == 0 {
 			total.Priority = j.spec.Queue.Priority
@@ -118,8 +120,9 @@
 	return total
 }
 
-// declineOffer tells a guard what waits now if it holds room for a task that does not wait any
-// more. It would hold it for offerTime in vain otherwise, while another entry's task waits.
+// declineOffer sends the current demand to a guard that holds room for a task that no longer
+// waits. Otherwise the guard would hold the room until its offer expires, while tasks of other
+// entries wait.
 func (m *Machine) declineOffer(now time.Duration, g *guard) {
 	w := &m.workers[g.position]
 	if m.guards[g.position] != g || w.State != sched.Usable || g.demand.CPU == 0 || w.Free.CPU < g.demand.LeastCPU || m.options.Off.Has(policy.UrgentOffers) {
@@ -130,11 +133,12 @@
 	}
 }
 
-// sendBeat tells a guard that this entry lives, and what waits here.
+// sendBeat sends a guard a heartbeat with the advertised demand.
 func (m *Machine) sendBeat(now time.Duration, g *guard) {
 	m.sendBeatWithDemand(now, g, m.advertised)
 }
 
+// sendBeatWithDemand sends a guard a heartbeat with the given demand.
 func (m *Machine) sendBeatWithDemand(now time.Duration, g *guard, demand wire.RunDemand) {
 	g.demand = demand
 	m.sendFrame(now, g, &wire.Frame{EntryBeat: &wire.EntryBeat{ClockMs: g.estimatedClockMs(now), Demand: demand}})
--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -1,12 +1,13 @@
-// Package batch owns the jobs of one entry whose tasks run on workers under
-// leases: admission, order, placement, repetition of failed tasks, cancellation
-// and the one answer of each job. Such a job is not kept: it is answered when it
-// has ended, and a caller without an answer may send it again, here or elsewhere.
+// Package batch schedules the jobs of one entry whose tasks run on workers under
+// leases. It covers admission, queueing, placement, retries of failed tasks,
+// cancellation and the single answer to each job. Jobs are not persisted: a job is
+// answered when it ends, and a caller that gets no answer may resubmit it to this
+// or to another entry.
 //
-// It is a state machine under an explicit clock, without goroutine, socket or
-// lock. An entry feeds it what happens and carries out the actions it returns.
-// Times are durations on the entry's clock, which counts the time in which its
-// VM was suspended.
+// The package is a state machine with an explicit clock and has no goroutines,
+// sockets or locks. The entry passes events to a Machine and carries out the
+// actions it returns. Times are durations on the entry's clock, which includes the
+// time in which its VM was suspended.
 //
 // The package may import errkind, identity, policy, runs, sched and wire.
 package batch
@@ -22,108 +23,110 @@
 	"wigeontray/internal/wire"
 )
 
-// Queue is what the operators' configuration says of one queue.
+// Queue is the operators' configuration of one queue.
 type Queue struct {
 	Name        string
-	Service     string // whose workers run its tasks
-	Priority    int    // 0 goes first
-	MaxAttempts int    // runs of a task that may fail before its job has failed
-	// SelfLimiting tells that the service's workers refuse by themselves what does not fit.
+	Service     string // service whose workers run the queue's tasks
+	Priority    int    // 0 is the most urgent
+	MaxAttempts int    // failed runs of one task after which its job fails
+	// SelfLimiting is set if the service's workers refuse tasks that do not fit.
 	SelfLimiting bool
-	// Stretch and Slack give the time in which a job should end: Stretch times
-	// its longest chain of tasks, and Slack more.
+	// Stretch and Slack define a job's target duration: Stretch times the expected
+	// length of its critical path, plus Slack.
 	Stretch float64
 	Slack   time.Duration
 }
 
-// Step is a set of equal tasks of a job.
+// Step is a set of identical tasks of a job.
 type Step struct {
 	Count     int
 	Need      sched.Room
-	Estimate  time.Duration // the caller's guess of a task's run time; 0 for none
-	After     []int         // earlier steps whose tasks must all be done first
-	Label     string        // that the worker must have; empty for none
-	Rack      string        // where the data lie; empty for nowhere
-	PerWorker int           // most tasks of the step at one worker; 0 for no limit
+	Estimate  time.Duration // the caller's estimate of a task's run time; 0 for none
+	After     []int         // indexes of earlier steps that must be complete first
+	Label     string        // label that the worker must have; empty for none
+	Rack      string        // preferred rack, near the task's data; empty for none
+	PerWorker int           // maximum number of the step's tasks at one worker; 0 for no limit
 }
 
-// Job is a submission.
+// Job is one submission of a job by a caller.
 type Job struct {
-	ID       string
-	Request  string // the caller's name for this submission, for logs; empty for none
-	HeldUp   bool   // a cut may have held it up, and its caller sent it to another entry
+	ID      string
+	Request string // the caller's request identity, for logs; empty for none
+	// HeldUp is set if a network partition may have delayed the job, so that its caller may have
+	// resubmitted it to another entry.
+	HeldUp   bool
 	Queue    *Queue
-	Text     string // what the tasks are, for the worker
+	Text     string // description of the tasks, passed to the workers
 	Steps    []Step
-	Deadline time.Duration // when its caller stops waiting
+	Deadline time.Duration // time at which the caller stops waiting
 }
 
-// Outcome is the one answer of a job, which is complete if Err is nil. An error
+// Outcome is the single answer to a job, which is complete if Err is nil. An error
 // with RanNo means that no task of the job was started.
 type Outcome struct {
 	ID    string
 	Job   *Job
 	Err   *errkind.Error
-	Story []Event // what was decided about the job, in order
+	Story []Event // decisions about the job, in order
 }
 
-// Event is one decision about a job, with what decided it.
+// Event is one decision about a job, with the data that it was based on.
 type Event struct {
 	At    time.Duration
 	What  What
-	Guard identity.Incarnation // that the event is about; empty for none
-	Tasks int                  // that the event is about
-	Kind  errkind.Kind         // of the end of a run
-	// Free is the processor that was believed free at the guard, or in the whole
-	// service, in thousandths of a core; Age is how old that belief was.
+	Guard identity.Incarnation // guard concerned; empty for none
+	Tasks int                  // number of tasks concerned
+	Kind  errkind.Kind         // error kind of the ended run
+	// Free is the estimate of the free CPU at the guard or, for an admission, in the
+	// whole service, in thousandths of a core. Age is the age of the guard's last report.
 	Free int64
 	Age  time.Duration
-	// Wait and Goal are what an admitted job was expected to wait, and the time
-	// from its arrival in which it should end.
+	// Wait is the expected wait of an admitted job; Goal is its target duration, counted
+	// from its arrival.
 	Wait, Goal time.Duration
 }
 
-// What names a kind of Event.
+// What is the type of an Event.
 type What uint8
 
-// Kinds of Event.
+// Event types.
 const (
 	EventAdmitted  What = iota
-	EventTasksSent      // tasks went to a guard
+	EventTasksSent      // tasks were sent to a guard
 	EventRunEnded       // a run ended without success
-	EventGuardLost      // runs are in doubt until they have ended for sure
-	EventWithdrawn      // what runs of the job is stopped
+	EventGuardLost      // the guard's link was lost; its runs may continue for Timing.Loss
+	EventWithdrawn      // the job's active runs are stopped
 )
 
-// String gives the word that logs have.
+// String returns the message that logs use for the event.
 func (w What) String() string {
 	return [...]string{"admitted", "tasks sent", "run ended", "guard lost", "withdrawn"}[w]
 }
 
-// maxEvents bounds the story of a job; the newest are left out.
+// maxEvents limits the events kept for a job; later ones are dropped.
 const maxEvents = 64
 
-// Action is one thing that the owner of a Machine must do. Exactly one of Frame,
-// Drop and Finish is set.
+// Action is one operation that the owner of a Machine must carry out. Exactly one of
+// Frame, Drop and Finish is set.
 type Action struct {
-	Guard  identity.Incarnation // receiver of Frame, or whose link to Drop
+	Guard  identity.Incarnation // receiver of Frame, or guard whose link to close
 	Frame  *wire.Frame
-	Drop   bool // end the link: the guard is silent
-	Finish *Outcome
+	Drop   bool     // close the link: the guard has stopped sending
+	Finish *Outcome // answer to pass to the job's callers
 }
 
-// Options of a Machine.
+// Options configures a Machine.
 type Options struct {
 	Domain string      // failure domain of the entry
-	Seed   uint64      // of every random choice
-	Timing runs.Timing // that for the default if left out
-	Off    policy.Set  // mechanisms that are switched off
+	Seed   uint64      // seed of all random choices
+	Timing runs.Timing // runs.Timing's default if zero
+	Off    policy.Set  // disabled mechanisms
 }
 
-// State is what is known of a job. The numbers are part of the inner protocol.
+// State is the state of a job. The numeric values are part of the inner protocol.
 type State uint8
 
-// States of a job. One that ended without a final result is Unknown again.
+// Job states. A job that ended without a final result is Unknown.
 const (
 	Unknown State = iota
 	Queued
@@ -133,39 +136,42 @@
 	Cancelled
 )
 
-// Figures of the machine.
+// Limits and delays of a Machine.
 const (
-	// runNumberIncrement is by how much a run's number grows when the worker has seen it
-	// or a later one. Another entry may be counting the same task.
+	// runNumberIncrement is added to a task's run number if the worker has already seen
+	// that number or a later one: another entry may be numbering runs of the same task.
 	runNumberIncrement = 16
-	// maxRefusals is how often a task is placed again after a run of it was lost
-	// or refused for another reason than room. It ends a loop that a faulty guard
-	// could keep up until the caller leaves.
+	// maxRefusals limits how often a task is placed again after a run was lost, or
+	// refused for a reason other than lack of room. Without it, a faulty guard could
+	// keep a task in a retry loop until the caller leaves.
 	maxRefusals = 32
-	// historySize is how many ended jobs are kept for callers who ask for their
-	// state or send them again: about a minute's worth at 70 jobs a second.
+	// historySize is the number of ended jobs kept for status requests and
+	// resubmissions: about one minute at 70 jobs a second. Crash counts are kept for
+	// as many tasks.
 	historySize = 4096
-	// neverFitsDelay is how long after the start workers are expected to appear. A
-	// need that no known worker meets is called hopeless only after it.
+	// neverFitsDelay is the time after the start within which workers are expected to
+	// register. Only after it is a job rejected as NeverFits because no known worker
+	// meets its requirements.
 	neverFitsDelay = 5 * time.Second
-	// startGracePeriod is how long after the start jobs wait for the first workers rather
-	// than being refused: guards link within a few hundred milliseconds, and a job
-	// of a second has that much time.
+	// startGracePeriod is the time after the start in which jobs wait for the first
+	// workers instead of being refused. Guards link within a few hundred milliseconds,
+	// and a job of one second can wait that long.
 	startGracePeriod = 2 * time.Second
-	// slowRunFactor is how many times longer than expected a slow run lasts. Run
-	// times of good workers spread by about 0.4 around their mean.
+	// slowRunFactor times the expected run time is the limit above which a run counts
+	// as slow. Run times of healthy workers deviate by about 0.4 from their mean.
 	slowRunFactor = 2.5
 )
 
-// A process that was frozen.
+// Timing after a process was suspended.
 const (
-	// WakePause is how long an entry that has woken waits before it begins a job:
-	// the request may have lain unread for seconds, and that its caller has left
-	// shows only once the connection is read to its end.
+	// WakePause is how long an entry that resumed from a suspension waits before it
+	// starts a job. The request may have been in the receive buffer for seconds, and
+	// the entry sees that its caller has left only after it has read the connection to
+	// its end.
 	WakePause = 50 * time.Millisecond
 )
 
-// When a caller is told to come back, before random spreading to twice the time.
+// Retry delays sent to refused callers; random jitter increases them to up to twice the value.
 const (
 	noWorkersRetryDelay  = time.Second
 	overloadedRetryDelay = 500 * time.Millisecond
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -7,37 +7,39 @@
 	"wigeontray/internal/wire"
 )
 
-// Bounds of the crashes of workers under a task. All that was at a worker is suspected of its
-// crash; suspects run apart from each other, so that the second crash tells the cause.
+// Limits on worker crashes during a task's runs. Every task that was at a worker when it crashed
+// is a suspect. Suspects are placed on different workers, so that a second crash identifies the
+// task that caused it.
 const (
-	// maxCrashes is under how many crashes a task may run before its job has failed.
+	// maxCrashes is the number of certain worker crashes during a task's runs at which its job
+	// fails.
 	maxCrashes = 2
-	// maxSuspectedCrashes is how many workers may crash where the task ran or may have run before it
-	// is not started any more.
+	// maxSuspectedCrashes is the number of worker crashes, certain or possible, at which a task
+	// is not started again.
 	maxSuspectedCrashes = 3
 )
 
-// crashCount counts the crashes of workers under one task.
+// crashCount counts the worker crashes during the runs of one task.
 type crashCount struct {
-	certain  int
-	possible int // it may have been there
+	certain  int // the task was at the worker
+	possible int // the task may have been at the worker
 }
 
 func (c crashCount) total() int { return c.certain + c.possible }
 
-// crashCounts counts the crashes of workers under tasks, for the newest tasks. The counts
-// outlast the jobs: a caller may send a job again, here or to another entry.
+// crashCounts holds the crash counts of the most recent tasks. The counts are kept after the job
+// has ended, because its caller may resubmit it to this or to another entry.
 type crashCounts struct {
 	counts map[wire.TaskName]crashCount
-	ring   []wire.TaskName
-	next   int
+	ring   []wire.TaskName // tasks in order of insertion; the oldest is evicted first
+	next   int             // next position in ring
 }
 
 func newCrashCounts(size int) *crashCounts {
 	return &crashCounts{counts: make(map[wire.TaskName]crashCount), ring: make([]wire.TaskName, size)}
 }
 
-// add adds to the count of a task.
+// add adds delta to a task's count and evicts the oldest task if this one is new.
 func (c *crashCounts) add(t wire.TaskName, delta crashCount) {
 	count, exists := c.counts[t]
 	if !exists {
@@ -54,7 +56,8 @@
 	return wire.TaskName{Job: k.Job, Step: k.Step, Index: k.Index}
 }
 
-// NoteCrash takes the tasks of other entries that were at a worker when it crashed.
+// NoteCrash counts a worker crash for the tasks of other entries that were at the worker: their
+// jobs may be submitted to this entry next.
 func (m *Machine) NoteCrash(c *wire.WorkerCrash) {
 	for _, t := range c.Tasks {
 		m.crashes.add(t, crashCount{certain: 1})
@@ -64,7 +67,7 @@
 	}
 }
 
-// recordCrash counts what an end says of a crash of its worker.
+// recordCrash counts the worker crash that a run's end reports, if any.
 func (m *Machine) recordCrash(k runs.Key, e *wire.RunEnd) {
 	switch {
 	case m.options.Off.Has(policy.CrashLimit):
@@ -75,7 +78,8 @@
 	}
 }
 
-// checkCrashLimits tells why no task of a job that comes again is started, or nil.
+// checkCrashLimits returns an error if a task of a submitted job must not be started because of
+// earlier worker crashes.
 func (m *Machine) checkCrashLimits(spec *Job) *errkind.Error {
 	if len(m.crashes.counts) == 0 {
 		return nil
@@ -91,7 +95,7 @@
 	return nil
 }
 
-// checkLimit tells why a task is not started any more, or nil.
+// checkLimit returns an error if the task must not be started again.
 func (c crashCount) checkLimit(t wire.TaskName) *errkind.Error {
 	switch {
 	case c.certain >= maxCrashes:
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -6,9 +6,9 @@
 	"wigeontray/internal/wire"
 )
 
-// SetDrains puts the failure domains that the operators drain in force. Workers there get no
-// more tasks and no longer count as room, so that admission knows at once what is left; what
-// runs there goes on.
+// SetDrains applies the operators' list of drained failure domains. Workers in them get no more
+// tasks and are not counted as room, so that admission uses the remaining capacity at once. Runs
+// that are active there continue.
 func (m *Machine) SetDrains(now time.Duration, d *wire.Drains) {
 	before := m.drains
 	m.drains = *d
@@ -22,14 +22,14 @@
 	m.dispatchWaiting(now)
 }
 
-// limitColdWorker lets a worker that says it is cold begin with one task at a time.
+// limitColdWorker limits a worker that reports itself cold to one task at first.
 func (m *Machine) limitColdWorker(g *guard) {
 	if g.worker.Cold && g.worker.Usable && !m.drains.Has(g.worker.Domain) {
 		m.workers[g.position].Limit = 1
 	}
 }
 
-// WorkersIn counts the workers that are known in a failure domain.
+// WorkersIn returns the number of known workers in a failure domain.
 func (m *Machine) WorkersIn(domain string) int {
 	n := 0
 	for _, g := range m.guards {
--- a/internal/batch/ends.go
+++ b/internal/batch/ends.go
@@ -11,9 +11,9 @@
 	"wigeontray/internal/wire"
 )
 
-// Ended takes a guard's word on runs.
-func (m *Machine) Ended(now time.Duration, guard identity.Incarnation, e *wire.RunsEnded) {
-	g := m.guardByID[guard]
+// Ended handles a guard's report on runs that have ended.
+func (m *Machine) Ended(now time.Duration, id identity.Incarnation, e *wire.RunsEnded) {
+	g := m.guardByID[id]
 	if g == nil {
 		return
 	}
@@ -25,6 +25,7 @@
 	m.declineOffer(now, g)
 }
 
+// handleRunEnd handles the end of one run. It ignores runs that are not active at this guard.
 func (m *Machine) handleRunEnd(now time.Duration, g *guard, e *wire.RunEnd) {
 	r := m.activeRuns[runs.Key{Job: e.Job, Step: e.Step, Index: e.Index, Run: e.Run}]
 	if r == nil || r.guard != g {
@@ -46,7 +47,7 @@
 	m.retryOrFail(now, r, e)
 }
 
-// releaseRun takes a flight off the books.
+// releaseRun removes a run that has ended and frees its place at the guard.
 func (m *Machine) releaseRun(r *activeRun) {
 	m.deleteRun(r)
 	r.step.at[r.guard]--
@@ -55,6 +56,7 @@
 	}
 }
 
+// deleteRun removes a run from the machine's and its job's records.
 func (m *Machine) deleteRun(r *activeRun) {
 	delete(m.activeRuns, r.key)
 	if r.isSuspect {
@@ -63,6 +65,7 @@
 	r.job.activeRuns = slices.DeleteFunc(r.job.activeRuns, func(other *activeRun) bool { return other == r })
 }
 
+// completeTask records a successful run and finishes its step and job if it was their last task.
 func (m *Machine) completeTask(now time.Duration, r *activeRun, e *wire.RunEnd) {
 	j, s := r.job, r.step
 	m.recordRunTime(j, s, milliseconds(e.RunMs))
@@ -76,7 +79,7 @@
 	}
 }
 
-// retryOrFail decides what becomes of a task whose run ended without success.
+// retryOrFail requeues a task whose run ended without success, or fails its job.
 func (m *Machine) retryOrFail(now time.Duration, r *activeRun, e *wire.RunEnd) {
 	j, t := r.job, &r.step.tasks[r.key.Index]
 	j.addEvent(Event{At: now, What: EventRunEnded, Guard: r.guard.id, Tasks: 1, Kind: e.Kind, Free: r.guard.free.CPU})
@@ -112,12 +115,12 @@
 		m.enqueue(j)
 		return
 	case e.Kind == errkind.Busy && t.crashes > 0:
-		m.avoid(r, t) // there may be room, and another suspect
+		m.avoid(r, t) // the worker may have room but run another suspect
 		j.requeueTask(r.step, r.key.Index)
 		m.enqueue(j)
 		return
 	case e.Kind == errkind.Busy:
-		// The guard has told what is free there; the task waits or goes elsewhere.
+		// The guard's load has updated its free room; the task waits or is placed elsewhere.
 		j.requeueTask(r.step, r.key.Index)
 		m.enqueue(j)
 		return
@@ -132,8 +135,8 @@
 	m.enqueue(j)
 }
 
-// avoid keeps a task from a site where it did not succeed, while another site
-// could take it.
+// avoid excludes the run's guard from the placement of its task, unless no other usable guard
+// could run the task; then it clears the list.
 func (m *Machine) avoid(r *activeRun, t *task) {
 	if !slices.Contains(t.avoid, r.guard) {
 		t.avoid = append(t.avoid, r.guard)
@@ -148,14 +151,14 @@
 	t.avoid = nil
 }
 
-// failJob answers a job and withdraws what runs of it.
+// failJob answers a job with an error and stops its active runs.
 func (m *Machine) failJob(now time.Duration, j *job, err *errkind.Error) {
 	if len(j.activeRuns) > 0 {
 		j.addEvent(Event{At: now, What: EventWithdrawn, Tasks: len(j.activeRuns)})
 	}
 	stopped := make(map[*guard]bool)
 	for _, r := range slices.Clone(j.activeRuns) {
-		j.mayHaveRun = true // as far as is known
+		j.mayHaveRun = true // the run has not ended, so a start cannot be ruled out
 		if r.endedBy > 0 {
 			m.deleteRun(r)
 		} else if !stopped[r.guard] {
@@ -166,8 +169,8 @@
 	m.finishJob(now, j, err)
 }
 
-// finishJob answers a job. What an error says of a start is what is known: "not run"
-// only if each run of the job was refused before it began.
+// finishJob answers a job. An error says that the job has not run only if each of its runs was
+// refused before it started.
 func (m *Machine) finishJob(_ time.Duration, j *job, err *errkind.Error) {
 	j.isAnswered = true
 	delete(m.jobs, j.spec.ID)
@@ -183,7 +186,7 @@
 	m.actions = append(m.actions, Action{Finish: &Outcome{ID: j.spec.ID, Job: j.spec, Err: err, Story: j.events}})
 }
 
-// expireJob answers a job whose caller has stopped waiting.
+// expireJob answers a job whose deadline has passed.
 func (m *Machine) expireJob(now time.Duration, j *job) {
 	m.failJob(now, j, errkind.New(errkind.TimedOut, "the deadline passed"))
 }
--- a/internal/batch/health.go
+++ b/internal/batch/health.go
@@ -9,7 +9,7 @@
 	"wigeontray/internal/wire"
 )
 
-// recordHealth learns from an end how the worker does.
+// recordHealth updates the health record of a run's worker from the end of the run.
 func (m *Machine) recordHealth(now time.Duration, r *activeRun, e *wire.RunEnd) {
 	g := r.guard
 	w := &m.workers[g.position]
@@ -30,7 +30,7 @@
 	}
 }
 
-// quarantine keeps a worker from new tasks for a while, unless too few would be left.
+// quarantine excludes a worker from placement for a while, unless too few workers would be left.
 func (m *Machine) quarantine(now time.Duration, g *guard) {
 	if g.isQuarantined || !m.canQuarantine() || m.options.Off.Has(policy.Quarantine) {
 		return
@@ -40,19 +40,19 @@
 	m.updateState(g)
 }
 
-// quarantineIfSlow bars a worker whose guard sees that its runs hardly advance.
+// quarantineIfSlow quarantines a worker that its guard reports as slow.
 func (m *Machine) quarantineIfSlow(now time.Duration, g *guard) {
 	if g.worker.Slow {
 		m.quarantine(now, g)
 	}
 }
 
-// probationTaskLimit is the number of this entry's tasks at which a worker that comes
-// back is trusted again.
+// probationTaskLimit is the number of this entry's tasks at which the limit on a worker after its
+// quarantine is lifted.
 const probationTaskLimit = 8
 
-// canQuarantine keeps at least half of the workers in use: a fault of all of them must
-// not empty the pool.
+// canQuarantine reports whether at least half of the workers stay usable with one more in
+// quarantine, so that a fault common to all workers does not empty the pool.
 func (m *Machine) canQuarantine() bool {
 	usable, quarantined := 0, 0
 	for i := range m.workers {
@@ -66,8 +66,8 @@
 	return usable-1 >= (usable+quarantined+1)/2
 }
 
-// endQuarantine ends a quarantine, with one task at first; one of a worker that is still slow
-// begins anew.
+// endQuarantine makes a worker usable again, limited to one task at first. A worker that its
+// guard still reports as slow is quarantined again.
 func (m *Machine) endQuarantine(now time.Duration, g *guard) {
 	g.isQuarantined = false
 	if !m.options.Off.Has(policy.Probation) {
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -8,47 +8,47 @@
 	"wigeontray/internal/wire"
 )
 
-// job is a job that has not been answered.
+// job is the state of a job that has not been answered.
 type job struct {
 	spec              *Job
-	packedText        *wire.PackedText // its text; nil if packing saves nothing
-	textSource        *guard           // whose guard has its text for others; nil for none
+	packedText        *wire.PackedText // compressed text; nil if compression saves nothing
+	textSource        *guard           // guard from which other guards fetch the text; nil for none
 	seq               uint64           // order of arrival
-	targetEnd         time.Duration    // by when it should end
-	sendDeadline      time.Duration    // when it is refused if nothing of it was sent
+	targetEnd         time.Duration    // time at which it should end
+	sendDeadline      time.Duration    // time at which it is refused if no task was sent
 	steps             []step
 	activeRuns        []*activeRun
 	events            []Event
-	unfinished        int  // tasks that are not done
-	waiting           int  // tasks that wait for room
+	unfinished        int  // tasks not completed
+	waiting           int  // tasks that wait for placement
 	hasSentTasks      bool // a task was sent to a guard
 	mayHaveRun        bool // a task was, or may have been, started
-	isAnswered        bool // it was answered
-	hasTriedPlacement bool // room was looked for, and some tasks found none
+	isAnswered        bool // its Finish action was issued
+	hasTriedPlacement bool // placement was attempted; tasks still waiting found no room
 }
 
-// step is the state of one step.
+// step is the state of one step of a job.
 type step struct {
 	spec       *Step
 	stepIndex  int
 	tasks      []task
-	unfinished int // tasks that are not done
-	waiting    []int
-	at         map[*guard]int // tasks at each site
+	unfinished int            // tasks not completed
+	waiting    []int          // indexes of tasks that wait for placement
+	at         map[*guard]int // number of active runs at each guard
 }
 
 // task is the state of one task.
 type task struct {
-	runNumber  int64 // number of its last start
-	failedRuns int   // runs that failed
-	refusals   int
-	crashes    int      // of workers where it ran or may have run
-	wasMoved   bool     // a run of it was given back as too slow, or stood still
-	avoid      []*guard // sites where it failed or was lost
+	runNumber  int64    // number of its latest run
+	failedRuns int      // failed runs, limited by Queue.MaxAttempts
+	refusals   int      // lost or refused runs, limited by maxRefusals
+	crashes    int      // crashes of workers where it ran or may have run
+	wasMoved   bool     // a run was returned because it was too slow or made no progress
+	avoid      []*guard // guards where a run failed, was refused or was lost
 }
 
-// newJob takes a job whose longest chain of steps is expected to take chain. runNumber is
-// the greatest number of an earlier run of its tasks.
+// newJob returns the state of a new job. criticalPath is the expected length of its longest chain
+// of steps; lastRun is the highest run number that its tasks had in an earlier submission.
 func (m *Machine) newJob(spec *Job, now, criticalPath time.Duration, lastRun int64) *job {
 	m.seq++
 	j := &job{spec: spec, packedText: wire.PackText(spec.Text), seq: m.seq, steps: make([]step, len(spec.Steps))}
@@ -72,7 +72,7 @@
 	return j
 }
 
-// runNumber is the greatest number of a run of the job's tasks.
+// maxRun returns the highest run number of the job's tasks.
 func (j *job) maxRun() int64 {
 	highest := int64(0)
 	for i := range j.steps {
@@ -83,13 +83,14 @@
 	return highest
 }
 
+// addEvent records an event, unless the job has maxEvents.
 func (j *job) addEvent(e Event) {
 	if len(j.events) < maxEvents {
 		j.events = append(j.events, e)
 	}
 }
 
-// releaseStep lets the tasks of a step wait for room if all steps before are done.
+// releaseStep marks the tasks of a step as waiting if all steps it depends on are complete.
 func (j *job) releaseStep(s *step) {
 	for _, dependency := range s.spec.After {
 		if j.steps[dependency].unfinished > 0 {
@@ -103,7 +104,7 @@
 	j.waiting += s.spec.Count
 }
 
-// releaseDependents releases the steps that waited for a step.
+// releaseDependents releases the steps that depend on the finished step.
 func (j *job) releaseDependents(finished int) {
 	for i := range j.steps {
 		s := &j.steps[i]
@@ -113,13 +114,13 @@
 	}
 }
 
-// requeueTask lets a task wait for room once more.
+// requeueTask marks a task as waiting again.
 func (j *job) requeueTask(s *step, index int) {
 	s.waiting = append(s.waiting, index)
 	j.waiting++
 }
 
-// precedes orders jobs that wait: by priority, then by arrival.
+// precedes reports whether j goes before other in the queue: by priority, then by arrival.
 func (j *job) precedes(other *job) bool {
 	if j.spec.Queue.Priority != other.spec.Queue.Priority {
 		return j.spec.Queue.Priority < other.spec.Queue.Priority
@@ -127,6 +128,7 @@
 	return j.seq < other.seq
 }
 
+// compareJobs is the comparison function of the queue's order.
 func compareJobs(a, b *job) int {
 	switch {
 	case a == b:
@@ -137,7 +139,7 @@
 	return 1
 }
 
-// newRefusal makes the error of a job of which no task was started.
+// newRefusal returns the error of a job of which no task was started.
 func newRefusal(kind errkind.Kind, retryAfter time.Duration, format string, args ...any) *errkind.Error {
 	return errkind.New(kind, format, args...).WithRan(errkind.RanNo).WithAfter(retryAfter)
 }
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -14,56 +14,58 @@
 	"wigeontray/internal/wire"
 )
 
-// activeRun is one run that was sent to a guard and has not ended.
+// activeRun is a run that was sent to a guard and has not ended.
 type activeRun struct {
-	key     runs.Key
-	job     *job
-	step    *step
-	guard   *guard
-	endedBy time.Duration // when it has ended for sure, if its guard was lost; else 0
-	// suspect tells that the task has run under a worker's crash.
+	key   runs.Key
+	job   *job
+	step  *step
+	guard *guard
+	// endedBy is the time after which the run has certainly ended if its guard was lost, else 0.
+	endedBy time.Duration
+	// isSuspect is set if a worker crashed while an earlier run of the task was, or may have
+	// been, there.
 	isSuspect bool
 }
 
-// activeRunsInOrder gives the flights in a fixed order, so that the same events lead
-// to the same actions each time.
+// activeRunsInOrder returns the active runs in a fixed order, so that the same events always lead
+// to the same actions.
 func (m *Machine) activeRunsInOrder() []*activeRun {
 	return slices.SortedFunc(maps.Values(m.activeRuns), func(a, b *activeRun) int {
 		return cmp.Or(cmp.Compare(a.job.seq, b.job.seq), a.key.Step-b.key.Step, a.key.Index-b.key.Index)
 	})
 }
 
-// Machine is the state of one entry's jobs.
+// Machine is the scheduling state of one entry. It is not safe for concurrent use.
 type Machine struct {
 	options    Options
 	rng        *rand.Rand
 	startedAt  time.Duration
-	entryCount int // that share the workers
+	entryCount int // entries that share the workers
 
-	guards    []*guard // same places as view
-	workers   []sched.Site
+	guards    []*guard     // by position, nil where free; parallel to workers
+	workers   []sched.Site // placement data of the guards' workers
 	guardByID map[identity.Incarnation]*guard
 
-	jobs             map[string]*job
-	queue            []*job // with tasks that wait, in order
+	jobs             map[string]*job // unanswered jobs, by ID
+	queue            []*job          // jobs with waiting tasks, ordered by compareJobs
 	activeRuns       map[runs.Key]*activeRun
 	runTimeRatios    map[string]*sched.Ratio // by queue
 	endedJobs        *endedJobs
 	crashes          *crashCounts
 	seq              uint64
 	recentPriorities map[string]recentPriority // by service
-	hasLostRuns      bool                      // a guard with flights was lost
-	advertised       wire.RunDemand            // the demand that guards have heard of
-	advertisedAt     time.Duration             // and when
-	// advertisedCount is to how many guards at most.
+	hasLostRuns      bool                      // activeRuns may contain runs of lost guards
+	advertised       wire.RunDemand            // last advertised demand
+	advertisedAt     time.Duration             // time of the last advertisement
+	// advertisedCount is the maximum number of guards addressed by the last advertisement.
 	advertisedCount int
 	uplink          uplink
-	drains          wire.Drains // failure domains in which nothing is started
+	drains          wire.Drains // failure domains in which no task is started
 
 	actions []Action
 }
 
-// New returns the machine of an entry that starts now.
+// New returns the machine of an entry that starts at now.
 func New(now time.Duration, options Options) *Machine {
 	options.Timing = options.Timing.OrDefault()
 	return &Machine{
@@ -81,7 +83,7 @@
 	}
 }
 
-// Actions returns the actions since the last call, for the caller to keep.
+// Actions returns the actions since the last call, which the caller may keep.
 func (m *Machine) Actions(now time.Duration) []Action {
 	m.advertise(now)
 	pending := m.actions
@@ -89,14 +91,15 @@
 	return pending
 }
 
-// Beside notes a frame that is sent to a guard beside those of the machine.
+// Beside accounts for a frame that the owner sends to a guard in addition to the machine's
+// actions.
 func (m *Machine) Beside(now time.Duration, f *wire.Frame) { m.uplink.recordSend(now, f) }
 
-// SetEntries tells how many entries share the workers.
+// SetEntries sets the number of entries that share the workers.
 func (m *Machine) SetEntries(n int) { m.entryCount = max(1, n) }
 
-// Jobs tells how many jobs are not answered, and how many of a queue no task has
-// been sent of.
+// Jobs returns the number of unanswered jobs, and the number of those in the given queue of which
+// no task has been sent.
 func (m *Machine) Jobs(queue string) (open, pending int) {
 	for _, j := range m.jobs {
 		if j.spec.Queue.Name == queue && !j.hasSentTasks {
@@ -108,20 +111,19 @@
 
 // Snapshot is what decides about new jobs, for logs.
 type Snapshot struct {
-	Waiting   int           // jobs with tasks that wait for room
+	Waiting   int           // jobs with waiting tasks
 	Running   int           // runs that were sent and have not ended
-	Workers   int           // that may be given tasks
-	Free      int64         // processor that is believed free there, thousandths of a core
-	Entries   int           // that share the workers
-	LinkRate  int64         // as Machine.LinkRate
-	LinkAhead time.Duration // that what was sent takes to pass the link
+	Workers   int           // usable workers
+	Free      int64         // estimate of the free CPU of usable workers, in thousandths of a core
+	Entries   int           // entries that share the workers
+	LinkRate  int64         // see Machine.LinkRate
+	LinkAhead time.Duration // time that the sent frames still need to pass the link
 }
 
-// LinkRate is the bandwidth towards the guards, in bytes a second; 0 while it has not
-// been found to be thin.
+// LinkRate returns the estimated bandwidth to the guards, in bytes a second; 0 if the link has
+// not been found to be thin.
 func (m *Machine) LinkRate() int64 { return int64(m.uplink.rate) }
 
-// Snapshot reads the machine.
 func (m *Machine) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
 		Waiting: len(m.queue), Running: len(m.activeRuns), Workers: m.Workers(), Entries: m.entryCount,
@@ -135,7 +137,7 @@
 	return s
 }
 
-// Workers tells how many workers may be given tasks.
+// Workers returns the number of usable workers.
 func (m *Machine) Workers() int {
 	n := 0
 	for i := range m.workers {
@@ -146,7 +148,7 @@
 	return n
 }
 
-// State tells what is known of a job.
+// State returns the state of a job, also of recently ended ones.
 func (m *Machine) State(id string) State {
 	j := m.jobs[id]
 	switch {
@@ -158,9 +160,9 @@
 	return Queued
 }
 
-// Submit admits a job or refuses it for good. The outcome of an admitted job
-// comes as a Finish action. A job that has been admitted and is not answered must
-// not be submitted again.
+// Submit admits a job or refuses it with a final error. The outcome of an admitted job is
+// returned as a Finish action. A job that has been admitted and not answered must not be
+// submitted again.
 func (m *Machine) Submit(now time.Duration, spec *Job) *errkind.Error {
 	m.recordPriority(now, spec.Queue)
 	criticalPath := m.criticalPath(spec)
@@ -180,7 +182,7 @@
 	return nil
 }
 
-// Cancel withdraws a job and tells whether it was there.
+// Cancel withdraws a job and reports whether it was found.
 func (m *Machine) Cancel(now time.Duration, id string) bool {
 	j := m.jobs[id]
 	if j == nil {
@@ -191,6 +193,7 @@
 	return true
 }
 
+// enqueue adds a job with waiting tasks to the queue, unless it is there already.
 func (m *Machine) enqueue(j *job) {
 	if j.waiting == 0 {
 		return
--- a/internal/batch/past.go
+++ b/internal/batch/past.go
@@ -4,17 +4,17 @@
 	"wigeontray/internal/errkind"
 )
 
-// endedJobs remembers how the newest jobs ended, in a ring.
+// endedJobs holds the outcomes of the most recently ended jobs, in a ring buffer.
 type endedJobs struct {
-	jobs map[string]endedJob
-	ring []string
-	next int
+	jobs map[string]endedJob // by job ID
+	ring []string            // job IDs in order of insertion; empty for a free slot
+	next int                 // next slot of ring
 }
 
 type endedJob struct {
 	state     State
-	runNumber int64 // greatest number of a run of its tasks
-	slot      int   // in the ring
+	runNumber int64 // highest run number of its tasks
+	slot      int   // position in the ring
 }
 
 func newEndedJobs(size int) *endedJobs {
@@ -33,14 +33,14 @@
 
 func (e *endedJobs) state(id string) State { return e.jobs[id].state }
 
-// runNumber is the greatest number that a run of a job had here. When the job comes
-// again, its runs get greater ones: with the same numbers, a guard's late word on a
-// run of the first time would be taken for one on the second, and the task be
-// started at another worker while it runs.
+// maxRun returns the highest run number of an ended job's tasks. If the job is resubmitted, its
+// runs get higher numbers. With equal numbers, a guard's delayed report on a run of the first
+// submission would be taken for one on the second, and the task would be started at another
+// worker while it is still running.
 func (e *endedJobs) maxRun(id string) int64 { return e.jobs[id].runNumber }
 
-// stateOf tells how a job that ended with err is shown. A job without a final
-// end counts as unknown: its caller may send it again.
+// stateOf returns the state reported for a job that ended with err. A job without a final outcome
+// is Unknown: its caller may resubmit it.
 func stateOf(err *errkind.Error) State {
 	switch {
 	case err == nil:
@@ -53,8 +53,8 @@
 	return Unknown
 }
 
-// HasFailed tells whether an error means that the job has ended as failed: it
-// would fail again.
+// HasFailed reports whether an error means that the job has failed for good: it would fail again
+// if it were resubmitted.
 func HasFailed(err *errkind.Error) bool {
 	return err.Kind == errkind.UpstreamFailed || err.Kind == errkind.NeverFits
 }
--- a/internal/batch/place.go
+++ b/internal/batch/place.go
@@ -11,7 +11,7 @@
 	"wigeontray/internal/wire"
 )
 
-// dispatchWaiting sends waiting tasks, in order, wherever there is room.
+// dispatchWaiting sends the waiting tasks that fit, in queue order, as far as the uplink permits.
 func (m *Machine) dispatchWaiting(now time.Duration) {
 	m.uplink.isHolding = false
 	if len(m.queue) == 0 {
@@ -35,17 +35,17 @@
 	}
 }
 
-// recentPriorityAge is how long the most urgent priority that was asked for is remembered.
-// It outlasts the pauses of a kind of request that comes once in some seconds.
+// recentPriorityAge is how long the most urgent priority of a service's jobs is remembered. It is
+// longer than the gaps between requests of a type that arrives once every few seconds.
 const recentPriorityAge = 10 * time.Second
 
-// recentPriority is the most urgent priority of which a job came lately.
+// recentPriority is the most urgent priority among a service's recent jobs.
 type recentPriority struct {
 	priority int
-	seenAt   time.Duration // when the last one came
+	seenAt   time.Duration // arrival of the latest job with this priority
 }
 
-// recordPriority learns from a job how urgent those of its service are.
+// recordPriority updates the most urgent recent priority of a job's service.
 func (m *Machine) recordPriority(now time.Duration, q *Queue) {
 	recent, exists := m.recentPriorities[q.Service]
 	if !exists || q.Priority <= recent.priority || now-recent.seenAt > recentPriorityAge {
@@ -53,17 +53,18 @@
 	}
 }
 
-// maxWholeStartShare is the part of a service's room up to which a job waits to begin as a
-// whole. A larger one might never find all at once.
+// maxWholeStartShare is the share of a service's capacity up to which a job waits for room for
+// all its tasks. A larger job might never find that much room at once.
 const maxWholeStartShare = 0.25
 
-// canStart tells whether the tasks of a job that wait may be sent. A job that more
-// urgent ones may overtake begins only if there is room for all of them. Begun in part,
-// it holds that room while the rest of it waits behind all that is more urgent, and ends
-// too late. What waits as a whole can still be refused as not run.
+// canStart reports whether a job's waiting tasks may be sent. A job that more urgent jobs may
+// overtake starts only if there is room for all of its waiting tasks. If it started in part, it
+// would occupy that room while its other tasks wait behind all more urgent ones, and would end
+// too late. A job that has not started can still be refused as not run.
 //
-// free is the most free processor of any site. Most jobs of a long queue have no task that
-// is that small, and need no look at the sites: there is one at each event of a full fleet.
+// maxFree is the largest free CPU of any worker. Most jobs in a long queue have no task that
+// small, so they are rejected without a scan of the workers; in a fully loaded fleet, that scan
+// would take place at each event.
 func (m *Machine) canStart(j *job, maxFree int64) bool {
 	q := j.spec.Queue
 	if j.hasSentTasks || q.Priority <= m.recentPriorities[q.Service].priority || m.options.Off.Has(policy.WholeStarts) {
@@ -78,8 +79,8 @@
 	return true
 }
 
-// canPlaceAll tells whether all tasks of a step that wait find room at once, or as many as
-// maxWholeStartShare stands for.
+// canPlaceAll reports whether there is room now for all waiting tasks of a step, or for as many
+// as maxWholeStartShare of the service's capacity holds.
 func (m *Machine) canPlaceAll(q *Queue, s *step) bool {
 	required := len(s.waiting)
 	if s.spec.Need.CPU > 0 {
@@ -90,13 +91,13 @@
 	return sched.Places(m.workers, &req, cmp.Or(s.spec.PerWorker, required), required) >= required
 }
 
-// taskRequirements is what each task of a step must find at its site.
+// taskRequirements returns the placement requirements of a step's tasks.
 func taskRequirements(q *Queue, s *Step) sched.Ask {
 	return sched.Ask{Service: q.Service, Need: s.Need, Label: s.Label}
 }
 
-// maxFreeCPU is the most free processor of any site, in thousandths of a core: no
-// task that needs more can be placed.
+// maxFreeCPU returns the largest free CPU of any usable worker, in thousandths of a core. No task
+// that needs more can be placed.
 func (m *Machine) maxFreeCPU() int64 {
 	maxFree := int64(0)
 	for i := range m.workers {
@@ -107,8 +108,8 @@
 	return maxFree
 }
 
-// placeJob sends what has room of one job, one frame a site, and tells whether
-// anything was sent.
+// placeJob sends those of a job's waiting tasks that fit, in one frame for each guard, and
+// reports whether it sent any.
 func (m *Machine) placeJob(now time.Duration, j *job, maxFree int64) bool {
 	var batches []*guardBatch
 	for i := range j.steps {
@@ -123,12 +124,13 @@
 	return len(batches) > 0
 }
 
-// guardBatch is what goes to one site in one frame.
+// guardBatch holds the tasks of one job that are sent to one guard in one frame.
 type guardBatch struct {
 	guard *guard
 	tasks []wire.RunTask
 }
 
+// placeStep assigns a step's waiting tasks to guards and adds them to the batches.
 func (m *Machine) placeStep(now time.Duration, j *job, s *step, batches []*guardBatch) []*guardBatch {
 	unplaced := s.waiting[:0]
 	for _, index := range s.waiting {
@@ -144,6 +146,7 @@
 	return batches
 }
 
+// batchFor returns the batch of a guard, and adds an empty one if there is none.
 func batchFor(batches *[]*guardBatch, at *guard) *guardBatch {
 	for _, b := range *batches {
 		if b.guard == at {
@@ -155,8 +158,8 @@
 	return b
 }
 
-// chooseGuard gives the site for a task, or nil. A site that gets other tasks of the job goes
-// first: it is sent the job's text anyway.
+// chooseGuard returns a guard with room for the task, or nil. On a thin link it prefers guards
+// that already get tasks of the job, as the job's text is sent to them anyway.
 func (m *Machine) chooseGuard(j *job, s *step, index int, batches []*guardBatch) *guard {
 	t := &s.tasks[index]
 	req := taskRequirements(j.spec.Queue, s.spec)
@@ -186,7 +189,8 @@
 	return m.guards[i]
 }
 
-// startRun books a task on a site.
+// startRun records a new run of a task at a guard and returns the task's description for the
+// guard.
 func (m *Machine) startRun(now time.Duration, j *job, s *step, index int, at *guard) wire.RunTask {
 	t := &s.tasks[index]
 	t.runNumber++
@@ -211,6 +215,7 @@
 	}
 }
 
+// sendBatch sends a batch to its guard, together with the current demand.
 func (m *Machine) sendBatch(now time.Duration, j *job, b *guardBatch) {
 	g := b.guard
 	g.seq++
@@ -231,9 +236,9 @@
 	g.pendingTasks = append(g.pendingTasks, pendingTasks{seq: g.seq, room: needed, sent: sent})
 }
 
-// addText adds the text of a job to a frame for a site. While the link is short and another
-// guard has the text, it is fetched from there: that costs a round trip between guards, and
-// saves the most of what this entry sends.
+// addText adds the job's text to a RunTasks frame. If the text would take long on a thin link and
+// another guard has it, the frame names that guard as the source instead. The fetch costs a round
+// trip between guards, but saves most of the bytes that this entry sends.
 func (m *Machine) addText(j *job, g *guard, runTasks *wire.RunTasks) {
 	size := len(j.spec.Text)
 	if j.packedText != nil {
@@ -254,10 +259,12 @@
 	}
 }
 
-// minFetchTransferTime is how long a text has to take on the link for a round trip between guards to
-// be worth it: those of a job are sent one after the other, and fetched at the same time.
+// minFetchTransferTime is the transfer time of a text on the link from which a fetch between
+// guards is worth its round trip. The copies of a job's text are sent one after the other,
+// whereas guards fetch it at the same time.
 const minFetchTransferTime = 2 * time.Millisecond
 
+// sendFrame issues a frame to a guard and records it on the uplink.
 func (m *Machine) sendFrame(now time.Duration, g *guard, f *wire.Frame) sendRecord {
 	g.lastSentAt = now
 	m.actions = append(m.actions, Action{Guard: g.id, Frame: f})
--- a/internal/batch/site.go
+++ b/internal/batch/site.go
@@ -10,43 +10,44 @@
 	"wigeontray/internal/wire"
 )
 
-// guard is one guard with its worker, from its link's start to its end.
+// guard is the state of one guard and its worker while their link exists.
 type guard struct {
 	id               identity.Incarnation
-	position         int
+	position         int // index into Machine.guards and Machine.workers
 	worker           wire.RunWorker
-	maxCapacity      sched.Room     // the largest capacity that the worker has told in this life
-	seq              uint64         // of the last RunTasks
-	pendingTasks     []pendingTasks // RunTasks that its load does not count in yet
-	free             sched.Room     // by its last load
-	clockOffset      time.Duration  // its clock less this entry's, at least
-	readsPackedTexts bool           // it reads packed texts
-	textsAddress     string         // where other guards fetch texts from it; empty for nowhere
-	minTaskAge       time.Duration  // how old this entry's tasks are when they come, at least
-	lastHeardAt      time.Duration
-	lastSentAt       time.Duration  // when it was last sent a frame
-	busySince        time.Duration  // when the first of the runs that it has was sent
-	demand           wire.RunDemand // what the guard was last told of tasks that wait
-	// suspects is how many of this entry's tasks there have run under a worker's crash.
+	maxCapacity      sched.Room     // largest capacity reported by this incarnation of the worker
+	seq              uint64         // sequence number of the last RunTasks
+	pendingTasks     []pendingTasks // RunTasks that the guard's latest load does not include
+	free             sched.Room     // free room in the guard's latest load
+	clockOffset      time.Duration  // lower bound of the guard's clock minus this entry's clock
+	readsPackedTexts bool           // its protocol version supports compressed texts
+	textsAddress     string         // address from which other guards fetch texts; empty for none
+	minTaskAge       time.Duration  // smallest age of this entry's tasks on arrival, an estimate of the idle latency
+	lastHeardAt      time.Duration  // time of its latest load
+	lastSentAt       time.Duration  // time of the last frame sent to it
+	busySince        time.Duration  // time at which the first of its current runs was sent
+	demand           wire.RunDemand // last demand sent to it
+	// suspectRuns is the number of this entry's runs there with isSuspect set.
 	suspectRuns      int
 	health           sched.Health
 	isQuarantined    bool
 	quarantinedUntil time.Duration // end of its quarantine
 }
 
+// pendingTasks is a sent RunTasks frame that the guard's load does not include yet.
 type pendingTasks struct {
 	seq  uint64
-	room sched.Room
+	room sched.Room // total need of its tasks
 	sent sendRecord
 }
 
-// estimatedClockMs is the guard's clock as far as it is known here: never ahead of it, so
-// that a frame that is held up looks its age.
+// estimatedClockMs returns the estimated time on the guard's clock. It is never ahead of that
+// clock, so that the age of a delayed frame is not underestimated.
 func (g *guard) estimatedClockMs(now time.Duration) int64 {
 	return (now + g.clockOffset).Milliseconds()
 }
 
-// GuardUp adds a guard, with its worker, whose link is ready.
+// GuardUp adds a guard and its worker once the link is established.
 func (m *Machine) GuardUp(now time.Duration, hello *wire.RunHello) {
 	if m.guardByID[hello.Incarnation] != nil {
 		m.GuardDown(now, hello.Incarnation)
@@ -66,9 +67,9 @@
 	m.dispatchWaiting(now)
 }
 
-// GuardDown notes the loss of a guard's link. What runs there may go on for
-// Timing.Loss; only then is it started elsewhere. A job that has no time for
-// that is answered at once.
+// GuardDown handles the loss of a guard's link. Its runs may continue for Timing.Loss, and are
+// started elsewhere only after that. A job whose deadline does not allow for this delay is
+// answered at once.
 func (m *Machine) GuardDown(now time.Duration, id identity.Incarnation) {
 	g := m.guardByID[id]
 	if g == nil {
@@ -97,7 +98,8 @@
 	m.dispatchWaiting(now)
 }
 
-// Beat takes a guard's word that it lives, and its state.
+// Beat handles a guard's heartbeat, which contains its load and, after a change, the state of its
+// worker.
 func (m *Machine) Beat(now time.Duration, id identity.Incarnation, beat *wire.GuardBeat) {
 	g := m.guardByID[id]
 	if g == nil {
@@ -112,6 +114,8 @@
 	m.declineOffer(now, g)
 }
 
+// setWorker applies a worker's description. The health record is reset if the worker is a new
+// incarnation.
 func (m *Machine) setWorker(g *guard, w *wire.RunWorker) {
 	previous := g.worker
 	if w.ID != previous.ID {
@@ -129,6 +133,8 @@
 	m.updateState(g)
 }
 
+// updateState derives the worker's placement state from its description, the drains and its
+// quarantine.
 func (m *Machine) updateState(g *guard) {
 	w := &m.workers[g.position]
 	switch {
@@ -143,7 +149,8 @@
 	}
 }
 
-// updateLoad notes what is free at a guard, less what is on its way there.
+// updateLoad records the free room that a guard reports, less the room for tasks that are still
+// on their way to it.
 func (m *Machine) updateLoad(now time.Duration, g *guard, load *wire.RunLoad) {
 	g.lastHeardAt = now
 	g.clockOffset = max(g.clockOffset, milliseconds(load.ClockMs)-now)
@@ -157,11 +164,11 @@
 	m.workers[g.position].Free = free
 }
 
-// maxExtraLatency is by how much longer than to the nearest guard tasks may be on their way to
-// another, over idle links: it may be in another region.
+// maxExtraLatency is by how much the latency of an idle link to a guard, which may be in another
+// region, can exceed the latency to the nearest guard.
 const maxExtraLatency = 30 * time.Millisecond
 
-// nearestTaskAge is how old tasks are when they come at the nearest guard.
+// nearestTaskAge returns the smallest minTaskAge of any guard, at most maxExtraLatency.
 func (m *Machine) nearestTaskAge() time.Duration {
 	minAge := maxExtraLatency
 	for _, g := range m.guards {
@@ -172,7 +179,7 @@
 	return minAge
 }
 
-// recordTaskAge notes how old the newest tasks that a guard has seen were when they came.
+// recordTaskAge records the age on arrival of the latest tasks that a guard has received.
 func (m *Machine) recordTaskAge(now time.Duration, g *guard, load *wire.RunLoad) {
 	for _, p := range g.pendingTasks {
 		if p.seq == load.Seen {
--- a/internal/batch/table.go
+++ b/internal/batch/table.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Route leads requests to a queue.
+// Route maps requests with a host and path prefix to a queue.
 type Route struct {
 	Host   string
-	Prefix string // of the path
+	Prefix string // path prefix
 	Queue  *Queue
-	// Reason tells why the queue's jobs cannot be served; empty if they can.
+	// Reason says why the queue's jobs cannot be served; empty if they can.
 	Reason string
 }
 
-// Table finds the queue of a request. It is not changed once made.
+// Table finds the queue of a request. It is immutable.
 type Table struct {
-	byHost  map[string][]Route // longest prefix first
-	MaxBody int64              // bytes in a submission
+	byHost  map[string][]Route // sorted by descending prefix length
+	MaxBody int64              // maximum size of a submission, in bytes
 }
 
-// NewTable returns the table of some routes.
+// NewTable returns a table of the given routes.
 func NewTable(routes []Route, maxBody int64) *Table {
 	t := &Table{byHost: make(map[string][]Route), MaxBody: maxBody}
 	for _, r := range routes {
@@ -32,8 +32,8 @@
 	return t
 }
 
-// Find gives the route with the longest prefix of path, and what follows the
-// prefix; nil if there is none.
+// Find returns the route with the longest matching prefix of path, and the rest of
+// the path; a nil route if none matches.
 func (t *Table) Find(host, path string) (r *Route, rest string) {
 	hostRoutes := t.byHost[host]
 	for i := range hostRoutes {
--- a/internal/batch/tick.go
+++ b/internal/batch/tick.go
@@ -9,8 +9,9 @@
 	"wigeontray/internal/errkind"
 )
 
-// Tick does what is due: deadlines, jobs that wait in vain, tasks of lost guards,
-// beats, guards that are silent, and the ends of quarantines.
+// Tick carries out what is due: it expires jobs whose deadline or maximum wait has passed,
+// requeues tasks of lost guards, sends heartbeats, drops guards that have stopped sending, and
+// ends quarantines.
 func (m *Machine) Tick(now time.Duration) {
 	m.tickJobs(now)
 	m.tickLostRuns(now)
@@ -18,18 +19,20 @@
 	m.dispatchWaiting(now)
 }
 
-// Woke answers every job after the entry was frozen. Meanwhile callers have left
-// and sent their jobs to other entries; they are not known to have left until
-// their connections are read. Worked on, such a job would run twice at once.
+// Woke answers every job after the entry was suspended. Meanwhile, callers may have left and
+// resubmitted their jobs to other entries, which this entry detects only once it has read their
+// connections. If it continued such a job, the job would run twice at the same time.
 func (m *Machine) Woke(now time.Duration) { m.AnswerAll(now, "this entry was frozen") }
 
-// AnswerAll answers every job: its outcome is unknown, unless nothing of it ran.
+// AnswerAll answers every job with WorkerLost. The outcome of a job is unknown unless none of its
+// tasks has run.
 func (m *Machine) AnswerAll(now time.Duration, reason string) {
 	for _, j := range m.jobsInOrder() {
 		m.failJob(now, j, errkind.New(errkind.WorkerLost, "%s", reason))
 	}
 }
 
+// jobsInOrder returns the unanswered jobs in order of arrival.
 func (m *Machine) jobsInOrder() []*job {
 	return slices.SortedFunc(maps.Values(m.jobs), func(a, b *job) int { return cmp.Compare(a.seq, b.seq) })
 }
@@ -45,8 +48,9 @@
 	}
 }
 
-// answerDeadline is when a job is answered at the latest: at its deadline, or once nothing of it
-// was sent in time. Held on, it would take the room of jobs that still can end in time.
+// answerDeadline returns the time at which a job is answered at the latest: its deadline or,
+// while none of its tasks was sent, its send deadline. If it were kept longer, it would take room
+// from jobs that can still complete in time.
 func (j *job) answerDeadline() time.Duration {
 	if j.hasSentTasks {
 		return j.spec.Deadline
@@ -54,7 +58,7 @@
 	return min(j.spec.Deadline, j.sendDeadline)
 }
 
-// tickLostRuns starts tasks of lost guards elsewhere once they have ended there.
+// tickLostRuns requeues tasks of lost guards whose runs have certainly ended.
 func (m *Machine) tickLostRuns(now time.Duration) {
 	if !m.hasLostRuns {
 		return
@@ -93,8 +97,8 @@
 	}
 }
 
-// busyGuards gives the sites that owe an end. Only these are expected to speak: a
-// guard that has nothing to do is rightly silent.
+// busyGuards returns the guards with active runs. Only these are expected to send heartbeats: a
+// guard without runs is silent.
 func (m *Machine) busyGuards() map[*guard]bool {
 	busy := make(map[*guard]bool)
 	for _, r := range m.activeRuns {
@@ -105,7 +109,7 @@
 	return busy
 }
 
-// NextTick tells when Tick is next due; 0 for never.
+// NextTick returns the time at which Tick is next due; 0 for never.
 func (m *Machine) NextTick() time.Duration {
 	var next time.Duration
 	consider := func(t time.Duration) {
--- a/internal/batch/uplink.go
+++ b/internal/batch/uplink.go
@@ -8,77 +8,80 @@
 	"wigeontray/internal/wire"
 )
 
-// Figures of an uplink.
+// Parameters of the bandwidth estimate.
 const (
-	// minQueueDelay is by how much older than usual a frame has to come to show that it
-	// stood in a queue.
+	// minQueueDelay is the delay beyond the idle latency from which a frame counts as queued on
+	// the link.
 	minQueueDelay = 10 * time.Millisecond
-	// minArrivals and minRateSpan are how many frames in a row, and over how long, it takes
+	// minArrivals and minRateSpan are the number of consecutive frames and the time span required
 	// to measure a rate.
 	minArrivals = 6
 	minRateSpan = 40 * time.Millisecond
-	// maxRateRatio is by how much the usual rate from one frame to the next may exceed that
-	// over the whole time: a link is even, a pause is not.
+	// maxRateRatio is the limit of the median rate between frames divided by the overall rate. A
+	// limited link delivers frames evenly; a pause does not, and exceeds the ratio.
 	maxRateRatio = 2
-	// usedRateShare is the part of a measured rate that is used, so that the queue shrinks.
+	// usedRateShare is the share of a measured rate that is used, so that the queue on the link
+	// shrinks.
 	usedRateShare = 0.9
-	// rateGrowthInterval and rateGrowthFactor are how fast the rate is raised while frames come in time.
-	// maxGrowthSteps are made up for at once, where frames are few.
+	// The rate is raised by rateGrowthFactor every rateGrowthInterval while frames arrive in
+	// time. Where frames are rare, up to maxGrowthSteps such steps are made at once.
 	rateGrowthInterval = 50 * time.Millisecond
 	rateGrowthFactor   = 1.1
 	maxGrowthSteps     = 8
-	// maxBacklog is how much is put on the link ahead: enough that it does not stand
-	// idle until the next event, and little, as what is more urgent comes behind it.
+	// maxBacklog is the transfer time of frames that may be put on the link ahead: enough to keep
+	// the link from being idle until the next event, and short, because more urgent frames have
+	// to wait behind them.
 	maxBacklog = 15 * time.Millisecond
-	// congestionAge is how long the link counts as short after it has held a job back.
+	// congestionAge is how long the link counts as congested after a job was held back.
 	congestionAge = 250 * time.Millisecond
-	// initialWindow is how many bytes are sent before anything is known of the link. It grows
-	// by twice the bytes that arrive in time; from unlimitedWindow on, only a measured rate limits
-	// what is sent.
+	// initialWindow is the number of bytes sent before anything is known about the link. The
+	// window grows by twice the bytes that arrive in time; from unlimitedWindow on, only a
+	// measured rate limits what is sent.
 	initialWindow   = 16 << 10
 	unlimitedWindow = 256 << 10
-	// windowTimeout is after which a job is sent though nothing has come.
+	// windowTimeout is the time after which a job is sent even though no arrival has been
+	// reported.
 	windowTimeout = 100 * time.Millisecond
-	// historyAge is how long send and arrival times are remembered.
+	// historyAge is how long send and arrival times are kept.
 	historyAge = time.Second
 )
 
-// Sizes of frames on the link, in bytes, headers of packets included.
+// Estimated sizes of frames on the link, in bytes, including packet headers.
 const (
 	smallFrameBytes = 100
-	tasksFrameBytes = 160 // RunTasks without its text and tasks
+	tasksFrameBytes = 160 // a RunTasks without its text and tasks
 	bytesPerTask    = 35
 )
 
-// uplink estimates the bandwidth from this entry to its guards, and paces jobs by it. Frames
-// beyond the bandwidth wait in the buffers of connections for hundreds of milliseconds. The
-// entry's view of its workers is as old then, tasks meet full workers and are sent again with
-// the text of their job, and the load collapses. Guards report the age of frames on arrival;
-// from that uplink measures the rate of a thin link. A job that is held back here can still be
-// refused or overtaken.
+// uplink estimates the bandwidth from this entry to its guards and paces jobs accordingly. Frames
+// beyond the bandwidth wait in connection buffers for hundreds of milliseconds. The entry's data
+// about its workers is then equally old, so that tasks reach full workers and are sent again with
+// the text of their job, and throughput collapses. Guards report the age of frames on arrival,
+// from which uplink measures the rate of a thin link. A job that is held back at the entry can
+// still be refused or overtaken.
 type uplink struct {
-	rate          float64       // bytes a second; 0 while nothing has shown that the link is thin
-	idleAt        time.Duration // when everything sent has passed the link, by rate
+	rate          float64       // bytes a second; 0 if the link has not been found to be thin
+	idleAt        time.Duration // time at which all frames sent have passed the link, by rate
 	window        float64       // bytes that may be in flight while the rate is unknown
 	sentBytes     float64       // bytes sent so far
-	sentTaskBytes float64       // the part of them up to the newest tasks
-	arrived       float64       // the part of them up to the newest tasks that have arrived
-	lastTasksAt   time.Duration // when the newest tasks were sent
-	sends         []sendRecord  // what was sent lately, oldest first
-	arrivals      []arrival     // what came lately, in order of sending
+	sentTaskBytes float64       // sentBytes up to the latest RunTasks
+	arrived       float64       // sentBytes up to the latest RunTasks that has arrived
+	lastTasksAt   time.Duration // time at which the latest RunTasks was sent
+	sends         []sendRecord  // recent frames, oldest first
+	arrivals      []arrival     // recent arrivals, in order of sending
 	isHolding     bool          // a job is held back
-	lastHeldAt    time.Duration // when one was last held back
-	rateUpdatedAt time.Duration // when rate was last raised or measured
+	lastHeldAt    time.Duration // time at which a job was last held back
+	rateUpdatedAt time.Duration // time at which rate was last raised or measured
 }
 
-// sendRecord is what was sent at a moment, and how much was sent up to it.
+// sendRecord is the time at which a frame was sent, and the total of bytes sent including it.
 type sendRecord struct {
 	at        time.Duration
 	sentBytes float64
 }
 
-// arrival is a mark with the time at which it reached its guard, less the latency of an idle
-// link.
+// arrival is a sent frame with the time at which it reached its guard, less the latency of an
+// idle link.
 type arrival struct {
 	sendRecord
 	arrived time.Duration
@@ -95,6 +98,7 @@
 	return smallFrameBytes
 }
 
+// textBytes returns the number of bytes that the text takes in a RunTasks frame.
 func textBytes(t *wire.RunTasks) int {
 	if t.Packed != nil {
 		return len(t.Packed.Bytes)
@@ -118,7 +122,8 @@
 	return record
 }
 
-// transferTime is how long bytes take to pass a thin link.
+// transferTime returns how long the given bytes take to pass a thin link; 0 if the rate is
+// unknown.
 func (u *uplink) transferTime(bytes float64) time.Duration {
 	if u.rate == 0 {
 		return 0
@@ -126,7 +131,7 @@
 	return time.Duration(bytes / u.rate * float64(time.Second))
 }
 
-// canSend tells whether a job may be sent.
+// canSend reports whether a job may be sent now.
 func (u *uplink) canSend(now time.Duration) bool {
 	u.isHolding = now < u.nextSendAt()
 	if u.isHolding {
@@ -135,7 +140,8 @@
 	return !u.isHolding
 }
 
-// nextSendAt is when the next job may be sent, if nothing comes until then.
+// nextSendAt returns the time from which the next job may be sent if no arrival is reported
+// before it.
 func (u *uplink) nextSendAt() time.Duration {
 	if u.rate == 0 && u.window < unlimitedWindow && u.sentTaskBytes-u.arrived >= max(u.window, initialWindow) {
 		return u.lastTasksAt + windowTimeout
@@ -143,20 +149,20 @@
 	return u.idleAt - maxBacklog
 }
 
-// growWindow grows the window after a frame that arrived in time.
+// growWindow enlarges the window after a frame that arrived in time.
 func (u *uplink) growWindow(a arrival) {
 	if a.sentBytes > u.arrived {
 		u.window = max(u.window, initialWindow) + 2*(a.sentBytes-u.arrived)
 	}
 }
 
-// isCongested tells whether a job was held back within congestionAge.
+// isCongested reports whether a job was held back within congestionAge.
 func (u *uplink) isCongested(now time.Duration) bool {
 	return u.lastHeldAt > 0 && now-u.lastHeldAt < congestionAge
 }
 
-// recordArrival records a guard's report that a frame has arrived, late after the latency of an
-// idle link.
+// recordArrival records a guard's report that a frame has arrived; delay is its age on arrival
+// less the latency of an idle link.
 func (u *uplink) recordArrival(now time.Duration, record sendRecord, delay time.Duration) {
 	if record.at < now-historyAge {
 		return
@@ -178,10 +184,10 @@
 	}
 }
 
-// measuredRate is the rate over the newest time in which the link was never idle; 0 if that
-// was too short. A frame that was sent before the one ahead of it came has followed it at
-// once. A pause of a process delays one frame by much and those behind it by nothing, and
-// is no rate: the frames after it seem to come at once.
+// measuredRate returns the rate over the latest period in which the link was never idle; 0 if the
+// period was too short. A frame that was sent before the preceding one arrived has followed it
+// without a gap. A process pause delays one frame by a long time and the frames behind it hardly
+// at all, so that they seem to arrive at once; it must not be taken for a rate.
 func (u *uplink) measuredRate() float64 {
 	last := len(u.arrivals) - 1
 	first := last
@@ -201,7 +207,7 @@
 	return usedRateShare * max(overall, median)
 }
 
-// medianRate is the median of the rates from one arrival to the next.
+// medianRate returns the median of the rates between consecutive arrivals.
 func medianRate(busy []arrival) float64 {
 	rates := make([]float64, 0, len(busy)-1)
 	for i := 1; i < len(busy); i++ {
@@ -212,8 +218,8 @@
 	return rates[len(rates)/2]
 }
 
-// updateIdleAt estimates when everything sent has passed the link, from the newest frame that is
-// known to have arrived.
+// updateIdleAt estimates the time at which all frames sent have passed the link, starting from
+// the latest frame that is known to have arrived.
 func (u *uplink) updateIdleAt(now time.Duration) {
 	newest := u.arrivals[len(u.arrivals)-1]
 	idleAt, sentBytes := newest.arrived, newest.sentBytes
@@ -226,8 +232,8 @@
 	u.idleAt = max(now, idleAt)
 }
 
-// raiseRate raises the rate while it holds jobs back and frames arrive in time all the same: the
-// bandwidth may have grown.
+// raiseRate raises the rate while it holds jobs back although frames arrive in time: the
+// bandwidth may have increased.
 func (u *uplink) raiseRate(now time.Duration) {
 	if !u.isCongested(now) || now-u.rateUpdatedAt < rateGrowthInterval {
 		return
@@ -237,7 +243,7 @@
 	u.rateUpdatedAt = now
 }
 
-// dropBefore drops what was sent before a moment.
+// dropBefore removes the records of frames sent before the given time.
 func (u *uplink) dropBefore(before time.Duration) {
 	u.sends = slices.DeleteFunc(u.sends, func(record sendRecord) bool { return record.at < before })
 	u.arrivals = slices.DeleteFunc(u.arrivals, func(a arrival) bool { return a.at < before })
