--- a/internal/batch/ablation_test.go
+++ b/internal/batch/ablation_test.go
@@ -13,25 +13,25 @@
 // BenchmarkAblation reports the share that is served in time at each load with one
 // mechanism off at a time.
 func BenchmarkAblation(b *testing.B) {
-	b.Run("nothing", func(b *testing.B) { ablate(b, 0) })
+	b.Run("nothing", func(b *testing.B) { benchmarkWithout(b, 0) })
 	b.Run("all rules for shortage and sick workers", func(b *testing.B) {
-		ablate(b, policy.Of(policy.WholeStarts, policy.BoundedWait, policy.UrgentOffers, policy.PaceWatch, policy.HangWatch, policy.QuickOrders))
+		benchmarkWithout(b, policy.Of(policy.WholeStarts, policy.BoundedWait, policy.UrgentOffers, policy.PaceWatch, policy.HangWatch, policy.QuickOrders))
 	})
 	for _, m := range policy.All() {
-		b.Run(m.String(), func(b *testing.B) { ablate(b, policy.Of(m)) })
+		b.Run(m.String(), func(b *testing.B) { benchmarkWithout(b, policy.Of(m)) })
 	}
 }
 
-func ablate(b *testing.B, off policy.Set) {
-	days := []load{{ofRoom: 0.5}, {ofRoom: 0.8}, {ofRoom: 1.0}, {ofRoom: 1.25}, {ofRoom: 1.6}, {ofRoom: 0.5, slow: 2}, {ofRoom: 0.5, hang: 2}, {ofRoom: 0.5, unanswered: 0.05}}
+func benchmarkWithout(b *testing.B, disabled policy.Set) {
+	loads := []load{{offeredLoad: 0.5}, {offeredLoad: 0.8}, {offeredLoad: 1.0}, {offeredLoad: 1.25}, {offeredLoad: 1.6}, {offeredLoad: 0.5, slowWorkers: 2}, {offeredLoad: 0.5, hangingWorkers: 2}, {offeredLoad: 0.5, unansweredShare: 0.05}}
 	for b.Loop() {
-		for _, d := range days {
+		for _, l := range loads {
 			var list []*loadResult
 			for _, seed := range ablationSeeds {
-				d.seed, d.length, d.off = seed, loadLength, off
-				list = append(list, d.play())
+				l.seed, l.duration, l.disabled = seed, loadDuration, disabled
+				list = append(list, l.simulate())
 			}
-			b.ReportMetric(mean(list, (*loadResult).served), fmt.Sprintf("served/%g%s", d.ofRoom, d.fault()))
+			b.ReportMetric(mean(list, (*loadResult).served), fmt.Sprintf("served/%g%s", l.offeredLoad, l.faultName()))
 		}
 	}
 }
--- a/internal/batch/admit_test.go
+++ b/internal/batch/admit_test.go
@@ -11,8 +11,8 @@
 	"wigeontray/internal/wire"
 )
 
-// oneWorker is an entry with a worker of 40 cores.
-func oneWorker() *Machine {
+// newOneWorkerMachine is an entry with a worker of 40 cores.
+func newOneWorkerMachine() *Machine {
 	m := New(0, Options{Seed: 1})
 	m.GuardUp(0, &wire.RunHello{
 		Incarnation: "g0",
@@ -31,13 +31,13 @@
 }
 
 // A need that no worker could ever meet is told from one whose worker is away.
-func TestHopelessJobsAreToldFromUnluckyOnes(t *testing.T) {
-	m := oneWorker()
-	late := neverFitsDelay + time.Second
-	err := m.Submit(late, testJob("huge", 1, 41_000))
+func TestNeverFitsIsDistinguishedFromNoWorkers(t *testing.T) {
+	m := newOneWorkerMachine()
+	afterDelay := neverFitsDelay + time.Second
+	err := m.Submit(afterDelay, testJob("huge", 1, 41_000))
 	qt.Assert(t, HasFailed(err), qt.IsTrue)
-	m.Beat(late, "g0", &wire.GuardBeat{Worker: &wire.RunWorker{ID: "w", Service: "s", Capacity: sched.Room{CPU: 40_000}, Leaving: true}})
-	err = m.Submit(late, testJob("fits", 1, 4000))
+	m.Beat(afterDelay, "g0", &wire.GuardBeat{Worker: &wire.RunWorker{ID: "w", Service: "s", Capacity: sched.Room{CPU: 40_000}, Leaving: true}})
+	err = m.Submit(afterDelay, testJob("fits", 1, 4000))
 	qt.Assert(t, HasFailed(err), qt.IsFalse)
 	qt.Assert(t, err.After > 0, qt.IsTrue)
 }
@@ -45,9 +45,9 @@
 // A job is cut off and comes again to the same entry. Only then does the guard's
 // word on the first run arrive: "not started". Taken for one on the second run, its
 // task would be started at another worker while it runs.
-func TestLateWordOnAnEarlierRunIsNotTakenForTheNextOne(t *testing.T) {
-	m := oneWorker()
-	runOf := func() int64 {
+func TestLateRunEndOfAnEarlierSubmissionIsIgnored(t *testing.T) {
+	m := newOneWorkerMachine()
+	nextRun := func() int64 {
 		for _, a := range m.Actions(0) {
 			if a.Frame != nil && a.Frame.RunTasks != nil {
 				return a.Frame.RunTasks.Tasks[0].Run
@@ -56,38 +56,38 @@
 		return 0
 	}
 	qt.Assert(t, m.Submit(0, testJob("job", 1, 4000)) == nil, qt.IsTrue)
-	first := runOf()
+	first := nextRun()
 	m.Cancel(0, "job")
 	qt.Assert(t, m.Submit(0, testJob("job", 1, 4000)) == nil, qt.IsTrue)
-	second := runOf()
+	second := nextRun()
 	qt.Assert(t, second > first, qt.IsTrue)
 	m.Ended(0, "g0", &wire.RunsEnded{
 		Ends: []wire.RunEnd{{Job: "job", Run: first, Kind: errkind.Fenced, Ran: errkind.RanNo}},
 		Load: wire.RunLoad{Free: sched.Room{CPU: 36_000}, Seen: 2},
 	})
-	qt.Assert(t, runOf(), qt.Equals, int64(0))
+	qt.Assert(t, nextRun(), qt.Equals, int64(0))
 }
 
 // Workers are full. A caller whose job has waited for a quarter of its time is told that
 // nothing of it has run and when to come back, while there is time to ask elsewhere.
-func TestJobThatHasWaitedForAQuarterOfItsTimeIsRefused(t *testing.T) {
-	m := oneWorker()
+func TestJobIsRefusedAfterAQuarterOfItsTargetDuration(t *testing.T) {
+	m := newOneWorkerMachine()
 	qt.Assert(t, m.Submit(0, testJob("first", 10, 4000)) == nil, qt.IsTrue)
 	qt.Assert(t, m.Submit(0, testJob("second", 1, 4000)) == nil, qt.IsTrue)
 	m.Actions(0)
-	by := time.Duration(maxWaitShare * float64(380*time.Millisecond))
-	qt.Assert(t, m.NextTick() <= by, qt.IsTrue, qt.Commentf("%v", m.NextTick()))
-	m.Tick(by - time.Millisecond)
-	qt.Assert(t, finished(m.Actions(by)), qt.HasLen, 0)
-	m.Tick(by)
-	out := finished(m.Actions(by))
-	qt.Assert(t, out, qt.HasLen, 1)
-	qt.Check(t, out[0].ID, qt.Equals, "second")
-	qt.Check(t, out[0].Err.Ran, qt.Equals, errkind.RanNo)
-	qt.Check(t, out[0].Err.After > 0, qt.IsTrue)
+	limit := time.Duration(maxWaitShare * float64(380*time.Millisecond))
+	qt.Assert(t, m.NextTick() <= limit, qt.IsTrue, qt.Commentf("%v", m.NextTick()))
+	m.Tick(limit - time.Millisecond)
+	qt.Assert(t, finishedOutcomes(m.Actions(limit)), qt.HasLen, 0)
+	m.Tick(limit)
+	outcomes := finishedOutcomes(m.Actions(limit))
+	qt.Assert(t, outcomes, qt.HasLen, 1)
+	qt.Check(t, outcomes[0].ID, qt.Equals, "second")
+	qt.Check(t, outcomes[0].Err.Ran, qt.Equals, errkind.RanNo)
+	qt.Check(t, outcomes[0].Err.After > 0, qt.IsTrue)
 }
 
-func finished(actions []Action) []*Outcome {
+func finishedOutcomes(actions []Action) []*Outcome {
 	var out []*Outcome
 	for i := range actions {
 		if f := actions[i].Finish; f != nil {
--- a/internal/batch/advertise_test.go
+++ b/internal/batch/advertise_test.go
@@ -12,8 +12,8 @@
 	"wigeontray/internal/wire"
 )
 
-// fullFleet is an entry in the first of five failure domains, whose guards have no room.
-func fullFleet(guards int) *Machine {
+// newFullFleet is an entry in the first of five failure domains, whose guards have no room.
+func newFullFleet(guards int) *Machine {
 	m := New(0, Options{Seed: 1, Domain: "d0"})
 	for i := range guards {
 		m.GuardUp(0, &wire.RunHello{
@@ -27,8 +27,8 @@
 	return m
 }
 
-// told gives the guards that were sent a frame, with what it says of waiting tasks.
-func told(actions []Action) map[identity.Incarnation]bool {
+// sentBeats gives the guards that were sent a frame, with what it says of waiting tasks.
+func sentBeats(actions []Action) map[identity.Incarnation]bool {
 	out := make(map[identity.Incarnation]bool)
 	for _, a := range actions {
 		if a.Frame != nil && a.Frame.EntryBeat != nil {
@@ -49,8 +49,8 @@
 // A fleet is just full, so that a job waits for a few milliseconds again and again.
 // Told to all 72 guards each time, an entry with a fifth of a core did not get on with
 // its jobs, and a quarter of the callers of its failure domain were not served.
-func TestTellingWhatWaitsCostsLittleInALargeFleet(t *testing.T) {
-	m := fullFleet(72)
+func TestAdvertisingSendsFewFramesInALargeFleet(t *testing.T) {
+	m := newFullFleet(72)
 	frames := 0
 	for i := range 100 {
 		now := time.Duration(i) * 10 * time.Millisecond
@@ -58,45 +58,45 @@
 		qt.Assert(t, m.Submit(now, waitingJob(id)) == nil, qt.IsTrue)
 		frames += len(m.Actions(now))
 		m.Cancel(now+5*time.Millisecond, id)
-		frames += len(told(m.Actions(now + 5*time.Millisecond)))
+		frames += len(sentBeats(m.Actions(now + 5*time.Millisecond)))
 	}
 	qt.Check(t, frames <= 100*2*15, qt.IsTrue, qt.Commentf("%d frames in a second", frames))
 }
 
 // The own failure domain stays full. A job that went on waiting for it alone would be
 // late while the workers elsewhere have room.
-func TestAllGuardsAreToldOfAJobThatGoesOnWaiting(t *testing.T) {
-	m := fullFleet(72)
+func TestDemandOfALongWaitingJobReachesAllGuards(t *testing.T) {
+	m := newFullFleet(72)
 	qt.Assert(t, m.Submit(0, waitingJob("j")) == nil, qt.IsTrue)
-	first := told(m.Actions(0))
+	first := sentBeats(m.Actions(0))
 	qt.Check(t, first, qt.HasLen, initialAdvertiseCount)
 	for guard := range first {
 		qt.Check(t, m.guardByID[guard].worker.Domain, qt.Equals, "d0")
 	}
-	const soon = 350 * time.Millisecond
+	const maxInterval = 350 * time.Millisecond
 	var next time.Duration
-	all := len(first)
-	for all < 72 {
+	reached := len(first)
+	for reached < 72 {
 		next = m.NextTick()
-		qt.Assert(t, next > 0 && next <= soon, qt.IsTrue, qt.Commentf("%v", next))
+		qt.Assert(t, next > 0 && next <= maxInterval, qt.IsTrue, qt.Commentf("%v", next))
 		m.Tick(next)
-		more := len(told(m.Actions(next)))
-		qt.Assert(t, more > all && more <= 2*all, qt.IsTrue, qt.Commentf("%d after %d", more, all))
-		all = more
+		count := len(sentBeats(m.Actions(next)))
+		qt.Assert(t, count > reached && count <= 2*reached, qt.IsTrue, qt.Commentf("%d after %d", count, reached))
+		reached = count
 	}
 	// And when it does not wait any more, all of them are.
 	m.Cancel(next, "j")
-	last := told(m.Actions(next))
+	last := sentBeats(m.Actions(next))
 	qt.Check(t, last, qt.HasLen, 72)
-	for guard, waits := range last {
-		qt.Check(t, waits, qt.IsFalse, qt.Commentf("%s", guard))
+	for guard, hasDemand := range last {
+		qt.Check(t, hasDemand, qt.IsFalse, qt.Commentf("%s", guard))
 	}
 }
 
 // In a small fleet the few guards of a failure domain may be busy for long: all are
 // told at once, for a frame each.
-func TestAllGuardsOfASmallFleetAreToldAtOnce(t *testing.T) {
-	m := fullFleet(11)
+func TestDemandReachesAllGuardsOfASmallFleetAtOnce(t *testing.T) {
+	m := newFullFleet(11)
 	qt.Assert(t, m.Submit(0, waitingJob("j")) == nil, qt.IsTrue)
-	qt.Check(t, told(m.Actions(0)), qt.HasLen, 11)
+	qt.Check(t, sentBeats(m.Actions(0)), qt.HasLen, 11)
 }
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -17,24 +17,24 @@
 
 // crashTotals sums up what crashing jobs did in some plays of a load.
 type crashTotals struct {
-	crashes, wronged, convicted int
-	answeredAfter               time.Duration // on average
-	served                      float64
+	crashes, wronglyFailed, crashersFailed int
+	meanAnswerTime                         time.Duration // on average
+	served                                 float64
 }
 
 const (
-	crashSeeds = 6
-	crashJobs  = 3 // of each play
+	crashSeeds         = 6
+	crashingJobsPerRun = 3 // of each play
 )
 
-func playCrashes(t *testing.T, off ...policy.Mechanism) crashTotals {
+func simulateCrashes(t *testing.T, disabled ...policy.Mechanism) crashTotals {
 	var sum crashTotals
-	list := load{ofRoom: 0.4, crash: crashJobs}.resultsOf(t, crashSeeds, off...)
+	list := load{offeredLoad: 0.4, crashingJobs: crashingJobsPerRun}.resultsWithSeeds(t, crashSeeds, disabled...)
 	for _, r := range list {
 		sum.crashes += r.crashes
-		sum.wronged += r.wronged
-		sum.convicted += r.convicted
-		sum.answeredAfter += r.answeredAfter / crashSeeds
+		sum.wronglyFailed += r.wronglyFailed
+		sum.crashersFailed += r.crashersFailed
+		sum.meanAnswerTime += r.meanAnswerTime / crashSeeds
 	}
 	sum.served = mean(list, (*loadResult).served)
 	t.Logf("%+v", sum)
@@ -42,18 +42,18 @@
 }
 
 // Guards against a task that crashes worker after worker, and against jobs that are told to have failed as they were beside it.
-func TestLoadWithCrashingJobsLosesFewWorkersAndNoInnocentJob(t *testing.T) {
-	with, together, unlimited := playCrashes(t), playCrashes(t, policy.SuspectsApart), playCrashes(t, policy.CrashLimit)
-	qt.Check(t, with.convicted >= crashSeeds*crashJobs-1, qt.IsTrue)
-	qt.Check(t, with.wronged*4 <= together.wronged, qt.IsTrue)
-	qt.Check(t, with.crashes*3 < unlimited.crashes*2, qt.IsTrue)
-	qt.Check(t, with.served > unlimited.served+0.1, qt.IsTrue)
+func TestLoadWithCrashingJobsCrashesFewWorkersAndFailsNoOtherJob(t *testing.T) {
+	all, withoutSeparation, withoutLimit := simulateCrashes(t), simulateCrashes(t, policy.SuspectsApart), simulateCrashes(t, policy.CrashLimit)
+	qt.Check(t, all.crashersFailed >= crashSeeds*crashingJobsPerRun-1, qt.IsTrue)
+	qt.Check(t, all.wronglyFailed*4 <= withoutSeparation.wronglyFailed, qt.IsTrue)
+	qt.Check(t, all.crashes*3 < withoutLimit.crashes*2, qt.IsTrue)
+	qt.Check(t, all.served > withoutLimit.served+0.1, qt.IsTrue)
 }
 
 // Guards against jobs that are told to have failed as their workers crash by themselves.
 func TestLoadWithFlappingWorkersFailsNoJob(t *testing.T) {
-	for _, r := range (load{ofRoom: 0.5, flap: 2}).resultsOf(t, crashSeeds) {
-		qt.Check(t, r.wronged, qt.Equals, 0)
+	for _, r := range (load{offeredLoad: 0.5, flappingWorkers: 2}).resultsWithSeeds(t, crashSeeds) {
+		qt.Check(t, r.wronglyFailed, qt.Equals, 0)
 	}
 }
 
@@ -61,8 +61,8 @@
 func TestCrashesAreCountedAcrossEntries(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{})
-	g := guardOf("g0", "d0")
-	m.GuardUp(now, g)
+	hello := newHello("g0", "d0")
+	m.GuardUp(now, hello)
 	submit := func(id string) *errkind.Error {
 		return m.Submit(now, &batch.Job{ID: id, Queue: simQueue, Deadline: now + time.Second, Steps: []batch.Step{{
 			Count: 2, Need: sched.Room{CPU: 1000}, Estimate: 100 * time.Millisecond,
@@ -78,7 +78,7 @@
 		}
 	}
 	// The second crash, here: the job has failed, and stays so wherever it is sent.
-	m.Ended(now, "g0", &wire.RunsEnded{Load: g.Load, Ends: []wire.RunEnd{
+	m.Ended(now, "g0", &wire.RunsEnded{Load: hello.Load, Ends: []wire.RunEnd{
 		{Job: "a", Index: 1, Run: 1, Kind: errkind.WorkerLost, Ran: errkind.RanYes, Crashed: true},
 	}})
 	qt.Check(t, m.State("a"), qt.Equals, batch.Failed)
@@ -89,14 +89,14 @@
 }
 
 // Guards against a task that goes on crashing workers, and against others that are blamed for it, as its starts have no answer.
-func TestLoadWithCrashingJobsAndUnansweredOrdersLosesFewWorkers(t *testing.T) {
-	for _, r := range (load{ofRoom: 0.4, crash: 3 * crashJobs, unanswered: 0.6}).resultsOf(t, 2*crashSeeds) {
-		qt.Check(t, r.wronged <= 1, qt.IsTrue, qt.Commentf("%d jobs", r.wronged))
+func TestLoadWithCrashingJobsAndUnansweredOrdersFailsFewOtherJobs(t *testing.T) {
+	for _, r := range (load{offeredLoad: 0.4, crashingJobs: 3 * crashingJobsPerRun, unansweredShare: 0.6}).resultsWithSeeds(t, 2*crashSeeds) {
+		qt.Check(t, r.wronglyFailed <= 1, qt.IsTrue, qt.Commentf("%d jobs", r.wronglyFailed))
 	}
 }
 
 // Guards against a task that crashes one worker after another, none of them for certain.
-func TestTaskUnderPossibleCrashesIsNotStartedForEver(t *testing.T) {
+func TestTaskWithSuspectedCrashesIsNotRetriedForever(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{})
 	job := func() *batch.Job {
@@ -105,17 +105,17 @@
 		}}}
 	}
 	for i := range 3 {
-		m.GuardUp(now, guardOf(identity.Incarnation(fmt.Sprintf("g%d", i)), "d0"))
+		m.GuardUp(now, newHello(identity.Incarnation(fmt.Sprintf("g%d", i)), "d0"))
 	}
 	qt.Assert(t, m.Submit(now, job()) == nil, qt.IsTrue)
-	var ended *batch.Outcome
+	var outcome *batch.Outcome
 	starts := int64(0)
-	for ended == nil {
+	for outcome == nil {
 		qt.Assert(t, starts <= 3, qt.IsTrue)
 		for _, a := range m.Actions(now) {
 			switch {
 			case a.Finish != nil:
-				ended = a.Finish
+				outcome = a.Finish
 			case a.Frame != nil && a.Frame.RunTasks != nil:
 				starts++
 				m.Ended(now, a.Guard, &wire.RunsEnded{Load: wire.RunLoad{Free: sched.Room{CPU: 10_000, MemoryMB: 1000}}, Ends: []wire.RunEnd{
@@ -124,10 +124,10 @@
 			}
 		}
 	}
-	qt.Check(t, batch.HasFailed(ended.Err), qt.IsFalse)
-	qt.Check(t, ended.Err.Ran, qt.Equals, errkind.RanUnknown)
-	again := m.Submit(now, job())
-	qt.Assert(t, again != nil, qt.IsTrue)
-	qt.Check(t, batch.HasFailed(again), qt.IsFalse)
-	qt.Check(t, again.Ran, qt.Equals, errkind.RanUnknown)
+	qt.Check(t, batch.HasFailed(outcome.Err), qt.IsFalse)
+	qt.Check(t, outcome.Err.Ran, qt.Equals, errkind.RanUnknown)
+	resubmitErr := m.Submit(now, job())
+	qt.Assert(t, resubmitErr != nil, qt.IsTrue)
+	qt.Check(t, batch.HasFailed(resubmitErr), qt.IsFalse)
+	qt.Check(t, resubmitErr.Ran, qt.Equals, errkind.RanUnknown)
 }
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -15,8 +15,8 @@
 	"wigeontray/internal/wire"
 )
 
-// drainTrouble drains and takes back domains amid other trouble.
-func drainTrouble(s *sim) {
+// injectDrainOrFault drains and takes back domains amid other trouble.
+func injectDrainOrFault(s *sim) {
 	switch s.rng.IntN(4) {
 	case 0:
 		s.drain("d0")
@@ -25,17 +25,17 @@
 	case 2:
 		s.drain()
 	default:
-		anyTrouble(s)
+		injectFault(s)
 	}
 }
 
 // Guards against starts in a drained failure domain, and against jobs that run twice or are refused untruly around a drain.
-func TestNothingStartsInADrainedDomainUnderRandomTrouble(t *testing.T) {
+func TestNoTaskStartsInADrainedDomainUnderRandomFaults(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := play(40_000+seed, simJobs, runs.DefaultResend, f, drainTrouble)
-			qt.Check(t, s.broken, qt.HasLen, 0)
+			s := simulate(40_000+seed, simJobs, runs.DefaultResend, f, injectDrainOrFault)
+			qt.Check(t, s.violations, qt.HasLen, 0)
 			qt.Check(t, s.counts.complete > s.counts.sent/4, qt.IsTrue, qt.Commentf("%+v", s.counts))
 		})
 	}
@@ -46,20 +46,20 @@
 
 // Guards against a load of 0.45 that goes on to be sent to one of two domains after its drain, and against a domain that stays unused after it was taken back.
 func TestLoadWithADrainedDomainIsServedByTheOther(t *testing.T) {
-	list := load{ofRoom: 0.45, drain: true}.resultsOf(t, drainSeeds)
+	list := load{offeredLoad: 0.45, drain: true}.resultsWithSeeds(t, drainSeeds)
 	served := mean(list, (*loadResult).served)
 	qt.Check(t, served > 0.88, qt.IsTrue, qt.Commentf("%.3f", served))
 }
 
 // Guards against a load beyond the room that a drain leaves being worked on in vain.
-func TestLoadBeyondTheRoomOfADrainWastesLittle(t *testing.T) {
-	list := load{ofRoom: 0.75, drain: true}.resultsOf(t, drainSeeds)
+func TestLoadBeyondTheRemainingCapacityOfADrainWastesLittle(t *testing.T) {
+	list := load{offeredLoad: 0.75, drain: true}.resultsWithSeeds(t, drainSeeds)
 	wasted := mean(list, func(r *loadResult) float64 { return r.wasted })
 	qt.Check(t, wasted < 0.08, qt.IsTrue, qt.Commentf("%.3f", wasted))
 }
 
-// guardOf gives the first word of a guard whose worker is in a failure domain.
-func guardOf(name identity.Incarnation, domain string) *wire.RunHello {
+// newHello gives the first word of a guard whose worker is in a failure domain.
+func newHello(name identity.Incarnation, domain string) *wire.RunHello {
 	room := sched.Room{CPU: 8000, MemoryMB: 1000}
 	return &wire.RunHello{
 		Version: wire.Version, Incarnation: name,
@@ -69,12 +69,12 @@
 }
 
 // Guards against jobs that wait for the room of drained workers instead of being refused.
-func TestEntryKnowsAtOnceWhatADrainLeaves(t *testing.T) {
+func TestDrainReducesCapacityForAdmissionAtOnce(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{Domain: "d0"})
 	m.SetDrains(now, &wire.Drains{Revision: 1, Domains: []string{"d1"}})
-	m.GuardUp(now, guardOf("g0", "d0"))
-	m.GuardUp(now, guardOf("g1", "d1")) // one that comes during a drain
+	m.GuardUp(now, newHello("g0", "d0"))
+	m.GuardUp(now, newHello("g1", "d1")) // one that comes during a drain
 	qt.Check(t, m.Workers(), qt.Equals, 1)
 	m.SetDrains(now, &wire.Drains{Revision: 2, Domains: []string{"d0", "d1"}})
 	qt.Check(t, m.Workers(), qt.Equals, 0)
@@ -89,17 +89,17 @@
 }
 
 // Guards against a cold worker that gets its full share at once when its domain is taken back.
-func TestColdWorkerBeginsWithOneTask(t *testing.T) {
+func TestColdWorkerStartsWithOneTask(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{Domain: "d0"})
-	g := guardOf("g0", "d0")
-	m.GuardUp(now, g)
+	hello := newHello("g0", "d0")
+	m.GuardUp(now, hello)
 	m.SetDrains(now, &wire.Drains{Revision: 1, Domains: []string{"d0"}})
-	g.Worker.Cold, g.Worker.Usable = true, false
-	m.Beat(now, "g0", &wire.GuardBeat{Load: g.Load, Worker: &g.Worker})
+	hello.Worker.Cold, hello.Worker.Usable = true, false
+	m.Beat(now, "g0", &wire.GuardBeat{Load: hello.Load, Worker: &hello.Worker})
 	m.SetDrains(now, &wire.Drains{Revision: 2})
-	g.Worker.Usable = true
-	m.Beat(now, "g0", &wire.GuardBeat{Load: g.Load, Worker: &g.Worker})
+	hello.Worker.Usable = true
+	m.Beat(now, "g0", &wire.GuardBeat{Load: hello.Load, Worker: &hello.Worker})
 	m.Actions(now)
 	err := m.Submit(now, &batch.Job{ID: "1", Queue: simQueue, Deadline: now + time.Second, Steps: []batch.Step{{
 		Count: 3, Need: sched.Room{CPU: 1000}, Estimate: 100 * time.Millisecond,
--- a/internal/batch/ideal_test.go
+++ b/internal/batch/ideal_test.go
@@ -9,92 +9,92 @@
 	"wigeontray/internal/runs"
 )
 
-// central is one queue for all workers that knows the present and each run time and has no
+// centralQueue is one queue for all workers that knows the present and each run time and has no
 // delay: what a load is held against.
-type central struct {
-	s     *sim
-	whole bool    // jobs that may be overtaken begin as a whole
-	free  []int64 // by worker, thousandths of a core
-	queue []*centralJob
+type centralQueue struct {
+	s           *sim
+	startsWhole bool    // jobs that may be overtaken begin as a whole
+	free        []int64 // by worker, thousandths of a core
+	queue       []*centralJob
 }
 
 // centralJob is a job that waits, or runs in part.
 type centralJob struct {
-	kind    *requestKind
-	tally   *tally
-	need    int64 // of a task, thousandths of a core
-	took    time.Duration
-	began   time.Duration
-	waiting int
-	open    int // tasks that are not done
+	kind       *requestKind
+	tally      *tally
+	need       int64 // of a task, thousandths of a core
+	runTime    time.Duration
+	arrivedAt  time.Duration
+	waiting    int
+	unfinished int // tasks that are not done
 }
 
 // BenchmarkCentralQueue reports the share that one queue serves in time at each load, with
 // jobs begun in part and as a whole.
 func BenchmarkCentralQueue(b *testing.B) {
-	for _, whole := range []bool{false, true} {
-		b.Run(fmt.Sprintf("whole=%v", whole), func(b *testing.B) {
+	for _, startsWhole := range []bool{false, true} {
+		b.Run(fmt.Sprintf("whole=%v", startsWhole), func(b *testing.B) {
 			for b.Loop() {
-				for _, ofRoom := range []float64{0.8, 1.0, 1.25, 1.6} {
+				for _, offeredLoad := range []float64{0.8, 1.0, 1.25, 1.6} {
 					var list []*loadResult
 					for _, seed := range ablationSeeds {
-						list = append(list, load{seed: seed, ofRoom: ofRoom, length: loadLength}.playCentral(whole))
+						list = append(list, load{seed: seed, offeredLoad: offeredLoad, duration: loadDuration}.simulateCentralQueue(startsWhole))
 					}
-					b.ReportMetric(mean(list, (*loadResult).served), fmt.Sprintf("served/%g", ofRoom))
+					b.ReportMetric(mean(list, (*loadResult).served), fmt.Sprintf("served/%g", offeredLoad))
 				}
 			}
 		})
 	}
 }
 
-// playCentral plays a load on one queue.
-func (l load) playCentral(whole bool) *loadResult {
-	c := &central{s: newSim(l.seed, 0, 0, runs.DefaultResend, 0), whole: whole}
+// simulateCentralQueue plays a load on one queue.
+func (l load) simulateCentralQueue(startsWhole bool) *loadResult {
+	c := &centralQueue{s: newSim(l.seed, 0, 0, runs.DefaultResend, 0), startsWhole: startsWhole}
 	for range loadGuards {
-		c.free = append(c.free, loadCPU)
+		c.free = append(c.free, loadWorkerCPU)
 	}
-	mix := deskMix()
+	mix := ticketMix()
 	r := &loadResult{kinds: make([]tally, len(mix))}
 	start := c.s.now
-	l.arrive(c.s, start, mix, func(which int) { c.ask(&mix[which], &r.kinds[which]) })
-	c.s.run(start + l.length + 6*time.Second)
+	l.generateArrivals(c.s, start, mix, func(kind int) { c.enqueue(&mix[kind], &r.kinds[kind]) })
+	c.s.run(start + l.duration + 6*time.Second)
 	return r
 }
 
-func (c *central) ask(k *requestKind, t *tally) {
-	step, took := c.s.sample(k)
-	t.asked++
+func (c *centralQueue) enqueue(k *requestKind, t *tally) {
+	step, runTime := c.s.sampleJob(k)
+	t.arrivals++
 	c.queue = append(c.queue, &centralJob{
-		kind: k, tally: t, need: step.Need.CPU, took: took, began: c.s.now, waiting: step.Count, open: step.Count,
+		kind: k, tally: t, need: step.Need.CPU, runTime: runTime, arrivedAt: c.s.now, waiting: step.Count, unfinished: step.Count,
 	})
-	c.pump()
+	c.dispatch()
 }
 
-// pump begins what finds room, by priority and arrival, and refuses what waits whole and
+// dispatch begins what finds room, by priority and arrival, and refuses what waits whole and
 // can no longer end in time.
-func (c *central) pump() {
-	c.queue = slices.DeleteFunc(c.queue, c.isOver)
+func (c *centralQueue) dispatch() {
+	c.queue = slices.DeleteFunc(c.queue, c.isDone)
 	slices.SortStableFunc(c.queue, func(a, b *centralJob) int { return a.kind.queue.Priority - b.kind.queue.Priority })
 	for _, j := range c.queue {
-		if c.whole && j.kind.queue.Priority > 0 && j.waiting == j.open && c.places(j) < j.waiting {
+		if c.startsWhole && j.kind.queue.Priority > 0 && j.waiting == j.unfinished && c.countPlaces(j) < j.waiting {
 			continue
 		}
-		for j.waiting > 0 && c.begin(j) {
+		for j.waiting > 0 && c.startTask(j) {
 			j.waiting--
 		}
 	}
 }
 
-func (c *central) isOver(j *centralJob) bool {
-	if j.waiting == j.open && c.s.now+j.took > j.began+j.kind.goal(j.took) {
+func (c *centralQueue) isDone(j *centralJob) bool {
+	if j.waiting == j.unfinished && c.s.now+j.runTime > j.arrivedAt+j.kind.targetDuration(j.runTime) {
 		j.tally.refused++
 		return true
 	}
 	return j.waiting == 0
 }
 
-// places counts the tasks of a job that find room now.
-func (c *central) places(j *centralJob) int {
+// countPlaces counts the tasks of a job that find room now.
+func (c *centralQueue) countPlaces(j *centralJob) int {
 	n := 0
 	for _, free := range c.free {
 		n += int(free / j.need)
@@ -102,8 +102,8 @@
 	return n
 }
 
-// begin starts a task of a job on the worker with most room, if it fits there.
-func (c *central) begin(j *centralJob) bool {
+// startTask starts a task of a job on the worker with most room, if it fits there.
+func (c *centralQueue) startTask(j *centralJob) bool {
 	w := 0
 	for i := range c.free {
 		if c.free[i] > c.free[w] {
@@ -114,19 +114,19 @@
 		return false
 	}
 	c.free[w] -= j.need
-	took := time.Duration(float64(j.took) * (0.85 + 0.3*c.s.rng.Float64())) // as at a simWorker
-	c.s.after(took, func() { c.end(j, w) })
+	runTime := time.Duration(float64(j.runTime) * (0.85 + 0.3*c.s.rng.Float64())) // as at a simWorker
+	c.s.after(runTime, func() { c.endTask(j, w) })
 	return true
 }
 
-func (c *central) end(j *centralJob, worker int) {
+func (c *centralQueue) endTask(j *centralJob, worker int) {
 	c.free[worker] += j.need
-	if j.open--; j.open == 0 {
-		if c.s.now-j.began <= j.kind.goal(j.took) {
+	if j.unfinished--; j.unfinished == 0 {
+		if c.s.now-j.arrivedAt <= j.kind.targetDuration(j.runTime) {
 			j.tally.inTime++
 		} else {
 			j.tally.late++
 		}
 	}
-	c.pump()
+	c.dispatch()
 }
--- a/internal/batch/place_test.go
+++ b/internal/batch/place_test.go
@@ -12,8 +12,8 @@
 // An entry loses its power and its log with it. What it had sent is known to the
 // guards by the job's identity; without the caller's name for the request nobody
 // can say which request that was.
-func TestGuardsAreToldTheNameOfTheRequest(t *testing.T) {
-	m := oneWorker()
+func TestRunTasksCarriesTheCallersRequestName(t *testing.T) {
+	m := newOneWorkerMachine()
 	job := testJob("job", 2, 4000)
 	job.Request = "request-1"
 	qt.Assert(t, m.Submit(0, job) == nil, qt.IsTrue)
@@ -30,46 +30,46 @@
 // A service is asked for jobs of one priority alone, beside a service with more urgent
 // ones. Nothing overtakes its jobs: held back until there is room for all their tasks,
 // they would wait while workers are free.
-func TestUrgentJobsOfAnotherServiceDoNotHoldAJobBack(t *testing.T) {
-	m := oneWorker()
+func TestUrgentJobsOfAnotherServiceDoNotDelayAJob(t *testing.T) {
+	m := newOneWorkerMachine()
 	urgent := *testQueue
 	urgent.Service = "other"
 	other := testJob("urgent", 1, 4000)
 	other.Queue = &urgent
 	m.Submit(0, other) // it has no worker
-	late := *testQueue
-	late.Priority, late.Stretch = 2, 100 // it may wait
-	job := testJob("job", 11, 4000)      // ten of its tasks find room
-	job.Queue = &late
+	lowPriority := *testQueue
+	lowPriority.Priority, lowPriority.Stretch = 2, 100 // it may wait
+	job := testJob("job", 11, 4000)                    // ten of its tasks find room
+	job.Queue = &lowPriority
 	qt.Assert(t, m.Submit(0, job) == nil, qt.IsTrue)
-	qt.Check(t, sentTasks(m.Actions(0)), qt.Equals, 10)
+	qt.Check(t, countSentTasks(m.Actions(0)), qt.Equals, 10)
 }
 
 // Holds come as well. A booking of lower priority that finds room for ten of its eleven
 // tasks would keep it while holds overtake the last; it begins when there is room for all.
-func TestJobThatMayBeOvertakenBeginsAsAWhole(t *testing.T) {
-	m := oneWorker()
+func TestLowPriorityJobStartsOnlyAsAWhole(t *testing.T) {
+	m := newOneWorkerMachine()
 	qt.Assert(t, m.Submit(0, testJob("hold", 1, 4000)) == nil, qt.IsTrue)
 	m.Actions(0)
-	late := *testQueue
-	late.Priority, late.Stretch = 2, 100 // it may wait
+	lowPriority := *testQueue
+	lowPriority.Priority, lowPriority.Stretch = 2, 100 // it may wait
 	job := testJob("booking", 10, 4000)
-	job.Queue = &late
+	job.Queue = &lowPriority
 	qt.Assert(t, m.Submit(0, job) == nil, qt.IsTrue)
-	qt.Check(t, sentTasks(m.Actions(0)) > 0, qt.IsTrue) // a quarter of the room is enough
+	qt.Check(t, countSentTasks(m.Actions(0)) > 0, qt.IsTrue) // a quarter of the room is enough
 	small := testJob("small", 2, 3500)
-	small.Queue = &late
+	small.Queue = &lowPriority
 	m.Cancel(0, "booking")
 	m.Actions(0)
 	free := sched.Room{CPU: 5000}
 	m.Beat(0, "g0", &wire.GuardBeat{Load: wire.RunLoad{Free: free, Seen: 9}})
 	qt.Assert(t, m.Submit(0, small) == nil, qt.IsTrue)
-	qt.Check(t, sentTasks(m.Actions(0)), qt.Equals, 0)
+	qt.Check(t, countSentTasks(m.Actions(0)), qt.Equals, 0)
 	m.Beat(0, "g0", &wire.GuardBeat{Load: wire.RunLoad{Free: sched.Room{CPU: 7000}, Seen: 9}})
-	qt.Check(t, sentTasks(m.Actions(0)), qt.Equals, 2)
+	qt.Check(t, countSentTasks(m.Actions(0)), qt.Equals, 2)
 }
 
-func sentTasks(actions []Action) int {
+func countSentTasks(actions []Action) int {
 	n := 0
 	for i := range actions {
 		if f := actions[i].Frame; f != nil && f.RunTasks != nil {
--- a/internal/batch/random_test.go
+++ b/internal/batch/random_test.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	simEntries = 3
-	simGuards  = 4
-	simJobs    = 220
-	simLength  = 20 * time.Second
-	simRest    = 12 * time.Second // after the last fault and submission
+	simEntries    = 3
+	simGuards     = 4
+	simJobs       = 220
+	simDuration   = 20 * time.Second
+	simSettleTime = 12 * time.Second // after the last fault and submission
 )
 
-// play sends jobs for a while, with faults at random moments, and lets all end.
-func play(seed uint64, jobs int, resend time.Duration, f simFaults, trouble func(s *sim)) *sim {
-	return playOver(seed, jobs, resend, f, trouble, 0)
+// simulate sends jobs for a while, with faults at random moments, and lets all end.
+func simulate(seed uint64, jobs int, resendInterval time.Duration, f simFaults, inject func(s *sim)) *sim {
+	return simulateOverLinks(seed, jobs, resendInterval, f, inject, 0)
 }
 
-// playOver is the same over links of a rate, in bytes a second; 0 for no bound.
-func playOver(seed uint64, jobs int, resend time.Duration, f simFaults, trouble func(s *sim), linkRate float64) *sim {
-	s := newSim(seed, simEntries, simGuards, resend, 0)
+// simulateOverLinks is the same over links of a rate, in bytes a second; 0 for no bound.
+func simulateOverLinks(seed uint64, jobs int, resendInterval time.Duration, f simFaults, inject func(s *sim), linkRate float64) *sim {
+	s := newSim(seed, simEntries, simGuards, resendInterval, 0)
 	s.faults, s.linkRate = f, linkRate
 	start := s.now + 3*time.Second
 	s.run(start)
 	for n := range jobs {
-		s.at(start+time.Duration(s.rng.Int64N(int64(simLength))), func() { s.job(n) })
+		s.at(start+time.Duration(s.rng.Int64N(int64(simDuration))), func() { s.submitRandomJob(n) })
 	}
-	if trouble != nil {
+	if inject != nil {
 		for range 12 {
-			s.at(start+time.Duration(s.rng.Int64N(int64(simLength))), func() { trouble(s) })
+			s.at(start+time.Duration(s.rng.Int64N(int64(simDuration))), func() { inject(s) })
 		}
 	}
-	s.run(start + simLength + simRest)
+	s.run(start + simDuration + simSettleTime)
 	return s
 }
 
-func (s *sim) someTime(most time.Duration) time.Duration {
-	return time.Duration(s.rng.Int64N(int64(most)))
+func (s *sim) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(limit)))
 }
 
-// anyTrouble strikes one process or link at random.
-func anyTrouble(s *sim) {
+// injectFault strikes one process or link at random.
+func injectFault(s *sim) {
 	e, g := s.entries[s.rng.IntN(simEntries)], s.guards[s.rng.IntN(simGuards)]
 	switch s.rng.IntN(8) {
 	case 0:
-		e.frozen = max(e.frozen, s.now+s.someTime(4*time.Second)) // one freeze does not end another
+		e.frozenUntil = max(e.frozenUntil, s.now+s.randomDuration(4*time.Second)) // one freeze does not end another
 	case 1:
-		g.frozen = max(g.frozen, s.now+s.someTime(4*time.Second))
+		g.frozenUntil = max(g.frozenUntil, s.now+s.randomDuration(4*time.Second))
 	case 2:
-		s.killEntry(s.rng.IntN(simEntries), s.someTime(3*time.Second), false)
+		s.killEntry(s.rng.IntN(simEntries), s.randomDuration(3*time.Second), false)
 	case 3:
-		s.killEntry(s.rng.IntN(simEntries), s.someTime(3*time.Second), true)
+		s.killEntry(s.rng.IntN(simEntries), s.randomDuration(3*time.Second), true)
 	case 4:
-		s.killGuard(s.rng.IntN(simGuards), s.someTime(2*time.Second))
+		s.killGuard(s.rng.IntN(simGuards), s.randomDuration(2*time.Second))
 	case 5:
 		if l := g.links[e.id]; l != nil {
 			s.unlink(l)
 		}
 	case 6:
-		for _, l := range g.inOrder() {
-			l.cut = s.now + s.someTime(4*time.Second)
+		for _, l := range g.linksInOrder() {
+			l.cutUntil = s.now + s.randomDuration(4*time.Second)
 		}
 	case 7:
-		g.worker.crash(s.someTime(3 * time.Second))
+		g.worker.crash(s.randomDuration(3 * time.Second))
 	}
 }
 
@@ -77,7 +77,7 @@
 // their jobs again to another entry. A booking must never be worked on twice at
 // the same moment, a worker never given more than it holds, and a caller never
 // told that nothing ran when something did.
-func TestNoTaskRunsTwiceAtOnceUnderRandomTrouble(t *testing.T) {
+func TestNoTaskRunsTwiceAtOnceUnderRandomFaults(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	seeds := []uint64{
 		197,    // a lease computed from an older reading of a slow clock outlived the guard's belief
@@ -89,8 +89,8 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := play(seed, simJobs, runs.DefaultResend, f, anyTrouble)
-			qt.Check(t, s.broken, qt.HasLen, 0)
+			s := simulate(seed, simJobs, runs.DefaultResend, f, injectFault)
+			qt.Check(t, s.violations, qt.HasLen, 0)
 			qt.Check(t, s.counts.complete > s.counts.sent/2, qt.IsTrue, qt.Commentf("%+v", s.counts))
 		})
 	}
@@ -102,8 +102,8 @@
 	fetched := 0
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := playOver(30_000+seed, simJobs, runs.DefaultResend, f, anyTrouble, 62_500)
-			qt.Check(t, s.broken, qt.HasLen, 0)
+			s := simulateOverLinks(30_000+seed, simJobs, runs.DefaultResend, f, injectFault, 62_500)
+			qt.Check(t, s.violations, qt.HasLen, 0)
 			qt.Check(t, s.counts.complete > s.counts.sent/4, qt.IsTrue, qt.Commentf("%+v", s.counts))
 			fetched += s.counts.fetched
 		})
@@ -113,17 +113,17 @@
 
 // At half of what the workers can do and without trouble, every job is complete and
 // none is refused.
-func TestACalmDayIsServedWhole(t *testing.T) {
+func TestAllJobsCompleteWithoutFaults(t *testing.T) {
 	for seed := range uint64(5) {
-		s := play(seed, simJobs/2, runs.DefaultResend, simFaults{}, nil)
-		qt.Check(t, s.broken, qt.HasLen, 0)
+		s := simulate(seed, simJobs/2, runs.DefaultResend, simFaults{}, nil)
+		qt.Check(t, s.violations, qt.HasLen, 0)
 		qt.Check(t, s.counts.complete, qt.Equals, s.counts.sent, qt.Commentf("seed %d: %+v", seed, s.counts))
 	}
 }
 
 // Callers send their jobs again after 700 ms. With leases made for more patient ones,
 // what a lost guard left behind ran beside the second run.
-func TestNoTaskRunsTwiceAtOnceForHastyCallers(t *testing.T) {
+func TestNoTaskRunsTwiceAtOnceWithShortResendInterval(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	seeds := []uint64{827, 1231} // red with the times for callers of 1.3 s
 	for seed := range uint64(18) {
@@ -131,8 +131,8 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := play(20_000+seed, simJobs, 700*time.Millisecond, f, anyTrouble)
-			qt.Check(t, s.broken, qt.HasLen, 0)
+			s := simulate(20_000+seed, simJobs, 700*time.Millisecond, f, injectFault)
+			qt.Check(t, s.violations, qt.HasLen, 0)
 			qt.Check(t, s.counts.complete > s.counts.sent/2, qt.IsTrue, qt.Commentf("%+v", s.counts))
 		})
 	}
--- a/internal/batch/shift_test.go
+++ b/internal/batch/shift_test.go
@@ -10,14 +10,14 @@
 // shiftWindow is the window by which a load after a shift of its work is looked at.
 const shiftWindow = time.Second
 
-// otherMix is the work of another season: bookings prevail, have more and shorter tasks, and the
+// seasonalMix is the work of another season: bookings prevail, have more and shorter tasks, and the
 // callers still estimate what checks took before.
-func otherMix() []requestKind {
-	mix := deskMix()
+func seasonalMix() []requestKind {
+	mix := ticketMix()
 	hold, booking, check := &mix[0], &mix[1], &mix[2]
-	hold.share, hold.run = 12, 90*time.Millisecond
-	booking.share, booking.tasks, booking.run = 16, 7, 500*time.Millisecond
-	check.share, check.shorter = 60, 2
+	hold.share, hold.meanRunTime = 12, 90*time.Millisecond
+	booking.share, booking.tasks, booking.meanRunTime = 16, 7, 500*time.Millisecond
+	check.share, check.estimateDivisor = 60, 2
 	return mix
 }
 
@@ -25,21 +25,21 @@
 func servedByWindow(list []*loadResult) []float64 {
 	shares := make([]float64, len(list[0].shifted))
 	for i := range shares {
-		inTime, asked := 0, 0
+		inTime, arrivals := 0, 0
 		for _, r := range list {
 			inTime += r.shifted[i].inTime
-			asked += r.shifted[i].asked
+			arrivals += r.shifted[i].arrivals
 		}
-		shares[i] = float64(inTime) / float64(max(1, asked))
+		shares[i] = float64(inTime) / float64(max(1, arrivals))
 	}
 	return shares
 }
 
 // Guards against decisions that keep to the work of before: two seconds after it has shifted in mix, run time, fan-out and estimates, as many are served in time as later on.
 func TestLoadThatShiftsIsServedAsWellTwoSecondsLater(t *testing.T) {
-	const adapts = 2 * time.Second
-	shares := servedByWindow(load{ofRoom: 0.8, shifts: otherMix()}.resultsOf(t, 4))
-	first := int(adapts / shiftWindow)
+	const adaptTime = 2 * time.Second
+	shares := servedByWindow(load{offeredLoad: 0.8, mixAfterShift: seasonalMix()}.resultsWithSeeds(t, 4))
+	first := int(adaptTime / shiftWindow)
 	last := shares[first : len(shares)-1] // the last window is empty
 	t.Logf("served in time by window: %.2f", shares)
 	mean := 0.0
--- a/internal/batch/sim_test.go
+++ b/internal/batch/sim_test.go
@@ -32,17 +32,17 @@
 	faults  simFaults
 	// linkRate is what the link of an entry carries in each direction, in bytes a second; 0
 	// for no bound.
-	linkRate    float64
-	slowAnswers time.Duration            // by how much later workers answer
-	resend      time.Duration            // when callers without an answer send a job again
-	off         policy.Set               // mechanisms that are switched off
-	drains      wire.Drains              // as the operators have them
-	drained     map[string]time.Duration // since when guards know of a domain's drain
-	broken      []string                 // rules that were broken
-	counts      simCounts
-
-	worked float64 // at workers, in cores times seconds
-	wasted float64 // the part of it that served no caller in time
+	linkRate       float64
+	answerDelay    time.Duration            // by how much later workers answer
+	resendInterval time.Duration            // when callers without an answer send a job again
+	disabled       policy.Set               // mechanisms that are switched off
+	drains         wire.Drains              // as the operators have them
+	drained        map[string]time.Duration // since when guards know of a domain's drain
+	violations     []string                 // rules that were broken
+	counts         simCounts
+
+	workDone float64 // at workers, in cores times seconds
+	wasted   float64 // the part of it that served no caller in time
 }
 
 // simFaults are the chances of faults, each by call or frame.
@@ -55,26 +55,26 @@
 type simCounts struct{ sent, complete, failed, refused, unknown, starts, fetched, crashes int }
 
 type simJob struct {
-	id      string
-	steps   []batch.Step
-	began   time.Duration
-	ended   bool
-	failed  bool // it was told so
-	refused bool // every answer said that it has not run
-	doubt   bool // an attempt ended without a final answer
-	started bool // a task of it was started at a worker
-
-	queue  *batch.Queue         // simQueue if nil
-	took   time.Duration        // how long its tasks usually take; by their estimate if 0
-	text   string               // what its tasks are; "x" if empty
-	worked float64              // in cores times seconds
-	told   func(*batch.Outcome) // is given its answer; may be nil
-
-	crashes bool           // each worker that starts the first task of a step of it
-	crashed map[string]int // workers so far, by task
-	under   map[string]int // crashes of workers where a task was, whatever their cause
-	fails   int            // runs that failed
-	again   map[string]int // starts of a task after mostCrashed of them
+	id                string
+	steps             []batch.Step
+	submittedAt       time.Duration
+	hasEnded          bool
+	failed            bool // it was told so
+	refused           bool // every answer said that it has not run
+	hasUnknownAttempt bool // an attempt ended without a final answer
+	hasStarted        bool // a task of it was started at a worker
+
+	queue    *batch.Queue         // simQueue if nil
+	runTime  time.Duration        // how long its tasks usually take; by their estimate if 0
+	text     string               // what its tasks are; "x" if empty
+	workDone float64              // in cores times seconds
+	onAnswer func(*batch.Outcome) // is given its answer; may be nil
+
+	crashes            bool           // each worker that starts the first task of a step of it
+	crashedWorkers     map[string]int // workers so far, by task
+	crashesByTask      map[string]int // crashes of workers where a task was, whatever their cause
+	failedRuns         int            // runs that failed
+	startsAfterCrashes map[string]int // starts of a task after crashedWorkersLimit of them
 }
 
 type event struct {
@@ -98,9 +98,9 @@
 	return e
 }
 
-func newSim(seed uint64, entries, guards int, resend time.Duration, off policy.Set) *sim {
+func newSim(seed uint64, entries, guards int, resendInterval time.Duration, disabled policy.Set) *sim {
 	s := &sim{
-		rng: rand.New(rand.NewPCG(seed, 1)), resend: resend, off: off,
+		rng: rand.New(rand.NewPCG(seed, 1)), resendInterval: resendInterval, disabled: disabled,
 		jobs: make(map[string]*simJob), running: make(map[string]string),
 		now: time.Hour,
 	}
@@ -113,15 +113,15 @@
 		s.workers = append(s.workers, w)
 		s.guards = append(s.guards, nil)
 		s.startGuard(i)
-		s.report(i)
+		s.sendReport(i)
 	}
 	return s
 }
 
-func (s *sim) newEntry(i, life int) *simEntry {
-	id := identity.Incarnation(fmt.Sprintf("e%d-%d", i, life))
+func (s *sim) newEntry(i, generation int) *simEntry {
+	id := identity.Incarnation(fmt.Sprintf("e%d-%d", i, generation))
 	return &simEntry{
-		s: s, id: id, m: batch.New(s.now, batch.Options{Domain: domainOf(i), Seed: s.rng.Uint64(), Timing: runs.TimingFor(s.resend), Off: s.off}),
+		s: s, id: id, m: batch.New(s.now, batch.Options{Domain: domainOf(i), Seed: s.rng.Uint64(), Timing: runs.TimingFor(s.resendInterval), Off: s.disabled}),
 		waiters: make(map[string]func(*batch.Outcome)),
 	}
 }
@@ -137,7 +137,7 @@
 
 // run plays until a time.
 func (s *sim) run(until time.Duration) {
-	for len(s.events) > 0 && s.events[0].at <= until && len(s.broken) == 0 {
+	for len(s.events) > 0 && s.events[0].at <= until && len(s.violations) == 0 {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
 		e.do()
@@ -145,23 +145,23 @@
 	s.now = max(s.now, until)
 }
 
-func (s *sim) breaks(format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf("%v: ", s.now-time.Hour)+fmt.Sprintf(format, args...))
+func (s *sim) addViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now-time.Hour)+fmt.Sprintf(format, args...))
 }
 
 // startGuard starts a new incarnation of a guard and links it to all entries.
 func (s *sim) startGuard(i int) {
-	life := 0
+	generation := 0
 	if old := s.guards[i]; old != nil {
-		fmt.Sscanf(string(old.id), fmt.Sprintf("g%d-%%d", i), &life)
-		life++
+		fmt.Sscanf(string(old.id), fmt.Sprintf("g%d-%%d", i), &generation)
+		generation++
 	}
 	g := &simGuard{
-		s: s, id: identity.Incarnation(fmt.Sprintf("g%d-%d", i, life)), m: runs.New(runs.Options{Timing: runs.TimingFor(s.resend), Off: s.off}),
+		s: s, id: identity.Incarnation(fmt.Sprintf("g%d-%d", i, generation)), m: runs.New(runs.Options{Timing: runs.TimingFor(s.resendInterval), Off: s.disabled}),
 		texts: make(map[string]string), worker: s.workers[i], links: make(map[identity.Incarnation]*simLink),
 	}
 	s.guards[i] = g
-	s.informGuard(g)
+	s.sendDrainsToGuard(g)
 	for _, e := range s.entries {
 		s.link(e, g)
 	}
@@ -172,79 +172,79 @@
 func (s *sim) drain(domains ...string) {
 	s.drains = wire.Drains{Revision: s.drains.Revision + 1, Domains: domains}
 	for _, e := range s.entries {
-		s.informEntry(e)
+		s.sendDrainsToEntry(e)
 	}
 	for _, g := range s.guards {
-		s.informGuard(g)
+		s.sendDrainsToGuard(g)
 	}
-	before := s.drained
+	previous := s.drained
 	s.drained = make(map[string]time.Duration)
 	for _, d := range domains {
-		s.drained[d] = s.now + drainHeard
-		if since, ok := before[d]; ok {
+		s.drained[d] = s.now + maxDrainDelay
+		if since, ok := previous[d]; ok {
 			s.drained[d] = since
 		}
 	}
 }
 
-// drainHeard is within what time all processes that are not frozen have heard of a drain.
-const drainHeard = 20 * simDelay
+// maxDrainDelay is within what time all processes that are not frozen have heard of a drain.
+const maxDrainDelay = 20 * simDelay
 
-func (s *sim) informEntry(e *simEntry) {
+func (s *sim) sendDrainsToEntry(e *simEntry) {
 	if s.drains.Revision == 0 {
 		return
 	}
-	s.after(time.Duration(s.rng.Int64N(int64(drainHeard))), func() {
-		if !e.gone {
-			e.take(func() { e.step(func() { e.m.SetDrains(s.now, &s.drains) }) })
+	s.after(time.Duration(s.rng.Int64N(int64(maxDrainDelay))), func() {
+		if !e.hasExited {
+			e.handle(func() { e.step(func() { e.m.SetDrains(s.now, &s.drains) }) })
 		}
 	})
 }
 
-func (s *sim) informGuard(g *simGuard) {
+func (s *sim) sendDrainsToGuard(g *simGuard) {
 	if s.drains.Revision == 0 {
 		return
 	}
-	s.after(time.Duration(s.rng.Int64N(int64(drainHeard))), func() {
-		if !g.gone {
-			g.take(func() { g.step(func() { g.m.SetDrains(s.now, &s.drains) }) })
+	s.after(time.Duration(s.rng.Int64N(int64(maxDrainDelay))), func() {
+		if !g.hasExited {
+			g.handle(func() { g.step(func() { g.m.SetDrains(s.now, &s.drains) }) })
 		}
 	})
 }
 
 // killGuard ends a guard's process and starts another a little later.
-func (s *sim) killGuard(i int, down time.Duration) {
+func (s *sim) killGuard(i int, downtime time.Duration) {
 	g := s.guards[i]
-	if g.gone {
+	if g.hasExited {
 		return
 	}
-	g.gone = true
-	for _, l := range g.inOrder() {
+	g.hasExited = true
+	for _, l := range g.linksInOrder() {
 		s.unlink(l)
 	}
-	s.after(down, func() { s.startGuard(i) })
+	s.after(downtime, func() { s.startGuard(i) })
 }
 
 // killEntry ends an entry's process: its callers hear nothing more. Another one
 // takes its place.
-func (s *sim) killEntry(i int, down time.Duration, silent bool) {
+func (s *sim) killEntry(i int, downtime time.Duration, isSilent bool) {
 	e := s.entries[i]
-	if e.gone {
+	if e.hasExited {
 		return
 	}
-	e.gone = true
+	e.hasExited = true
 	for _, g := range s.guards {
-		if l := g.links[e.id]; l != nil && !silent {
+		if l := g.links[e.id]; l != nil && !isSilent {
 			s.unlink(l)
 		}
 	}
-	life := 0
-	fmt.Sscanf(string(e.id), fmt.Sprintf("e%d-%%d", i), &life)
-	s.after(down, func() {
-		s.entries[i] = s.newEntry(i, life+1)
-		s.informEntry(s.entries[i])
+	generation := 0
+	fmt.Sscanf(string(e.id), fmt.Sprintf("e%d-%%d", i), &generation)
+	s.after(downtime, func() {
+		s.entries[i] = s.newEntry(i, generation+1)
+		s.sendDrainsToEntry(s.entries[i])
 		for _, g := range s.guards {
-			if !g.gone {
+			if !g.hasExited {
 				if l := g.links[e.id]; l != nil {
 					s.unlink(l)
 				}
@@ -254,8 +254,8 @@
 	})
 }
 
-// inOrder gives a guard's links in the order of their entries.
-func (g *simGuard) inOrder() []*simLink {
+// linksInOrder gives a guard's links in the order of their entries.
+func (g *simGuard) linksInOrder() []*simLink {
 	var out []*simLink
 	for _, id := range slices.Sorted(maps.Keys(g.links)) {
 		out = append(out, g.links[id])
@@ -264,38 +264,38 @@
 }
 
 func (s *sim) link(e *simEntry, g *simGuard) {
-	l := &simLink{entry: e, guard: g, up: true}
+	l := &simLink{entry: e, guard: g, isUp: true}
 	hello := &wire.RunHello{Version: wire.Version, Texts: string(g.id), Incarnation: g.id, Worker: g.m.Worker(), Load: g.m.Load(s.now, "")}
 	g.links[e.id] = l
 	s.after(simDelay, func() {
-		if !l.up || e.gone || g.gone {
+		if !l.isUp || e.hasExited || g.hasExited {
 			return
 		}
-		e.take(func() { e.step(func() { e.m.GuardUp(s.now, hello) }) })
-		g.take(func() {
+		e.handle(func() { e.step(func() { e.m.GuardUp(s.now, hello) }) })
+		g.handle(func() {
 			g.step(func() { g.m.LinkUp(s.now, e.id) })
 			w := g.m.Worker()
-			l.frameToEntry(&wire.Frame{GuardBeat: &wire.GuardBeat{Load: g.m.Load(s.now, e.id), Worker: &w}})
+			l.sendToEntry(&wire.Frame{GuardBeat: &wire.GuardBeat{Load: g.m.Load(s.now, e.id), Worker: &w}})
 		})
 	})
 }
 
 // unlink breaks a link; both ends that live notice, and the guard dials again.
 func (s *sim) unlink(l *simLink) {
-	if !l.up {
+	if !l.isUp {
 		return
 	}
-	l.up = false
+	l.isUp = false
 	e, g := l.entry, l.guard
 	s.after(simDelay, func() {
-		if !e.gone {
-			e.take(func() { e.step(func() { e.m.GuardDown(s.now, g.id) }) })
+		if !e.hasExited {
+			e.handle(func() { e.step(func() { e.m.GuardDown(s.now, g.id) }) })
 		}
-		if !g.gone && g.links[e.id] == l {
+		if !g.hasExited && g.links[e.id] == l {
 			delete(g.links, e.id)
-			g.take(func() { g.step(func() { g.m.LinkDown(s.now, e.id) }) })
+			g.handle(func() { g.step(func() { g.m.LinkDown(s.now, e.id) }) })
 			s.after(100*time.Millisecond, func() {
-				if !e.gone && !g.gone && g.links[e.id] == nil {
+				if !e.hasExited && !g.hasExited && g.links[e.id] == nil {
 					s.link(e, g)
 				}
 			})
@@ -303,24 +303,24 @@
 	})
 }
 
-func (l *simLink) frameToEntry(f *wire.Frame) {
+func (l *simLink) sendToEntry(f *wire.Frame) {
 	s := l.entry.s
-	came, size := sent(f)
-	l.toEntry = max(l.toEntry, s.passes(&l.entry.in, size)+simDelay, l.cut)
-	s.at(l.toEntry, func() {
-		if l.up && !l.entry.gone {
-			l.entry.take(func() { l.entry.receive(l.guard.id, came) })
+	received, size := transcode(f)
+	l.entryArrival = max(l.entryArrival, s.transmit(&l.entry.in, size)+simDelay, l.cutUntil)
+	s.at(l.entryArrival, func() {
+		if l.isUp && !l.entry.hasExited {
+			l.entry.handle(func() { l.entry.receive(l.guard.id, received) })
 		}
 	})
 }
 
-func (l *simLink) frameToGuard(f *wire.Frame) {
+func (l *simLink) sendToGuard(f *wire.Frame) {
 	s := l.entry.s
-	came, size := sent(f)
-	l.toGuard = max(l.toGuard, s.passes(&l.entry.out, size)+simDelay, l.cut)
-	s.at(l.toGuard, func() {
-		if l.up && !l.guard.gone {
-			l.guard.take(func() { l.guard.receive(l.entry.id, came) })
+	received, size := transcode(f)
+	l.guardArrival = max(l.guardArrival, s.transmit(&l.entry.out, size)+simDelay, l.cutUntil)
+	s.at(l.guardArrival, func() {
+		if l.isUp && !l.guard.hasExited {
+			l.guard.handle(func() { l.guard.receive(l.entry.id, received) })
 		}
 	})
 }
--- a/internal/batch/simcaller_test.go
+++ b/internal/batch/simcaller_test.go
@@ -18,111 +18,111 @@
 )
 
 // submit sends a job as a caller would, and again where it gets no final answer.
-func (s *sim) submit(j *simJob, patience time.Duration) {
+func (s *sim) submit(j *simJob, callerTimeout time.Duration) {
 	e := s.entries[s.rng.IntN(len(s.entries))]
-	done := false
-	again := func() {
-		j.doubt = true
-		if !j.ended && s.now-j.began < 6*time.Second {
-			s.after(s.resend, func() { s.submit(j, patience) })
+	isDone := false
+	resubmit := func() {
+		j.hasUnknownAttempt = true
+		if !j.hasEnded && s.now-j.submittedAt < 6*time.Second {
+			s.after(s.resendInterval, func() { s.submit(j, callerTimeout) })
 		}
 	}
 	answer := func(out *batch.Outcome) {
-		if done {
+		if isDone {
 			return
 		}
-		done = true
-		s.at(s.passes(&e.out, answerBytes)+simDelay, func() { s.answered(j, out, again) })
+		isDone = true
+		s.at(s.transmit(&e.out, answerBytes)+simDelay, func() { s.handleAnswer(j, out, resubmit) })
 	}
-	s.at(s.passes(&e.in, requestBytes+len(j.text))+simDelay, func() {
-		if e.gone {
-			if !done {
-				done = true
-				again()
+	s.at(s.transmit(&e.in, requestBytes+len(j.text))+simDelay, func() {
+		if e.hasExited {
+			if !isDone {
+				isDone = true
+				resubmit()
 			}
 			return
 		}
-		e.take(func() {
+		e.handle(func() {
 			// An entry that was frozen waits a little for callers that have left.
-			s.at(e.woke+batch.WakePause, func() {
-				if !done && !e.gone {
-					e.take(func() { e.submit(j, patience, answer) })
+			s.at(e.resumedAt+batch.WakePause, func() {
+				if !isDone && !e.hasExited {
+					e.handle(func() { e.submit(j, callerTimeout, answer) })
 				}
 			})
 		})
 	})
-	s.after(patience, func() {
-		if !done { // the caller leaves, and sends the job again
-			done = true
-			if !e.gone {
-				e.take(func() { e.step(func() { e.m.Cancel(s.now, j.id) }) })
+	s.after(callerTimeout, func() {
+		if !isDone { // the caller leaves, and sends the job again
+			isDone = true
+			if !e.hasExited {
+				e.handle(func() { e.step(func() { e.m.Cancel(s.now, j.id) }) })
 			}
-			again()
+			resubmit()
 		}
 	})
 }
 
-func (e *simEntry) submit(j *simJob, patience time.Duration, answer func(*batch.Outcome)) {
+func (e *simEntry) submit(j *simJob, callerTimeout time.Duration, answer func(*batch.Outcome)) {
 	switch e.m.State(j.id) {
 	case batch.Queued, batch.Running:
 		e.waiters[j.id] = answer
 		return
 	}
 	e.waiters[j.id] = answer
-	var refused *errkind.Error
+	var refusal *errkind.Error
 	e.step(func() {
-		refused = e.m.Submit(e.s.now, &batch.Job{ID: j.id, Queue: cmp.Or(j.queue, simQueue), Text: cmp.Or(j.text, "x"), Steps: j.steps, Deadline: e.s.now + patience})
+		refusal = e.m.Submit(e.s.now, &batch.Job{ID: j.id, Queue: cmp.Or(j.queue, simQueue), Text: cmp.Or(j.text, "x"), Steps: j.steps, Deadline: e.s.now + callerTimeout})
 	})
-	if refused != nil {
+	if refusal != nil {
 		delete(e.waiters, j.id)
-		answer(&batch.Outcome{ID: j.id, Err: refused})
+		answer(&batch.Outcome{ID: j.id, Err: refusal})
 	}
 }
 
 var simQueue = &batch.Queue{Name: "q", Service: "svc", MaxAttempts: 4, Stretch: 1.6, Slack: 60 * time.Millisecond}
 
-// checkFailed looks at a job that is told to have failed: a run of it has, or two workers have
+// checkFailure looks at a job that is told to have failed: a run of it has, or two workers have
 // crashed under one of its tasks.
-func (s *sim) checkFailed(j *simJob, err *errkind.Error) {
-	most := 0
-	for _, n := range j.under {
-		most = max(most, n)
+func (s *sim) checkFailure(j *simJob, err *errkind.Error) {
+	maxCrashes := 0
+	for _, n := range j.crashesByTask {
+		maxCrashes = max(maxCrashes, n)
 	}
-	if err.Kind == errkind.UpstreamFailed && j.fails == 0 && most < 2 {
-		s.breaks("job %s is told to have failed, no run of it has, and %d workers crashed under a task: %v", j.id, most, err)
+	if err.Kind == errkind.UpstreamFailed && j.failedRuns == 0 && maxCrashes < 2 {
+		s.addViolation("job %s is told to have failed, no run of it has, and %d workers crashed under a task: %v", j.id, maxCrashes, err)
 	}
 }
 
-func (s *sim) answered(j *simJob, out *batch.Outcome, again func()) {
-	if j.told != nil {
-		j.told(out)
+func (s *sim) handleAnswer(j *simJob, out *batch.Outcome, resubmit func()) {
+	if j.onAnswer != nil {
+		j.onAnswer(out)
 	}
 	switch {
 	case out.Err == nil:
 		s.counts.complete++
-		j.ended = true
+		j.hasEnded = true
 	case batch.HasFailed(out.Err):
 		s.counts.failed++
-		j.ended, j.failed = true, true
-		s.checkFailed(j, out.Err)
+		j.hasEnded, j.failed = true, true
+		s.checkFailure(j, out.Err)
 	case out.Err.Ran == errkind.RanNo:
 		s.counts.refused++
-		j.ended, j.refused = true, !j.doubt
-		if j.started && j.refused {
-			s.breaks("job %s was refused as not run, but a task of it had been started: %v", j.id, out.Err)
+		j.hasEnded, j.refused = true, !j.hasUnknownAttempt
+		if j.hasStarted && j.refused {
+			s.addViolation("job %s was refused as not run, but a task of it had been started: %v", j.id, out.Err)
 		}
 	default:
 		s.counts.unknown++
-		again()
+		resubmit()
 	}
 }
 
-// simText is the length of the text of a job, in bytes.
-const simText = 2400
+// simTextBytes is the length of the text of a job, in bytes.
+const simTextBytes = 2400
 
-// job makes a job and sends it.
-func (s *sim) job(n int) {
-	j := &simJob{id: fmt.Sprintf("%016x", n), began: s.now, text: textOf(simText)}
+// submitRandomJob makes a job and sends it.
+func (s *sim) submitRandomJob(n int) {
+	j := &simJob{id: fmt.Sprintf("%016x", n), submittedAt: s.now, text: randomText(simTextBytes)}
 	for i := range 1 + s.rng.IntN(2) {
 		step := batch.Step{
 			Count: 1 + s.rng.IntN(5), Need: sched.Room{CPU: 2000 + s.rng.Int64N(3000), MemoryMB: 64},
@@ -138,18 +138,18 @@
 	s.submit(j, 4*time.Second)
 }
 
-func (s *sim) report(i int) {
+func (s *sim) sendReport(i int) {
 	w := s.workers[i]
-	if w.up {
+	if w.isUp {
 		g := s.guards[i]
 		w.seq++
 		rep := &runs.Report{
 			ID: w.id, Seq: w.seq, ClockMs: w.clock().Milliseconds(), Service: "svc", Domain: domainOf(i),
 			Capacity: w.capacity,
 		}
-		if !g.gone {
-			g.take(func() { g.step(func() { g.m.Heard(s.now, rep) }) })
+		if !g.hasExited {
+			g.handle(func() { g.step(func() { g.m.Heard(s.now, rep) }) })
 		}
 	}
-	s.after(1500*time.Millisecond, func() { s.report(i) })
+	s.after(1500*time.Millisecond, func() { s.sendReport(i) })
 }
--- a/internal/batch/simnode_test.go
+++ b/internal/batch/simnode_test.go
@@ -11,107 +11,107 @@
 
 // simEntry is one entry; a frozen one keeps what comes until it wakes.
 type simEntry struct {
-	s       *sim
-	id      identity.Incarnation
-	m       *batch.Machine
-	waiters map[string]func(*batch.Outcome)
-	frozen  time.Duration // until then
-	woke    time.Duration // when it last woke
-	held    []func()
-	tickAt  time.Duration
-	gone    bool
-	in, out simPipe // its VM's link
+	s           *sim
+	id          identity.Incarnation
+	m           *batch.Machine
+	waiters     map[string]func(*batch.Outcome)
+	frozenUntil time.Duration // until then
+	resumedAt   time.Duration // when it last woke
+	deferred    []func()
+	tickAt      time.Duration
+	hasExited   bool
+	in, out     simPipe // its VM's link
 }
 
 type simGuard struct {
-	s      *sim
-	id     identity.Incarnation
-	m      *runs.Machine
-	worker *simWorker
-	links  map[identity.Incarnation]*simLink
-	frozen time.Duration
-	woke   time.Duration // when it last woke
-	held   []func()
-	tickAt time.Duration
-	gone   bool
-	texts  map[string]string // of jobs, for other guards
+	s           *sim
+	id          identity.Incarnation
+	m           *runs.Machine
+	worker      *simWorker
+	links       map[identity.Incarnation]*simLink
+	frozenUntil time.Duration
+	resumedAt   time.Duration // when it last woke
+	deferred    []func()
+	tickAt      time.Duration
+	hasExited   bool
+	texts       map[string]string // of jobs, for other guards
 }
 
 // simLink carries frames in order between an entry and a guard. While it is cut
 // they are held up, and arrive in order when it heals.
 type simLink struct {
-	entry   *simEntry
-	guard   *simGuard
-	up      bool
-	cut     time.Duration // until then
-	toEntry time.Duration // arrival of the newest frame
-	toGuard time.Duration
+	entry        *simEntry
+	guard        *simGuard
+	isUp         bool
+	cutUntil     time.Duration // until then
+	entryArrival time.Duration // arrival of the newest frame
+	guardArrival time.Duration
 }
 
 const simDelay = time.Millisecond
 
 // simPipe is one direction of a VM's link, which carries what is put on it in order.
-type simPipe struct{ free time.Duration }
+type simPipe struct{ freeAt time.Duration }
 
-// packetBytes is what the headers of a small packet take.
-const packetBytes = 66
+// packetHeaderBytes is what the headers of a small packet take.
+const packetHeaderBytes = 66
 
-// sent gives a frame as it comes, and what it takes on a link, in bytes.
-func sent(f *wire.Frame) (came *wire.Frame, size int) {
+// transcode gives a frame as it comes, and what it takes on a link, in bytes.
+func transcode(f *wire.Frame) (received *wire.Frame, size int) {
 	b, err := wire.Encode(f)
 	if err == nil {
-		came, err = wire.Decode(b)
+		received, err = wire.Decode(b)
 	}
 	if err != nil {
 		panic(err) // every frame of the machines can be encoded
 	}
-	return came, len(b) + packetBytes
+	return received, len(b) + packetHeaderBytes
 }
 
-// passes tells when size bytes that are put on a link now have passed it.
-func (s *sim) passes(p *simPipe, size int) time.Duration {
+// transmit tells when size bytes that are put on a link now have passed it.
+func (s *sim) transmit(p *simPipe, size int) time.Duration {
 	if s.linkRate <= 0 {
 		return s.now
 	}
-	p.free = max(p.free, s.now) + time.Duration(float64(size)/s.linkRate*float64(time.Second))
-	return p.free
+	p.freeAt = max(p.freeAt, s.now) + time.Duration(float64(size)/s.linkRate*float64(time.Second))
+	return p.freeAt
 }
 
-// take lets an entry do something now, or when it wakes. It then takes first note
+// handle lets an entry do something now, or when it wakes. It then takes first note
 // that it was frozen.
-func (e *simEntry) take(do func()) {
-	takeNow(e.s, &e.frozen, &e.held, do, func() {
-		e.woke = e.s.now
+func (e *simEntry) handle(do func()) {
+	handleOrDefer(e.s, &e.frozenUntil, &e.deferred, do, func() {
+		e.resumedAt = e.s.now
 		e.step(func() { e.m.Woke(e.s.now) })
 	})
 }
 
-func (g *simGuard) take(do func()) {
-	takeNow(g.s, &g.frozen, &g.held, do, func() { g.woke = g.s.now })
+func (g *simGuard) handle(do func()) {
+	handleOrDefer(g.s, &g.frozenUntil, &g.deferred, do, func() { g.resumedAt = g.s.now })
 }
 
-func takeNow(s *sim, frozen *time.Duration, held *[]func(), do, woke func()) {
-	if s.now >= *frozen {
+func handleOrDefer(s *sim, frozenUntil *time.Duration, deferred *[]func(), do, onResume func()) {
+	if s.now >= *frozenUntil {
 		do()
 		return
 	}
-	*held = append(*held, do)
-	if len(*held) == 1 {
-		wake(s, frozen, held, woke)
+	*deferred = append(*deferred, do)
+	if len(*deferred) == 1 {
+		scheduleResume(s, frozenUntil, deferred, onResume)
 	}
 }
 
-// wake does what was held up once a process is no longer frozen.
-func wake(s *sim, frozen *time.Duration, held *[]func(), woke func()) {
-	s.at(*frozen, func() {
-		if s.now < *frozen {
-			wake(s, frozen, held, woke)
+// scheduleResume does what was held up once a process is no longer frozen.
+func scheduleResume(s *sim, frozenUntil *time.Duration, deferred *[]func(), onResume func()) {
+	s.at(*frozenUntil, func() {
+		if s.now < *frozenUntil {
+			scheduleResume(s, frozenUntil, deferred, onResume)
 			return
 		}
-		woke()
-		waiting := *held
-		*held = nil
-		for _, do := range waiting {
+		onResume()
+		events := *deferred
+		*deferred = nil
+		for _, do := range events {
 			do()
 		}
 	})
@@ -146,15 +146,15 @@
 			}
 		case a.Frame != nil:
 			if l := e.linkTo(a.Guard); l != nil {
-				l.frameToGuard(a.Frame)
+				l.sendToGuard(a.Frame)
 			}
 		}
 	}
 	if next := e.m.NextTick(); next > 0 && next != e.tickAt {
 		e.tickAt = next
 		s.at(next, func() {
-			if !e.gone && e.tickAt == next {
-				e.take(func() { e.tickAt = 0; e.step(func() { e.m.Tick(s.now) }) })
+			if !e.hasExited && e.tickAt == next {
+				e.handle(func() { e.tickAt = 0; e.step(func() { e.m.Tick(s.now) }) })
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 
 func (e *simEntry) linkTo(guard identity.Incarnation) *simLink {
 	for _, g := range e.s.guards {
-		if l := g.links[e.id]; g.id == guard && l != nil && l.up {
+		if l := g.links[e.id]; g.id == guard && l != nil && l.isUp {
 			return l
 		}
 	}
@@ -192,22 +192,22 @@
 	for _, a := range g.m.Actions(s.now) {
 		switch {
 		case a.Send != nil:
-			if l := g.links[a.Send.To]; l != nil && l.up {
-				l.frameToEntry(a.Send.Frame)
+			if l := g.links[a.Send.To]; l != nil && l.isUp {
+				l.sendToEntry(a.Send.Frame)
 			}
 		case a.Fetch != nil:
 			g.fetch(a.Fetch)
 		case a.Start != nil:
-			g.order(a.Start.AnswerIn, func() any { return g.worker.start(a.Start) }, func(got any) {
-				answer, ok := got.(runs.StartAnswer)
+			g.sendOrder(a.Start.AnswerIn, func() any { return g.worker.start(a.Start) }, func(result any) {
+				answer, ok := result.(runs.StartAnswer)
 				if !ok {
 					answer = runs.StartAnswer{Verdict: runs.NoAnswer}
 				}
 				g.step(func() { g.m.Started(s.now, a.Start.Key, answer) })
 			})
 		case a.Stop != nil:
-			g.order(a.Stop.AnswerIn, func() any { return g.worker.stop(a.Stop) }, func(got any) {
-				v, ok := got.(runs.Verdict)
+			g.sendOrder(a.Stop.AnswerIn, func() any { return g.worker.stop(a.Stop) }, func(result any) {
+				v, ok := result.(runs.Verdict)
 				if !ok {
 					v = runs.NoAnswer
 				}
@@ -220,8 +220,8 @@
 	if next := g.m.NextTick(); next > 0 && next != g.tickAt {
 		g.tickAt = next
 		s.at(next, func() {
-			if !g.gone && g.tickAt == next {
-				g.take(func() { g.tickAt = 0; g.step(func() { g.m.Tick(s.now) }) })
+			if !g.hasExited && g.tickAt == next {
+				g.handle(func() { g.tickAt = 0; g.step(func() { g.m.Tick(s.now) }) })
 			}
 		})
 	}
@@ -232,14 +232,14 @@
 	s := g.s
 	answer := func(text string, ok bool) func() {
 		return func() {
-			if !g.gone {
-				g.take(func() { g.step(func() { g.m.Fetched(s.now, f.From, f.Job, text, ok) }) })
+			if !g.hasExited {
+				g.handle(func() { g.step(func() { g.m.Fetched(s.now, f.From, f.Job, text, ok) }) })
 			}
 		}
 	}
 	s.after(2*simDelay, func() {
 		for _, o := range s.guards {
-			if text, ok := o.texts[f.Job]; ok && string(o.id) == f.Source && !o.gone && s.now >= o.frozen {
+			if text, ok := o.texts[f.Job]; ok && string(o.id) == f.Source && !o.hasExited && s.now >= o.frozenUntil {
 				s.counts.fetched++
 				s.after(2*simDelay, answer(text, true))
 				return
@@ -249,34 +249,34 @@
 	})
 }
 
-// order sends an order to the worker; got is nil if no answer comes in time. An
+// sendOrder sends an order to the worker; got is nil if no answer comes in time. An
 // order of a guard that has died since still arrives.
-func (g *simGuard) order(timeout time.Duration, carryOut func() any, answered func(got any)) {
+func (g *simGuard) sendOrder(timeout time.Duration, execute func() any, onAnswer func(result any)) {
 	s := g.s
-	back := func(after time.Duration, got any) {
+	reply := func(after time.Duration, result any) {
 		s.after(after, func() {
-			if !g.gone {
-				g.take(func() { answered(got) })
+			if !g.hasExited {
+				g.handle(func() { onAnswer(result) })
 			}
 		})
 	}
 	switch p := s.rng.Float64(); {
 	case p < s.faults.lateOrder/2:
-		s.after(2*time.Second+time.Duration(s.rng.Int64N(int64(10*time.Second))), func() { carryOut() })
-		back(timeout, nil)
+		s.after(2*time.Second+time.Duration(s.rng.Int64N(int64(10*time.Second))), func() { execute() })
+		reply(timeout, nil)
 	case p < s.faults.lateOrder:
-		s.after(time.Duration(s.rng.Int64N(int64(600*time.Millisecond))), func() { carryOut() })
-		back(timeout, nil)
+		s.after(time.Duration(s.rng.Int64N(int64(600*time.Millisecond))), func() { execute() })
+		reply(timeout, nil)
 	case p < s.faults.lateOrder+s.faults.lostAnswer:
-		s.after(simDelay/2, func() { carryOut() })
-		back(timeout, nil)
+		s.after(simDelay/2, func() { execute() })
+		reply(timeout, nil)
 	default:
 		s.after(simDelay/2, func() {
-			got, late := carryOut(), simDelay/2+s.slowAnswers
-			if late < timeout {
-				back(late, got)
+			result, delay := execute(), simDelay/2+s.answerDelay
+			if delay < timeout {
+				reply(delay, result)
 			} else {
-				back(timeout, nil)
+				reply(timeout, nil)
 			}
 		})
 	}
--- a/internal/batch/thin_test.go
+++ b/internal/batch/thin_test.go
@@ -18,7 +18,7 @@
 
 // thinLoad is a load at half of the room over links of a rate.
 func thinLoad(rate float64, seed uint64) load {
-	return load{ofRoom: 0.5, seed: seed, length: loadLength, linkRate: rate}
+	return load{offeredLoad: 0.5, seed: seed, duration: loadDuration, linkRate: rate}
 }
 
 // BenchmarkLinkRate reports the share that is served in time at half of the room, by what
@@ -28,13 +28,13 @@
 	for _, rate := range append(linkRates, 0) {
 		b.Run(fmt.Sprintf("%g", rate*8/1e6), func(b *testing.B) {
 			for b.Loop() {
-				var got, ideal []*loadResult
+				var results, ideal []*loadResult
 				for seed := range uint64(4) {
 					l := thinLoad(rate, 301+seed)
-					got = append(got, l.play())
-					ideal = append(ideal, l.playLinks())
+					results = append(results, l.simulate())
+					ideal = append(ideal, l.simulateLinks())
 				}
-				b.ReportMetric(mean(got, (*loadResult).served), "served")
+				b.ReportMetric(mean(results, (*loadResult).served), "served")
 				b.ReportMetric(mean(ideal, (*loadResult).served), "ideal")
 			}
 		})
@@ -43,44 +43,44 @@
 
 // linkJob is a request in a play of links alone.
 type linkJob struct {
-	kind  *requestKind
-	tally *tally
-	began time.Duration
-	took  time.Duration
-	bytes int // that tell its tasks to as few workers as hold them
+	kind      *requestKind
+	tally     *tally
+	arrivedAt time.Duration
+	runTime   time.Duration
+	bytes     int // that tell its tasks to as few workers as hold them
 }
 
-// playLinks plays a load on workers with room for all: the requests and the texts of their
+// simulateLinks plays a load on workers with room for all: the requests and the texts of their
 // jobs pass the links of the entries, the most urgent first, and nothing else does.
-func (l load) playLinks() *loadResult {
+func (l load) simulateLinks() *loadResult {
 	s := newSim(l.seed, 0, 0, runs.DefaultResend, 0)
 	s.linkRate = l.linkRate
-	mix := deskMix()
+	mix := ticketMix()
 	r := &loadResult{kinds: make([]tally, len(mix))}
 	entries := make([]*linkEntry, loadEntries)
 	for i := range entries {
 		entries[i] = &linkEntry{s: s}
 	}
 	start := s.now
-	l.arrive(s, start, mix, func(which int) {
-		k := &mix[which]
-		step, took := s.sample(k)
-		workers := math.Ceil(float64(int64(step.Count)*step.Need.CPU) / loadCPU)
-		j := &linkJob{kind: k, tally: &r.kinds[which], began: s.now, took: took, bytes: int(workers) * packedSize(k.text)}
-		j.tally.asked++
+	l.generateArrivals(s, start, mix, func(kindIndex int) {
+		k := &mix[kindIndex]
+		step, runTime := s.sampleJob(k)
+		workers := math.Ceil(float64(int64(step.Count)*step.Need.CPU) / loadWorkerCPU)
+		j := &linkJob{kind: k, tally: &r.kinds[kindIndex], arrivedAt: s.now, runTime: runTime, bytes: int(workers) * packedSize(k.text)}
+		j.tally.arrivals++
 		e := entries[s.rng.IntN(len(entries))]
-		s.at(s.passes(&e.in, requestBytes+k.text)+simDelay, func() { e.take(j) })
+		s.at(s.transmit(&e.in, requestBytes+k.text)+simDelay, func() { e.enqueue(j) })
 	})
-	s.run(start + l.length + 6*time.Second)
+	s.run(start + l.duration + 6*time.Second)
 	return r
 }
 
 // packedSize is what a text of n bytes takes on a link.
 func packedSize(n int) int {
-	if p := wire.PackText(textOf(n)); p != nil {
+	if p := wire.PackText(randomText(n)); p != nil {
 		n = len(p.Bytes)
 	}
-	return n + packetBytes
+	return n + packetHeaderBytes
 }
 
 // linkEntry sends jobs over its link one after the other.
@@ -91,7 +91,7 @@
 	sending bool
 }
 
-func (e *linkEntry) take(j *linkJob) {
+func (e *linkEntry) enqueue(j *linkJob) {
 	e.waiting = append(e.waiting, j)
 	slices.SortStableFunc(e.waiting, func(a, b *linkJob) int { return a.kind.queue.Priority - b.kind.queue.Priority })
 	e.send()
@@ -104,9 +104,9 @@
 	j := e.waiting[0]
 	e.waiting = e.waiting[1:]
 	e.sending = true
-	e.s.at(e.s.passes(&e.out, j.bytes), func() {
+	e.s.at(e.s.transmit(&e.out, j.bytes), func() {
 		e.sending = false
-		if e.s.now+3*simDelay+j.took-j.began <= j.kind.goal(j.took) {
+		if e.s.now+3*simDelay+j.runTime-j.arrivedAt <= j.kind.targetDuration(j.runTime) {
 			j.tally.inTime++
 		}
 		e.send()
@@ -115,24 +115,24 @@
 
 // Guards against congestion collapse on entries with thin links.
 func TestLoadOverThinLinksIsServedInTime(t *testing.T) {
-	const ofIdeal = 0.9
+	const minShareOfIdeal = 0.9
 	for _, rate := range linkRates {
-		if rate < thinnest {
+		if rate < minTestedRate {
 			continue
 		}
-		var got, ideal []*loadResult
+		var results, ideal []*loadResult
 		for seed := range *loadSeeds {
 			l := thinLoad(rate, seed+1)
-			r := l.play()
-			qt.Assert(t, r.broken, qt.HasLen, 0)
-			got = append(got, r)
-			ideal = append(ideal, l.playLinks())
+			r := l.simulate()
+			qt.Assert(t, r.violations, qt.HasLen, 0)
+			results = append(results, r)
+			ideal = append(ideal, l.simulateLinks())
 		}
-		served, most := mean(got, (*loadResult).served), mean(ideal, (*loadResult).served)
-		qt.Check(t, served >= ofIdeal*most, qt.IsTrue, qt.Commentf("%g Mbit/s: %.3f, %.3f of an ideal", rate*8/1e6, served, most))
+		served, idealServed := mean(results, (*loadResult).served), mean(ideal, (*loadResult).served)
+		qt.Check(t, served >= minShareOfIdeal*idealServed, qt.IsTrue, qt.Commentf("%g Mbit/s: %.3f, %.3f of an ideal", rate*8/1e6, served, idealServed))
 	}
 }
 
-// thinnest is the rate from which on a load is served as it should be, in bytes a second:
+// minTestedRate is the rate from which on a load is served as it should be, in bytes a second:
 // 1.5 Mbit/s.
-const thinnest = 187_500
+const minTestedRate = 187_500
--- a/internal/batch/uplink_test.go
+++ b/internal/batch/uplink_test.go
@@ -17,43 +17,43 @@
 	longText = 2400    // bytes
 )
 
-func tasksOf(bytes int) *wire.Frame {
+func newTasksFrame(bytes int) *wire.Frame {
 	return &wire.Frame{RunTasks: &wire.RunTasks{Text: string(make([]byte, bytes))}}
 }
 
-// burst puts frames on a link at once and lets them come as one of a rate would carry them.
-func burst(u *uplink, now time.Duration, frames int, rate float64) (end time.Duration) {
-	came := now
+// sendBurst puts frames on a link at once and lets them come as one of a rate would carry them.
+func sendBurst(u *uplink, now time.Duration, frames int, rate float64) (end time.Duration) {
+	arrived := now
 	for range frames {
-		f := tasksOf(longText)
+		f := newTasksFrame(longText)
 		m := u.recordSend(now, f)
-		came += time.Duration(frameBytes(f) / rate * float64(time.Second))
-		u.recordArrival(came, m, came-now)
+		arrived += time.Duration(frameBytes(f) / rate * float64(time.Second))
+		u.recordArrival(arrived, m, arrived-now)
 	}
-	return came
+	return arrived
 }
 
 // Guards against a thin link that is not recognised, so that frames queue on it.
 func TestRateOfAThinLinkIsMeasured(t *testing.T) {
 	var u uplink
-	burst(&u, time.Second, 8, thinRate)
+	sendBurst(&u, time.Second, 8, thinRate)
 	qt.Check(t, u.rate > 0.8*thinRate && u.rate <= thinRate, qt.IsTrue, qt.Commentf("%.0f", u.rate))
-	u.recordSend(2*time.Second, tasksOf(10*longText))
+	u.recordSend(2*time.Second, newTasksFrame(10*longText))
 	qt.Check(t, u.canSend(2*time.Second), qt.IsFalse)
 	qt.Check(t, u.canSend(u.nextSendAt()), qt.IsTrue)
 }
 
 // Guards against a pause of the process taken for a thin link.
-func TestPauseOfTheProcessIsNoThinLink(t *testing.T) {
+func TestProcessPauseIsNotTakenForAThinLink(t *testing.T) {
 	var u uplink
 	now := time.Second
 	for i := range 8 {
-		m := u.recordSend(now, tasksOf(longText))
-		late := time.Duration(0)
+		m := u.recordSend(now, newTasksFrame(longText))
+		delay := time.Duration(0)
 		if i >= 3 {
-			late = 80 * time.Millisecond
+			delay = 80 * time.Millisecond
 		}
-		u.recordArrival(now+late, m, late)
+		u.recordArrival(now+delay, m, delay)
 	}
 	qt.Check(t, u.rate, qt.Equals, 0.0)
 }
@@ -61,11 +61,11 @@
 // Guards against callers refused for good after a link was thin for a moment.
 func TestRateOfAThinLinkIsRaisedAgain(t *testing.T) {
 	var u uplink
-	now := burst(&u, time.Second, 8, thinRate/10)
+	now := sendBurst(&u, time.Second, 8, thinRate/10)
 	qt.Assert(t, u.rate < thinRate/5, qt.IsTrue)
 	for range 40 {
 		now += 100 * time.Millisecond
-		m := u.recordSend(now, tasksOf(longText))
+		m := u.recordSend(now, newTasksFrame(longText))
 		u.canSend(now) // the next job is held back
 		u.recordArrival(now+time.Millisecond, m, 0)
 	}
@@ -73,27 +73,27 @@
 }
 
 // Guards against a link overfilled before its bandwidth is known.
-func TestLittleIsSentOverALinkThatIsNotKnown(t *testing.T) {
+func TestLittleIsSentOverALinkOfUnknownRate(t *testing.T) {
 	var u uplink
 	now := time.Second
 	sent := 0.0
 	for u.canSend(now) {
-		sent += frameBytes(tasksOf(longText))
-		u.recordSend(now, tasksOf(longText))
+		sent += frameBytes(newTasksFrame(longText))
+		u.recordSend(now, newTasksFrame(longText))
 	}
 	qt.Check(t, sent < 2*initialWindow, qt.IsTrue)
 	qt.Check(t, u.canSend(now+windowTimeout), qt.IsTrue) // no word came
-	m := u.recordSend(now, tasksOf(longText))
+	m := u.recordSend(now, newTasksFrame(longText))
 	u.recordArrival(now, m, 0)
 	for u.canSend(now) && sent < 2*unlimitedWindow {
-		sent += frameBytes(tasksOf(longText))
-		u.recordArrival(now, u.recordSend(now, tasksOf(longText)), 0)
+		sent += frameBytes(newTasksFrame(longText))
+		u.recordArrival(now, u.recordSend(now, newTasksFrame(longText)), 0)
 	}
 	qt.Check(t, sent >= 2*unlimitedWindow, qt.IsTrue) // each that has come lets more be sent
 }
 
-// thinEntry is an entry with a thin link and guards with room for two tasks each.
-func thinEntry(guards int) *Machine {
+// newThinLinkEntry is an entry with a thin link and guards with room for two tasks each.
+func newThinLinkEntry(guards int) *Machine {
 	m := New(0, Options{Seed: 1})
 	for i := range guards {
 		m.GuardUp(0, &wire.RunHello{
@@ -111,8 +111,8 @@
 	return identity.Incarnation([]string{"g0", "g1", "g2", "g3"}[i])
 }
 
-// sentTo gives the frames with tasks among some actions, in order.
-func sentTo(actions []Action) (list []*wire.RunTasks, guards []identity.Incarnation) {
+// sentRunTasks gives the frames with tasks among some actions, in order.
+func sentRunTasks(actions []Action) (list []*wire.RunTasks, guards []identity.Incarnation) {
 	for _, a := range actions {
 		if a.Frame != nil && a.Frame.RunTasks != nil {
 			list, guards = append(list, a.Frame.RunTasks), append(guards, a.Guard)
@@ -129,9 +129,9 @@
 
 // Guards against a text sent over a thin link once for each guard.
 func TestTextOfAJobPassesAThinLinkOnce(t *testing.T) {
-	m := thinEntry(3)
+	m := newThinLinkEntry(3)
 	qt.Assert(t, m.Submit(0, longJob("j", 6)) == nil, qt.IsTrue)
-	list, guards := sentTo(m.Actions(0))
+	list, guards := sentRunTasks(m.Actions(0))
 	qt.Assert(t, list, qt.HasLen, 3)
 	qt.Check(t, textBytes(list[0]) > 0 && list[0].Keep, qt.IsTrue)
 	for _, other := range list[1:] {
@@ -141,14 +141,14 @@
 }
 
 // Guards against tasks that wait for a text whose guard is gone.
-func TestTextThatIsNotToBeHadIsSentByTheEntry(t *testing.T) {
-	m := thinEntry(2)
+func TestUnavailableTextIsSentByTheEntry(t *testing.T) {
+	m := newThinLinkEntry(2)
 	qt.Assert(t, m.Submit(0, longJob("j", 4)) == nil, qt.IsTrue)
-	list, guards := sentTo(m.Actions(0))
+	list, guards := sentRunTasks(m.Actions(0))
 	qt.Assert(t, list, qt.HasLen, 2)
 	end := wire.RunEnd{Job: "j", Index: list[1].Tasks[0].Index, Run: 1, Kind: errkind.Busy, Ran: errkind.RanNo, NoText: true}
 	m.Ended(time.Millisecond, guards[1], &wire.RunsEnded{Ends: []wire.RunEnd{end}, Load: wire.RunLoad{ClockMs: 1, Seen: 1, Free: sched.Room{CPU: 4000}}})
-	again, _ := sentTo(m.Actions(time.Millisecond))
+	again, _ := sentRunTasks(m.Actions(time.Millisecond))
 	qt.Assert(t, again, qt.HasLen, 1)
 	qt.Check(t, again[0].Source, qt.Equals, "")
 	qt.Check(t, textBytes(again[0]) > 0, qt.IsTrue)
@@ -164,7 +164,7 @@
 	})
 	j := longJob("j", 1)
 	qt.Assert(t, m.Submit(0, j) == nil, qt.IsTrue)
-	list, _ := sentTo(m.Actions(0))
+	list, _ := sentRunTasks(m.Actions(0))
 	qt.Assert(t, list, qt.HasLen, 1)
 	qt.Check(t, list[0].Text, qt.Equals, j.Text)
 	qt.Check(t, list[0].Packed, qt.IsNil)
@@ -172,7 +172,7 @@
 
 // Guards against room held idle for jobs that wait for the link.
 func TestNoRoomIsHeldForJobsThatWaitForTheLink(t *testing.T) {
-	m := thinEntry(2)
+	m := newThinLinkEntry(2)
 	m.uplink.idleAt = time.Second
 	j := longJob("j", 1)
 	q := *testQueue
@@ -182,5 +182,5 @@
 	qt.Check(t, m.Actions(0), qt.HasLen, 0)
 	next := m.NextTick()
 	m.Tick(next)
-	qt.Check(t, sentTasks(m.Actions(next)), qt.Equals, 1)
+	qt.Check(t, countSentTasks(m.Actions(next)), qt.Equals, 1)
 }
