--- a/internal/batch/ablation_test.go
+++ b/internal/batch/ablation_test.go
@@ -7,11 +7,11 @@
 	"wigeontray/internal/policy"
 )
 
-// ablationSeeds are other seeds than those of the tests: the rules were chosen with these.
+// ablationSeeds differ from the seeds of the tests, with which the rules were chosen.
 var ablationSeeds = []uint64{101, 102, 103, 104, 105, 106, 107, 108}
 
-// BenchmarkAblation reports the share that is served in time at each load with one
-// mechanism off at a time.
+// BenchmarkAblation reports the share of requests served in time at each load with one mechanism
+// disabled at a time.
 func BenchmarkAblation(b *testing.B) {
 	b.Run("nothing", func(b *testing.B) { benchmarkWithout(b, 0) })
 	b.Run("all rules for shortage and sick workers", func(b *testing.B) {
@@ -22,6 +22,7 @@
 	}
 }
 
+// benchmarkWithout reports the served share of each load with the given mechanisms disabled.
 func benchmarkWithout(b *testing.B, disabled policy.Set) {
 	loads := []load{{offeredLoad: 0.5}, {offeredLoad: 0.8}, {offeredLoad: 1.0}, {offeredLoad: 1.25}, {offeredLoad: 1.6}, {offeredLoad: 0.5, slowWorkers: 2}, {offeredLoad: 0.5, hangingWorkers: 2}, {offeredLoad: 0.5, unansweredShare: 0.05}}
 	for b.Loop() {
--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -148,9 +148,9 @@
 	return usable, suitable, present
 }
 
-// expectedWait returns how long a job is expected to wait for room: the work queued ahead of it,
-// and half of its own work if that does not fit into the free room, divided by this entry's share
-// of the service's capacity.
+// expectedWait returns how long a job is expected to wait for room: the work queued ahead of it
+// plus half of its own, divided by this entry's share of the service's capacity. It is 0 if no
+// work is queued ahead and each of the job's first steps fits into the free room.
 func (m *Machine) expectedWait(spec *Job) time.Duration {
 	var workAhead float64 // thousandths of a core, times nanoseconds
 	for _, j := range m.queue {
--- a/internal/batch/admit_test.go
+++ b/internal/batch/admit_test.go
@@ -11,7 +11,7 @@
 	"wigeontray/internal/wire"
 )
 
-// newOneWorkerMachine is an entry with a worker of 40 cores.
+// newOneWorkerMachine returns the machine of an entry with one worker of 40 cores.
 func newOneWorkerMachine() *Machine {
 	m := New(0, Options{Seed: 1})
 	m.GuardUp(0, &wire.RunHello{
@@ -30,7 +30,8 @@
 	}}}
 }
 
-// A need that no worker could ever meet is told from one whose worker is away.
+// Guards against a job that is refused for good because its worker is temporarily unavailable,
+// and against one that is retried although no worker can ever run it.
 func TestNeverFitsIsDistinguishedFromNoWorkers(t *testing.T) {
 	m := newOneWorkerMachine()
 	afterDelay := neverFitsDelay + time.Second
@@ -42,9 +43,9 @@
 	qt.Assert(t, err.After > 0, qt.IsTrue)
 }
 
-// A job is cut off and comes again to the same entry. Only then does the guard's
-// word on the first run arrive: "not started". Taken for one on the second run, its
-// task would be started at another worker while it runs.
+// Guards against a task started at a second worker while it runs. A job is cancelled and
+// resubmitted to the same entry; the guard's report that the first run was not started arrives
+// only then, and must not be taken for the second run.
 func TestLateRunEndOfAnEarlierSubmissionIsIgnored(t *testing.T) {
 	m := newOneWorkerMachine()
 	nextRun := func() int64 {
@@ -68,8 +69,9 @@
 	qt.Assert(t, nextRun(), qt.Equals, int64(0))
 }
 
-// Workers are full. A caller whose job has waited for a quarter of its time is told that
-// nothing of it has run and when to come back, while there is time to ask elsewhere.
+// Guards against callers that are kept waiting for full workers: a job that has waited for a
+// quarter of its target duration is refused as not run, with a retry delay, while its caller
+// still has time to try another entry.
 func TestJobIsRefusedAfterAQuarterOfItsTargetDuration(t *testing.T) {
 	m := newOneWorkerMachine()
 	qt.Assert(t, m.Submit(0, testJob("first", 10, 4000)) == nil, qt.IsTrue)
@@ -87,6 +89,7 @@
 	qt.Check(t, outcomes[0].Err.After > 0, qt.IsTrue)
 }
 
+// finishedOutcomes returns the outcomes of the Finish actions.
 func finishedOutcomes(actions []Action) []*Outcome {
 	var out []*Outcome
 	for i := range actions {
--- a/internal/batch/advertise.go
+++ b/internal/batch/advertise.go
@@ -13,7 +13,8 @@
 // at first. While tasks go on waiting, it advertises to twice as many guards after each interval.
 // Each advertisement is one frame per guard. Sent to all guards of a large fleet, these frames
 // would cost a small entry more than its jobs, and some of a dozen workers usually have free room
-// again within milliseconds. The interval is minAdvertiseInterval for each 2*initialAdvertiseCount guards.
+// again within milliseconds. The interval is minAdvertiseInterval for each
+// 2*initialAdvertiseCount guards.
 const (
 	minAdvertiseInterval  = 50 * time.Millisecond
 	initialAdvertiseCount = 12
--- a/internal/batch/advertise_test.go
+++ b/internal/batch/advertise_test.go
@@ -12,7 +12,8 @@
 	"wigeontray/internal/wire"
 )
 
-// newFullFleet is an entry in the first of five failure domains, whose guards have no room.
+// newFullFleet returns the machine of an entry in the first of five failure domains, whose guards
+// have no free room.
 func newFullFleet(guards int) *Machine {
 	m := New(0, Options{Seed: 1, Domain: "d0"})
 	for i := range guards {
@@ -27,7 +28,7 @@
 	return m
 }
 
-// sentBeats gives the guards that were sent a frame, with what it says of waiting tasks.
+// sentBeats returns the guards that were sent a heartbeat, with whether it carries a demand.
 func sentBeats(actions []Action) map[identity.Incarnation]bool {
 	out := make(map[identity.Incarnation]bool)
 	for _, a := range actions {
@@ -38,17 +39,18 @@
 	return out
 }
 
+// waitingJob returns a job that waits for room instead of being refused.
 func waitingJob(id string) *Job {
 	j := testJob(id, 1, 4000)
 	q := *testQueue
-	q.Stretch = 100 // it waits
+	q.Stretch = 100 // allows a long wait
 	j.Queue = &q
 	return j
 }
 
-// A fleet is just full, so that a job waits for a few milliseconds again and again.
-// Told to all 72 guards each time, an entry with a fifth of a core did not get on with
-// its jobs, and a quarter of the callers of its failure domain were not served.
+// Guards against too many advertisements when the fleet is just full and jobs repeatedly wait for
+// a few milliseconds. With a frame to all 72 guards each time, an entry with a fifth of a core
+// fell behind with its jobs, and a quarter of the callers in its failure domain were not served.
 func TestAdvertisingSendsFewFramesInALargeFleet(t *testing.T) {
 	m := newFullFleet(72)
 	frames := 0
@@ -63,8 +65,8 @@
 	qt.Check(t, frames <= 100*2*15, qt.IsTrue, qt.Commentf("%d frames in a second", frames))
 }
 
-// The own failure domain stays full. A job that went on waiting for it alone would be
-// late while the workers elsewhere have room.
+// Guards against a job that waits only for its own failure domain, which stays full, while
+// workers in other domains have room.
 func TestDemandOfALongWaitingJobReachesAllGuards(t *testing.T) {
 	m := newFullFleet(72)
 	qt.Assert(t, m.Submit(0, waitingJob("j")) == nil, qt.IsTrue)
@@ -84,7 +86,7 @@
 		qt.Assert(t, count > reached && count <= 2*reached, qt.IsTrue, qt.Commentf("%d after %d", count, reached))
 		reached = count
 	}
-	// And when it does not wait any more, all of them are.
+	// The end of the demand is sent to all guards as well.
 	m.Cancel(next, "j")
 	last := sentBeats(m.Actions(next))
 	qt.Check(t, last, qt.HasLen, 72)
@@ -93,8 +95,8 @@
 	}
 }
 
-// In a small fleet the few guards of a failure domain may be busy for long: all are
-// told at once, for a frame each.
+// Guards against a delay in a small fleet, where the few guards of one failure domain may be busy
+// for long: the demand is sent to all guards at once, one frame each.
 func TestDemandReachesAllGuardsOfASmallFleetAtOnce(t *testing.T) {
 	m := newFullFleet(11)
 	qt.Assert(t, m.Submit(0, waitingJob("j")) == nil, qt.IsTrue)
--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -51,7 +51,7 @@
 // Job is one submission of a job by a caller.
 type Job struct {
 	ID      string
-	Request string // the caller's request identity, for logs; empty for none
+	Request string // the caller's request ID, for logs; empty for none
 	// HeldUp is set if a network partition may have delayed the job, so that its caller may have
 	// resubmitted it to another entry.
 	HeldUp   bool
--- a/internal/batch/bench_test.go
+++ b/internal/batch/bench_test.go
@@ -10,15 +10,15 @@
 	"wigeontray/internal/wire"
 )
 
-// BenchmarkFullFleet is an entry of a full fleet: 72 workers without room for a task,
-// 30 jobs that wait, and a guard's word that a run has ended, with some room.
+// BenchmarkFullFleet measures an event at an entry of a full fleet: 72 workers without room for a
+// task, 30 waiting jobs, and a guard's report that a run has ended, which leaves some free room.
 func BenchmarkFullFleet(b *testing.B) {
 	b.Run("of one priority", func(b *testing.B) { benchFullFleet(b, 0) })
 	b.Run("that may be overtaken", func(b *testing.B) { benchFullFleet(b, 2) })
 }
 
-// benchFullFleet lets jobs of a priority wait after a more urgent one, or one like them,
-// has come.
+// benchFullFleet runs the benchmark with waiting jobs of the given priority, after a job of
+// priority 0 has arrived.
 func benchFullFleet(b *testing.B, priority int) {
 	m := New(0, Options{Seed: 1})
 	const guards = 72
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -15,18 +15,19 @@
 	"wigeontray/internal/wire"
 )
 
-// crashTotals sums up what crashing jobs did in some plays of a load.
+// crashTotals sums up the effects of crashing jobs over several simulations.
 type crashTotals struct {
 	crashes, wronglyFailed, crashersFailed int
-	meanAnswerTime                         time.Duration // on average
+	meanAnswerTime                         time.Duration
 	served                                 float64
 }
 
 const (
 	crashSeeds         = 6
-	crashingJobsPerRun = 3 // of each play
+	crashingJobsPerRun = 3
 )
 
+// simulateCrashes returns the totals over crashSeeds simulations with some mechanisms disabled.
 func simulateCrashes(t *testing.T, disabled ...policy.Mechanism) crashTotals {
 	var sum crashTotals
 	list := load{offeredLoad: 0.4, crashingJobs: crashingJobsPerRun}.resultsWithSeeds(t, crashSeeds, disabled...)
@@ -41,7 +42,8 @@
 	return sum
 }
 
-// Guards against a task that crashes worker after worker, and against jobs that are told to have failed as they were beside it.
+// Guards against a task that crashes one worker after another, and against jobs that are answered
+// as failed because they ran beside it.
 func TestLoadWithCrashingJobsCrashesFewWorkersAndFailsNoOtherJob(t *testing.T) {
 	all, withoutSeparation, withoutLimit := simulateCrashes(t), simulateCrashes(t, policy.SuspectsApart), simulateCrashes(t, policy.CrashLimit)
 	qt.Check(t, all.crashersFailed >= crashSeeds*crashingJobsPerRun-1, qt.IsTrue)
@@ -50,14 +52,14 @@
 	qt.Check(t, all.served > withoutLimit.served+0.1, qt.IsTrue)
 }
 
-// Guards against jobs that are told to have failed as their workers crash by themselves.
+// Guards against jobs that are answered as failed because their workers crash for other reasons.
 func TestLoadWithFlappingWorkersFailsNoJob(t *testing.T) {
 	for _, r := range (load{offeredLoad: 0.5, flappingWorkers: 2}).resultsWithSeeds(t, crashSeeds) {
 		qt.Check(t, r.wronglyFailed, qt.Equals, 0)
 	}
 }
 
-// Guards against counts that are lost when a caller sends its job to another entry.
+// Guards against crash counts that are lost when a caller resubmits its job to another entry.
 func TestCrashesAreCountedAcrossEntries(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{})
@@ -77,7 +79,7 @@
 			qt.Check(t, f.RunTasks.Tasks[1].Crashes, qt.Equals, 1)
 		}
 	}
-	// The second crash, here: the job has failed, and stays so wherever it is sent.
+	// The second crash is reported to this entry. The job fails, and fails again if resubmitted.
 	m.Ended(now, "g0", &wire.RunsEnded{Load: hello.Load, Ends: []wire.RunEnd{
 		{Job: "a", Index: 1, Run: 1, Kind: errkind.WorkerLost, Ran: errkind.RanYes, Crashed: true},
 	}})
@@ -88,14 +90,16 @@
 	qt.Check(t, batch.HasFailed(err), qt.IsTrue)
 }
 
-// Guards against a task that goes on crashing workers, and against others that are blamed for it, as its starts have no answer.
+// Guards against a task that keeps crashing workers, and against other tasks that are blamed for
+// it, because the orders to start it get no answer.
 func TestLoadWithCrashingJobsAndUnansweredOrdersFailsFewOtherJobs(t *testing.T) {
 	for _, r := range (load{offeredLoad: 0.4, crashingJobs: 3 * crashingJobsPerRun, unansweredShare: 0.6}).resultsWithSeeds(t, 2*crashSeeds) {
 		qt.Check(t, r.wronglyFailed <= 1, qt.IsTrue, qt.Commentf("%d jobs", r.wronglyFailed))
 	}
 }
 
-// Guards against a task that crashes one worker after another, none of them for certain.
+// Guards against a task that crashes one worker after another without being identified for
+// certain.
 func TestTaskWithSuspectedCrashesIsNotRetriedForever(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{})
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -15,7 +15,7 @@
 	"wigeontray/internal/wire"
 )
 
-// injectDrainOrFault drains and takes back domains amid other trouble.
+// injectDrainOrFault drains a domain, ends all drains, or injects another fault.
 func injectDrainOrFault(s *sim) {
 	switch s.rng.IntN(4) {
 	case 0:
@@ -29,7 +29,8 @@
 	}
 }
 
-// Guards against starts in a drained failure domain, and against jobs that run twice or are refused untruly around a drain.
+// Guards against starts in a drained failure domain, and against jobs that run twice or are
+// wrongly refused as not run around a drain.
 func TestNoTaskStartsInADrainedDomainUnderRandomFaults(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	for seed := range uint64(40) {
@@ -41,24 +42,27 @@
 	}
 }
 
-// drainSeeds is with how many seeds these loads are played: single ones differ by a tenth.
+// drainSeeds is the number of seeds of these loads, as the results of single seeds differ by a
+// tenth.
 const drainSeeds = 8
 
-// Guards against a load of 0.45 that goes on to be sent to one of two domains after its drain, and against a domain that stays unused after it was taken back.
+// Guards against a load of 0.45 of the capacity that is still sent to a drained domain, one of
+// two, and against a domain that stays unused after its drain has ended.
 func TestLoadWithADrainedDomainIsServedByTheOther(t *testing.T) {
 	list := load{offeredLoad: 0.45, drain: true}.resultsWithSeeds(t, drainSeeds)
 	served := mean(list, (*loadResult).served)
 	qt.Check(t, served > 0.88, qt.IsTrue, qt.Commentf("%.3f", served))
 }
 
-// Guards against a load beyond the room that a drain leaves being worked on in vain.
+// Guards against work on jobs that cannot end in time when the load exceeds the capacity left by
+// a drain.
 func TestLoadBeyondTheRemainingCapacityOfADrainWastesLittle(t *testing.T) {
 	list := load{offeredLoad: 0.75, drain: true}.resultsWithSeeds(t, drainSeeds)
 	wasted := mean(list, func(r *loadResult) float64 { return r.wasted })
 	qt.Check(t, wasted < 0.08, qt.IsTrue, qt.Commentf("%.3f", wasted))
 }
 
-// newHello gives the first word of a guard whose worker is in a failure domain.
+// newHello returns the first frame of a guard whose worker is in the given failure domain.
 func newHello(name identity.Incarnation, domain string) *wire.RunHello {
 	room := sched.Room{CPU: 8000, MemoryMB: 1000}
 	return &wire.RunHello{
@@ -68,13 +72,13 @@
 	}
 }
 
-// Guards against jobs that wait for the room of drained workers instead of being refused.
+// Guards against jobs that wait for room at drained workers instead of being refused.
 func TestDrainReducesCapacityForAdmissionAtOnce(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{Domain: "d0"})
 	m.SetDrains(now, &wire.Drains{Revision: 1, Domains: []string{"d1"}})
 	m.GuardUp(now, newHello("g0", "d0"))
-	m.GuardUp(now, newHello("g1", "d1")) // one that comes during a drain
+	m.GuardUp(now, newHello("g1", "d1")) // links during the drain of its domain
 	qt.Check(t, m.Workers(), qt.Equals, 1)
 	m.SetDrains(now, &wire.Drains{Revision: 2, Domains: []string{"d0", "d1"}})
 	qt.Check(t, m.Workers(), qt.Equals, 0)
@@ -88,7 +92,8 @@
 	qt.Check(t, m.Workers(), qt.Equals, 2)
 }
 
-// Guards against a cold worker that gets its full share at once when its domain is taken back.
+// Guards against a cold worker that gets its full share of tasks as soon as the drain of its
+// domain ends.
 func TestColdWorkerStartsWithOneTask(t *testing.T) {
 	now := time.Hour
 	m := batch.New(now, batch.Options{Domain: "d0"})
--- a/internal/batch/ideal_test.go
+++ b/internal/batch/ideal_test.go
@@ -9,28 +9,28 @@
 	"wigeontray/internal/runs"
 )
 
-// centralQueue is one queue for all workers that knows the present and each run time and has no
-// delay: what a load is held against.
+// centralQueue is an ideal scheduler against which loads are compared: a single queue for all
+// workers with current state, known run times and no delays.
 type centralQueue struct {
 	s           *sim
-	startsWhole bool    // jobs that may be overtaken begin as a whole
-	free        []int64 // by worker, thousandths of a core
+	startsWhole bool    // jobs that may be overtaken start only as a whole
+	free        []int64 // free CPU by worker, in thousandths of a core
 	queue       []*centralJob
 }
 
-// centralJob is a job that waits, or runs in part.
+// centralJob is a job that waits or has started in part.
 type centralJob struct {
 	kind       *requestKind
 	tally      *tally
-	need       int64 // of a task, thousandths of a core
+	need       int64 // CPU of a task, in thousandths of a core
 	runTime    time.Duration
 	arrivedAt  time.Duration
-	waiting    int
-	unfinished int // tasks that are not done
+	waiting    int // tasks not started
+	unfinished int // tasks not completed
 }
 
-// BenchmarkCentralQueue reports the share that one queue serves in time at each load, with
-// jobs begun in part and as a whole.
+// BenchmarkCentralQueue reports the share of requests that a central queue serves in time at each
+// load, with jobs started in part and as a whole.
 func BenchmarkCentralQueue(b *testing.B) {
 	for _, startsWhole := range []bool{false, true} {
 		b.Run(fmt.Sprintf("whole=%v", startsWhole), func(b *testing.B) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// simulateCentralQueue plays a load on one queue.
+// simulateCentralQueue runs a load on one central queue.
 func (l load) simulateCentralQueue(startsWhole bool) *loadResult {
 	c := &centralQueue{s: newSim(l.seed, 0, 0, runs.DefaultResend, 0), startsWhole: startsWhole}
 	for range loadGuards {
@@ -56,7 +56,7 @@
 	mix := ticketMix()
 	r := &loadResult{kinds: make([]tally, len(mix))}
 	start := c.s.now
-	l.generateArrivals(c.s, start, mix, func(kind int) { c.enqueue(&mix[kind], &r.kinds[kind]) })
+	l.generateArrivals(c.s, start, mix, func(kindIndex int) { c.enqueue(&mix[kindIndex], &r.kinds[kindIndex]) })
 	c.s.run(start + l.duration + 6*time.Second)
 	return r
 }
@@ -70,8 +70,8 @@
 	c.dispatch()
 }
 
-// dispatch begins what finds room, by priority and arrival, and refuses what waits whole and
-// can no longer end in time.
+// dispatch starts the tasks that fit, by priority and arrival, and refuses jobs that have not
+// started and can no longer end in time.
 func (c *centralQueue) dispatch() {
 	c.queue = slices.DeleteFunc(c.queue, c.isDone)
 	slices.SortStableFunc(c.queue, func(a, b *centralJob) int { return a.kind.queue.Priority - b.kind.queue.Priority })
@@ -85,6 +85,8 @@
 	}
 }
 
+// isDone reports whether a job leaves the queue: all its tasks have started, or it is counted as
+// refused because it cannot end in time.
 func (c *centralQueue) isDone(j *centralJob) bool {
 	if j.waiting == j.unfinished && c.s.now+j.runTime > j.arrivedAt+j.kind.targetDuration(j.runTime) {
 		j.tally.refused++
@@ -93,7 +95,7 @@
 	return j.waiting == 0
 }
 
-// countPlaces counts the tasks of a job that find room now.
+// countPlaces returns how many of a job's tasks fit into the free room.
 func (c *centralQueue) countPlaces(j *centralJob) int {
 	n := 0
 	for _, free := range c.free {
@@ -102,7 +104,7 @@
 	return n
 }
 
-// startTask starts a task of a job on the worker with most room, if it fits there.
+// startTask starts a task on the worker with the most free CPU and reports whether it fits there.
 func (c *centralQueue) startTask(j *centralJob) bool {
 	w := 0
 	for i := range c.free {
@@ -119,6 +121,7 @@
 	return true
 }
 
+// endTask frees the room of a task and counts its job once it is complete.
 func (c *centralQueue) endTask(j *centralJob, worker int) {
 	c.free[worker] += j.need
 	if j.unfinished--; j.unfinished == 0 {
--- a/internal/batch/load_test.go
+++ b/internal/batch/load_test.go
@@ -18,58 +18,57 @@
 	"wigeontray/internal/sched"
 )
 
-// requestKind is a kind of request of a load.
+// requestKind describes one kind of request in a load.
 type requestKind struct {
 	queue           *batch.Queue
-	share           float64 // of the arrivals
-	tasks           int
-	cpu             int64 // of a task, thousandths of a core
-	meanRunTime     time.Duration
-	callerTimeout   time.Duration // of its callers
-	text            int           // bytes that tell what its tasks are
-	estimateDivisor float64       // by how much its callers' estimates are too short; 0 for not at all
+	share           float64       // relative share of the arrivals
+	tasks           int           // median number of tasks of a job
+	cpu             int64         // mean CPU of a task, in thousandths of a core
+	medianRunTime   time.Duration // median run time of a job's tasks
+	callerTimeout   time.Duration // time after which a caller stops waiting
+	text            int           // size of a job's text, in bytes
+	estimateDivisor float64       // factor by which the callers' estimates are too short; 0 for none
 }
 
-// ticketMix is the mix of a ticket desk: holds of a few seats each that are most urgent,
-// small checks, and long bookings of groups, which come last. They are as 2 to 4 to 3 in
-// processor time, and each kind is a third of what the service is worth to its callers.
+// ticketMix is the mix of a ticket service: the most urgent holds of a few seats, small checks,
+// and long group bookings with the lowest priority. Their processor time is in the ratio 2:4:3,
+// and each kind accounts for a third of the service's value to its callers.
 func ticketMix() []requestKind {
 	queue := func(name string, priority int) *batch.Queue {
 		return &batch.Queue{Name: name, Service: "svc", Priority: priority, MaxAttempts: 3, Stretch: 1.6, Slack: 60 * time.Millisecond}
 	}
 	return []requestKind{
-		{queue: queue("hold", 0), share: 34.4, tasks: 8, cpu: 3100, meanRunTime: 60 * time.Millisecond, callerTimeout: 1500 * time.Millisecond, text: 2400},
-		{queue: queue("booking", 2), share: 6.25, tasks: 4, cpu: 3100, meanRunTime: 900 * time.Millisecond, callerTimeout: 4300 * time.Millisecond, text: 300},
-		{queue: queue("check", 1), share: 100, tasks: 2, cpu: 3100, meanRunTime: 200 * time.Millisecond, callerTimeout: 1500 * time.Millisecond, text: 2400},
+		{queue: queue("hold", 0), share: 34.4, tasks: 8, cpu: 3100, medianRunTime: 60 * time.Millisecond, callerTimeout: 1500 * time.Millisecond, text: 2400},
+		{queue: queue("booking", 2), share: 6.25, tasks: 4, cpu: 3100, medianRunTime: 900 * time.Millisecond, callerTimeout: 4300 * time.Millisecond, text: 300},
+		{queue: queue("check", 1), share: 100, tasks: 2, cpu: 3100, medianRunTime: 200 * time.Millisecond, callerTimeout: 1500 * time.Millisecond, text: 2400},
 	}
 }
 
-// work is the processor time of a usual job, in cores times seconds.
+// work returns the processor time of a typical job, in cores times seconds.
 func (k *requestKind) work() float64 {
-	return float64(k.tasks) * float64(k.cpu) / 1000 * k.meanRunTime.Seconds()
+	return float64(k.tasks) * float64(k.cpu) / 1000 * k.medianRunTime.Seconds()
 }
 
-// load is a time of steady load at three entries and ten workers of 15 cores: a task
-// takes a fifth of a worker, so that much room lies free in pieces.
+// load is a period of constant load on three entries and ten workers of 15 cores. A task takes a
+// fifth of a worker, so that much free room is fragmented.
 type load struct {
 	seed            uint64
-	offeredLoad     float64 // work that is asked for, by the room of all workers
+	offeredLoad     float64 // requested work divided by the capacity of all workers
 	duration        time.Duration
-	disabled        policy.Set
-	slowWorkers     int  // workers that turn slow after a quarter of the length, for half of it
-	hangingWorkers  int  // workers whose tasks stand still for that time
-	drain           bool // one of the two failure domains is drained for that time
-	crashingJobs    int  // jobs that crash each worker which starts a task of them
-	flappingWorkers int  // workers that crash by themselves every flapInterval for half of the length
-	// unanswered is the part of the orders to workers without an answer, from a quarter
-	// of the length on, for half of it.
+	disabled        policy.Set // disabled mechanisms
+	slowWorkers     int        // workers that are slow from a quarter to three quarters of the duration
+	hangingWorkers  int        // workers whose runs make no progress in that period
+	drain           bool       // whether one of the two failure domains is drained in that period
+	crashingJobs    int        // jobs that crash each worker that starts a task of them
+	flappingWorkers int        // workers that crash every flapInterval in that period for other reasons
+	// unansweredShare is the share of the orders to workers that get no answer in that period.
 	unansweredShare float64
-	answerDelay     time.Duration // by how much later workers answer
-	mixAfterShift   []requestKind // the mix after a third of the length; nil for the same throughout
-	linkRate        float64       // of an entry's link in each direction, in bytes a second; 0 for no bound
+	answerDelay     time.Duration // additional delay of the workers' answers
+	mixAfterShift   []requestKind // mix after a third of the duration; nil for no change
+	linkRate        float64       // bandwidth of an entry's link in each direction, in bytes a second; 0 for no limit
 }
 
-// faultName names what is wrong with the workers of a load, for the name of a figure.
+// faultName returns the suffix of metric names for a load with faulty workers.
 func (l load) faultName() string {
 	switch {
 	case l.slowWorkers > 0:
@@ -82,34 +81,34 @@
 	return ""
 }
 
-// loadSlowFactor is by how much the slow workers of a load are slower.
+// loadSlowFactor is the factor by which runs on slow workers take longer.
 const loadSlowFactor = 5.6
 
 const (
 	loadEntries   = 3
 	loadGuards    = 10
-	loadWorkerCPU = 15_000
-	loadCores     = loadGuards * loadWorkerCPU / 1000.0 // cores
+	loadWorkerCPU = 15_000 // thousandths of a core
+	loadCores     = loadGuards * loadWorkerCPU / 1000.0
 )
 
-// tally is what became of the requests of one kind.
+// tally counts the requests of one kind by outcome.
 type tally struct{ arrivals, inTime, late, refused int }
 
-// loadResult is what a load gave.
+// loadResult is the result of one simulated load.
 type loadResult struct {
-	kinds       []tally
-	shifted     []tally // by shiftWindow since the mix has shifted
-	utilization float64 // part of the workers' room that was at work
-	wasted      float64 // part of the work done that served no caller in time
-	violations  []string
+	kinds       []tally  // by request kind, until the mix shifts
+	shifted     []tally  // by shiftWindow after the shift of the mix
+	utilization float64  // share of the workers' capacity that was used
+	wasted      float64  // share of the work done for requests that were not served in time
+	violations  []string // broken rules
 
-	crashes        int           // of workers
-	wronglyFailed  int           // jobs that were told to have failed, and would not have
-	crashersFailed int           // jobs that crash workers and were told to have failed
-	meanAnswerTime time.Duration // on average
+	crashes        int           // crashes of workers
+	wronglyFailed  int           // jobs answered as failed that do not crash workers
+	crashersFailed int           // jobs that crash workers and were answered as failed
+	meanAnswerTime time.Duration // mean time until the latter were answered
 }
 
-// served is the mean share of the kinds that was served in time.
+// served returns the mean over the kinds of the share served in time.
 func (r *loadResult) served() float64 {
 	sum := 0.0
 	for _, k := range r.kinds {
@@ -118,7 +117,7 @@
 	return sum / float64(len(r.kinds))
 }
 
-// String is for the comments of checks.
+// String formats the result for the messages of failed checks.
 func (r *loadResult) String() string {
 	out := fmt.Sprintf("served in time %.3f, busy %.2f, wasted %.2f, by kind:", r.served(), r.utilization, r.wasted)
 	for _, k := range r.kinds {
@@ -128,7 +127,7 @@
 	return out
 }
 
-// simulate plays a load without faults.
+// simulate runs a load with its faults.
 func (l load) simulate() *loadResult {
 	s := newSim(l.seed, loadEntries, loadGuards, runs.DefaultResend, l.disabled)
 	s.linkRate, s.answerDelay = l.linkRate, l.answerDelay
@@ -140,9 +139,9 @@
 	mix := ticketMix()
 	r := &loadResult{kinds: make([]tally, len(mix))}
 	n := 0
-	sendRequest := func(kinds []requestKind, kind int, t *tally) {
+	sendRequest := func(kinds []requestKind, kindIndex int, t *tally) {
 		n++
-		s.sendRequest(fmt.Sprintf("%016x", n), &kinds[kind], t)
+		s.sendRequest(fmt.Sprintf("%016x", n), &kinds[kindIndex], t)
 	}
 	beforeShift := l
 	if l.mixAfterShift != nil {
@@ -150,11 +149,11 @@
 		afterShift, shifted := l, start+beforeShift.duration
 		afterShift.duration -= beforeShift.duration
 		r.shifted = make([]tally, afterShift.duration/shiftWindow+1)
-		afterShift.generateArrivals(s, shifted, l.mixAfterShift, func(kind int) {
-			sendRequest(l.mixAfterShift, kind, &r.shifted[(s.now-shifted)/shiftWindow])
+		afterShift.generateArrivals(s, shifted, l.mixAfterShift, func(kindIndex int) {
+			sendRequest(l.mixAfterShift, kindIndex, &r.shifted[(s.now-shifted)/shiftWindow])
 		})
 	}
-	beforeShift.generateArrivals(s, start, mix, func(kind int) { sendRequest(mix, kind, &r.kinds[kind]) })
+	beforeShift.generateArrivals(s, start, mix, func(kindIndex int) { sendRequest(mix, kindIndex, &r.kinds[kindIndex]) })
 	for i := range l.slowWorkers + l.hangingWorkers {
 		w := s.workers[i]
 		s.at(start+l.duration/4, func() {
@@ -191,10 +190,10 @@
 	return r
 }
 
-// flapInterval is the time between two crashes of a worker that flaps.
+// flapInterval is the time between two crashes of a flapping worker.
 const flapInterval = 1300 * time.Millisecond
 
-// submitCrashingJobs sends jobs that crash workers, spread over the length.
+// submitCrashingJobs submits jobs that crash workers, evenly spread over the duration.
 func (l load) submitCrashingJobs(s *sim, start time.Duration, r *loadResult, mix []requestKind) {
 	for n := range l.crashingJobs {
 		at := start + l.duration*time.Duration(n+1)/time.Duration(l.crashingJobs+1)
@@ -213,8 +212,9 @@
 	}
 }
 
-// generateArrivals lets requests come at random moments from start on. ask is told the kind of each.
-func (l load) generateArrivals(s *sim, start time.Duration, mix []requestKind, sendRequest func(kind int)) {
+// generateArrivals schedules requests at random times from start on and calls sendRequest with
+// the kind of each.
+func (l load) generateArrivals(s *sim, start time.Duration, mix []requestKind, sendRequest func(kindIndex int)) {
 	totalShare, work := 0.0, 0.0
 	for i := range mix {
 		totalShare += mix[i].share
@@ -222,12 +222,12 @@
 	}
 	arrivalRate := l.offeredLoad * loadCores / (work / totalShare)
 	for at := start; at < start+l.duration; at += time.Duration(s.rng.ExpFloat64() / arrivalRate * float64(time.Second)) {
-		kind := s.drawKind(mix, totalShare)
-		s.at(at, func() { sendRequest(kind) })
+		kindIndex := s.drawKind(mix, totalShare)
+		s.at(at, func() { sendRequest(kindIndex) })
 	}
 }
 
-// drawKind draws a kind by its share.
+// drawKind draws a request kind at random, weighted by share.
 func (s *sim) drawKind(mix []requestKind, totalShare float64) int {
 	point := s.rng.Float64() * totalShare
 	for i := range mix {
@@ -238,11 +238,11 @@
 	return len(mix) - 1
 }
 
-// sampleJob draws a job of a kind. Its size and run time spread around the usual ones, and its
+// sampleJob draws a job of a kind. Its size and run time vary around the kind's medians, and its
 // estimate is off by as much as half.
 func (s *sim) sampleJob(k *requestKind) (step batch.Step, runTime time.Duration) {
 	logNormal := func(sigma float64) float64 { return math.Exp(sigma * s.rng.NormFloat64()) }
-	runTime = time.Duration(float64(k.meanRunTime) * logNormal(0.3))
+	runTime = time.Duration(float64(k.medianRunTime) * logNormal(0.3))
 	return batch.Step{
 		Count:    max(1, int(math.Round(float64(k.tasks)*logNormal(0.4)))),
 		Need:     sched.Room{CPU: int64(float64(k.cpu) * (0.6 + 0.8*s.rng.Float64())), MemoryMB: 64},
@@ -250,14 +250,14 @@
 	}, runTime
 }
 
-// targetDuration is the time in which a job of a kind that takes took should end.
+// targetDuration returns the time in which a job with the given run time should end.
 func (k *requestKind) targetDuration(runTime time.Duration) time.Duration {
 	return time.Duration(k.queue.Stretch*float64(runTime)) + k.queue.Slack
 }
 
-// randomText gives a text of n bytes, each of which tells four bits.
+// randomText returns a text of n bytes with four bits of entropy each.
 func randomText(n int) string {
-	rng := rand.New(rand.NewPCG(1, 1)) // not that of the load, which would change with the length
+	rng := rand.New(rand.NewPCG(1, 1)) // a separate source, so that n does not affect the load's random numbers
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte('a' + rng.IntN(16))
@@ -265,7 +265,7 @@
 	return string(b)
 }
 
-// sendRequest sends one job of a kind and counts how it fares.
+// sendRequest submits one job of a kind and counts its outcome.
 func (s *sim) sendRequest(id string, k *requestKind, t *tally) {
 	step, runTime := s.sampleJob(k)
 	j := &simJob{id: id, steps: []batch.Step{step}, submittedAt: s.now, queue: k.queue, runTime: runTime, text: randomText(k.text)}
@@ -289,19 +289,20 @@
 
 const loadDuration = 12 * time.Second
 
-// loadSeeds is how many seeds each load is played with. The figures in the comments of
-// the rules come from four: go test ./internal/batch -run Load -v -load.seeds 4
+// loadSeeds is the number of seeds for each load. The figures in the comments on the scheduling
+// rules were measured with four: go test ./internal/batch -run Load -v -load.seeds 4
 var loadSeeds = flag.Uint64("load.seeds", 2, "seeds of each simulated load")
 
-// results plays a load without some mechanisms, once with each seed.
+// results runs a load once with each seed, with some mechanisms disabled.
 func (l load) results(t *testing.T, disabled ...policy.Mechanism) (list []*loadResult) {
 	return l.resultsWithSeeds(t, *loadSeeds, disabled...)
 }
 
-// maxParallelSimulations bounds the plays of one load that go on beside each other; each has its own clock.
+// maxParallelSimulations limits the simulations of one load that run in parallel, each with its
+// own clock.
 const maxParallelSimulations = 4
 
-// resultsWithSeeds is the same with a number of seeds.
+// resultsWithSeeds is like results with the given number of seeds.
 func (l load) resultsWithSeeds(t *testing.T, seeds uint64, disabled ...policy.Mechanism) []*loadResult {
 	l.duration, l.disabled = loadDuration, policy.Of(disabled...)
 	list := make([]*loadResult, seeds)
@@ -324,7 +325,7 @@
 	return list
 }
 
-// mean is the mean of a figure of some results.
+// mean returns the mean of a value over the results.
 func mean(list []*loadResult, value func(*loadResult) float64) float64 {
 	sum := 0.0
 	for _, r := range list {
@@ -333,7 +334,7 @@
 	return sum / float64(len(list))
 }
 
-// meanServedAndWasted plays a load and gives what it served in time and what was wasted, on average.
+// meanServedAndWasted runs a load and returns the mean shares served in time and wasted.
 func meanServedAndWasted(t *testing.T, offeredLoad float64, disabled ...policy.Mechanism) (served, wasted float64) {
 	list := load{offeredLoad: offeredLoad}.results(t, disabled...)
 	return mean(list, (*loadResult).served), mean(list, func(r *loadResult) float64 { return r.wasted })
--- a/internal/batch/loadrules_test.go
+++ b/internal/batch/loadrules_test.go
@@ -9,10 +9,11 @@
 	"wigeontray/internal/policy"
 )
 
-// Guards against jobs that are begun in part and hold their room while the rest of them waits behind more urgent ones.
+// Guards against jobs that start in part and hold their room while their other tasks wait behind
+// more urgent ones.
 func TestLoadNearCapacityWastesLittleWithWholeStarts(t *testing.T) {
 	for _, offeredLoad := range []float64{1.0, 1.25} {
-		// Alone: the other rules for shortage keep some of these jobs away.
+		// The other rules for overload are disabled, as they refuse some of these jobs.
 		served, wasted := meanServedAndWasted(t, offeredLoad, policy.BoundedWait, policy.UrgentOffers)
 		servedWithout, wastedWithout := meanServedAndWasted(t, offeredLoad, policy.BoundedWait, policy.UrgentOffers, policy.WholeStarts)
 		qt.Check(t, served > servedWithout+0.08, qt.IsTrue, qt.Commentf("load %.2f: %.3f, %.3f without", offeredLoad, served, servedWithout))
@@ -20,7 +21,8 @@
 	}
 }
 
-// Guards against jobs that begin at the last moment at which they could end in time, and end just too late.
+// Guards against jobs that start at the last moment at which they could end in time, and end just
+// too late.
 func TestLoadNearCapacityGainsFromBoundedWait(t *testing.T) {
 	for _, offeredLoad := range []float64{1.0, 1.25} {
 		served, wasted := meanServedAndWasted(t, offeredLoad, policy.UrgentOffers)
@@ -30,13 +32,13 @@
 	}
 }
 
-// Guards against waiting and refusals while half of the room is free.
+// Guards against waits and refusals while half of the capacity is free.
 func TestLoadOfHalfTheCapacityIsServedInTime(t *testing.T) {
 	served, _ := meanServedAndWasted(t, 0.5)
 	qt.Check(t, served > 0.97, qt.IsTrue, qt.Commentf("%.3f", served))
 }
 
-// Guards against urgent requests that wait at one entry while less urgent ones begin at another.
+// Guards against urgent requests that wait at one entry while less urgent ones start at another.
 func TestLoadBeyondCapacityServesTheMostUrgentFirstAcrossEntries(t *testing.T) {
 	inTime := func(disabled ...policy.Mechanism) float64 {
 		return mean(load{offeredLoad: 1.6}.results(t, disabled...), func(r *loadResult) float64 {
@@ -47,7 +49,7 @@
 	qt.Check(t, with > without+0.05, qt.IsTrue, qt.Commentf("%.3f, %.3f without", with, without))
 }
 
-// Guards against workers that have turned slow and go on getting tasks until their runs end.
+// Guards against workers that have become slow and keep getting tasks until their runs end.
 func TestLoadWithSlowWorkersIsServedInTime(t *testing.T) {
 	missed := func(disabled ...policy.Mechanism) float64 {
 		return 1 - mean(load{offeredLoad: 0.5, slowWorkers: 2}.results(t, disabled...), (*loadResult).served)
@@ -56,7 +58,8 @@
 	qt.Check(t, with < 0.6*without, qt.IsTrue, qt.Commentf("%.3f, %.3f without", with, without))
 }
 
-// Guards against ends of runs that are seen late, as the worker has left out the answer that told of them.
+// Guards against delays in detecting the end of a run when the worker's answer that reported it
+// is lost.
 func TestLoadWithUnansweredOrdersIsServedInTime(t *testing.T) {
 	missed := func(disabled ...policy.Mechanism) float64 {
 		return 1 - mean(load{offeredLoad: 0.5, unansweredShare: 0.05}.results(t, disabled...), (*loadResult).served)
@@ -65,7 +68,8 @@
 	qt.Check(t, with < 0.6*without, qt.IsTrue, qt.Commentf("%.3f, %.3f without", with, without))
 }
 
-// Guards against workers that count as unusable while a short processor delays their answers.
+// Guards against workers that count as unusable because an overloaded processor delays their
+// answers.
 func TestLoadWithSlowAnswersIsServed(t *testing.T) {
 	list := load{offeredLoad: 0.3, answerDelay: 70 * time.Millisecond}.results(t)
 	answered := mean(list, func(r *loadResult) float64 {
@@ -79,7 +83,8 @@
 	qt.Check(t, answered > 0.9, qt.IsTrue, qt.Commentf("%.3f", answered))
 }
 
-// Guards against workers on which everything stands still and which draw new tasks, as they have the most room.
+// Guards against workers on which no run makes progress and which attract new tasks, because they
+// have the most free room.
 func TestLoadWithWorkersThatHangIsServedInTime(t *testing.T) {
 	missed := func(disabled ...policy.Mechanism) float64 {
 		return 1 - mean(load{offeredLoad: 0.5, hangingWorkers: 2}.results(t, disabled...), (*loadResult).served)
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -109,7 +109,7 @@
 	return len(m.jobs), pending
 }
 
-// Snapshot is what decides about new jobs, for logs.
+// Snapshot is the data that admission decisions are based on, for logs.
 type Snapshot struct {
 	Waiting   int           // jobs with waiting tasks
 	Running   int           // runs that were sent and have not ended
@@ -124,6 +124,7 @@
 // not been found to be thin.
 func (m *Machine) LinkRate() int64 { return int64(m.uplink.rate) }
 
+// Snapshot returns the data that admission decisions are currently based on.
 func (m *Machine) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
 		Waiting: len(m.queue), Running: len(m.activeRuns), Workers: m.Workers(), Entries: m.entryCount,
--- a/internal/batch/place.go
+++ b/internal/batch/place.go
@@ -63,8 +63,8 @@
 // too late. A job that has not started can still be refused as not run.
 //
 // maxFree is the largest free CPU of any worker. Most jobs in a long queue have no task that
-// small, so they are rejected without a scan of the workers; in a fully loaded fleet, that scan
-// would take place at each event.
+// small and are rejected without a scan of the workers, which would otherwise take place at each
+// event in a full fleet.
 func (m *Machine) canStart(j *job, maxFree int64) bool {
 	q := j.spec.Queue
 	if j.hasSentTasks || q.Priority <= m.recentPriorities[q.Service].priority || m.options.Off.Has(policy.WholeStarts) {
--- a/internal/batch/place_test.go
+++ b/internal/batch/place_test.go
@@ -9,10 +9,10 @@
 	"wigeontray/internal/wire"
 )
 
-// An entry loses its power and its log with it. What it had sent is known to the
-// guards by the job's identity; without the caller's name for the request nobody
-// can say which request that was.
-func TestRunTasksCarriesTheCallersRequestName(t *testing.T) {
+// Guards against requests that cannot be identified after an entry has lost power and its log.
+// The guards then have the job's identity, but without the caller's request ID nobody can tell
+// which request it was.
+func TestRunTasksCarriesTheCallersRequestID(t *testing.T) {
 	m := newOneWorkerMachine()
 	job := testJob("job", 2, 4000)
 	job.Request = "request-1"
@@ -27,36 +27,36 @@
 	qt.Check(t, sent, qt.Equals, 1)
 }
 
-// A service is asked for jobs of one priority alone, beside a service with more urgent
-// ones. Nothing overtakes its jobs: held back until there is room for all their tasks,
-// they would wait while workers are free.
+// Guards against a job that waits for room for all its tasks while workers are free, although
+// only jobs of another service are more urgent and none can overtake it.
 func TestUrgentJobsOfAnotherServiceDoNotDelayAJob(t *testing.T) {
 	m := newOneWorkerMachine()
 	urgent := *testQueue
 	urgent.Service = "other"
 	other := testJob("urgent", 1, 4000)
 	other.Queue = &urgent
-	m.Submit(0, other) // it has no worker
+	m.Submit(0, other) // no worker of this service exists
 	lowPriority := *testQueue
-	lowPriority.Priority, lowPriority.Stretch = 2, 100 // it may wait
-	job := testJob("job", 11, 4000)                    // ten of its tasks find room
+	lowPriority.Priority, lowPriority.Stretch = 2, 100 // allows a long wait
+	job := testJob("job", 11, 4000)                    // there is room for ten of its tasks
 	job.Queue = &lowPriority
 	qt.Assert(t, m.Submit(0, job) == nil, qt.IsTrue)
 	qt.Check(t, countSentTasks(m.Actions(0)), qt.Equals, 10)
 }
 
-// Holds come as well. A booking of lower priority that finds room for ten of its eleven
-// tasks would keep it while holds overtake the last; it begins when there is room for all.
+// Guards against a low-priority job that starts in part and holds its room while more urgent jobs
+// overtake its remaining tasks. It starts when there is room for all of them, or for a quarter of
+// the service's capacity.
 func TestLowPriorityJobStartsOnlyAsAWhole(t *testing.T) {
 	m := newOneWorkerMachine()
 	qt.Assert(t, m.Submit(0, testJob("hold", 1, 4000)) == nil, qt.IsTrue)
 	m.Actions(0)
 	lowPriority := *testQueue
-	lowPriority.Priority, lowPriority.Stretch = 2, 100 // it may wait
+	lowPriority.Priority, lowPriority.Stretch = 2, 100 // allows a long wait
 	job := testJob("booking", 10, 4000)
 	job.Queue = &lowPriority
 	qt.Assert(t, m.Submit(0, job) == nil, qt.IsTrue)
-	qt.Check(t, countSentTasks(m.Actions(0)) > 0, qt.IsTrue) // a quarter of the room is enough
+	qt.Check(t, countSentTasks(m.Actions(0)) > 0, qt.IsTrue) // room for a quarter of the capacity is enough
 	small := testJob("small", 2, 3500)
 	small.Queue = &lowPriority
 	m.Cancel(0, "booking")
@@ -69,6 +69,7 @@
 	qt.Check(t, countSentTasks(m.Actions(0)), qt.Equals, 2)
 }
 
+// countSentTasks returns the number of tasks in the sent RunTasks frames.
 func countSentTasks(actions []Action) int {
 	n := 0
 	for i := range actions {
--- a/internal/batch/random_test.go
+++ b/internal/batch/random_test.go
@@ -15,15 +15,17 @@
 	simGuards     = 4
 	simJobs       = 220
 	simDuration   = 20 * time.Second
-	simSettleTime = 12 * time.Second // after the last fault and submission
+	simSettleTime = 12 * time.Second // time after the last fault and submission
 )
 
-// simulate sends jobs for a while, with faults at random moments, and lets all end.
+// simulate submits random jobs and injects faults for simDuration, and runs for simSettleTime
+// more, in which all jobs end.
 func simulate(seed uint64, jobs int, resendInterval time.Duration, f simFaults, inject func(s *sim)) *sim {
 	return simulateOverLinks(seed, jobs, resendInterval, f, inject, 0)
 }
 
-// simulateOverLinks is the same over links of a rate, in bytes a second; 0 for no bound.
+// simulateOverLinks is like simulate with links of the given bandwidth, in bytes a second; 0 for
+// no limit.
 func simulateOverLinks(seed uint64, jobs int, resendInterval time.Duration, f simFaults, inject func(s *sim), linkRate float64) *sim {
 	s := newSim(seed, simEntries, simGuards, resendInterval, 0)
 	s.faults, s.linkRate = f, linkRate
@@ -41,18 +43,19 @@
 	return s
 }
 
+// randomDuration returns a random duration below limit.
 func (s *sim) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(s.rng.Int64N(int64(limit)))
 }
 
-// injectFault strikes one process or link at random.
+// injectFault injects a fault into a random process or link.
 func injectFault(s *sim) {
 	e, g := s.entries[s.rng.IntN(simEntries)], s.guards[s.rng.IntN(simGuards)]
 	switch s.rng.IntN(8) {
 	case 0:
-		e.frozenUntil = max(e.frozenUntil, s.now+s.randomDuration(4*time.Second)) // one freeze does not end another
+		e.suspendedUntil = max(e.suspendedUntil, s.now+s.randomDuration(4*time.Second)) // a suspension does not shorten another
 	case 1:
-		g.frozenUntil = max(g.frozenUntil, s.now+s.randomDuration(4*time.Second))
+		g.suspendedUntil = max(g.suspendedUntil, s.now+s.randomDuration(4*time.Second))
 	case 2:
 		s.killEntry(s.rng.IntN(simEntries), s.randomDuration(3*time.Second), false)
 	case 3:
@@ -72,17 +75,16 @@
 	}
 }
 
-// Entries and guards are killed, frozen and cut off, workers crash, orders are
-// carried out seconds late or without an answer, and callers who hear nothing send
-// their jobs again to another entry. A booking must never be worked on twice at
-// the same moment, a worker never given more than it holds, and a caller never
-// told that nothing ran when something did.
+// Guards against a task that runs twice at the same time, a worker that gets more tasks than it
+// has room for, and a job that is answered as not run although a task was started. Entries and
+// guards are killed, suspended and disconnected, workers crash, orders are executed seconds late
+// or without an answer, and callers without an answer resubmit their jobs to another entry.
 func TestNoTaskRunsTwiceAtOnceUnderRandomFaults(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	seeds := []uint64{
-		197,    // a lease computed from an older reading of a slow clock outlived the guard's belief
-		7,      // an entry woke from a freeze and began a job whose caller had left
-		10_892, // a late word on a run of the first submission was taken for the second one's
+		197,    // a lease computed from an old reading of a slow clock ended later than the guard assumed
+		7,      // an entry resumed from a suspension and started a job whose caller had left
+		10_892, // a late report on a run of the first submission was taken for one on the second
 	}
 	for seed := range uint64(60) {
 		seeds = append(seeds, 10_000+seed)
@@ -96,7 +98,8 @@
 	}
 }
 
-// Guards against a task run twice as its text was fetched around faults over thin links.
+// Guards against a task that runs twice because its text was fetched from another guard over thin
+// links while faults occurred.
 func TestNoTaskRunsTwiceAtOnceOverThinLinks(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	fetched := 0
@@ -111,8 +114,7 @@
 	qt.Check(t, fetched > 100, qt.IsTrue, qt.Commentf("%d texts were fetched", fetched))
 }
 
-// At half of what the workers can do and without trouble, every job is complete and
-// none is refused.
+// Guards against refusals and incomplete jobs at half of the workers' capacity without faults.
 func TestAllJobsCompleteWithoutFaults(t *testing.T) {
 	for seed := range uint64(5) {
 		s := simulate(seed, simJobs/2, runs.DefaultResend, simFaults{}, nil)
@@ -121,11 +123,12 @@
 	}
 }
 
-// Callers send their jobs again after 700 ms. With leases made for more patient ones,
-// what a lost guard left behind ran beside the second run.
+// Guards against runs of a lost guard that overlap with the second run of their job when callers
+// resubmit after 700 ms. This happened with leases that were computed for a longer resend
+// interval.
 func TestNoTaskRunsTwiceAtOnceWithShortResendInterval(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
-	seeds := []uint64{827, 1231} // red with the times for callers of 1.3 s
+	seeds := []uint64{827, 1231} // failed with the timing for a resend interval of 1.3 s
 	for seed := range uint64(18) {
 		seeds = append(seeds, seed)
 	}
--- a/internal/batch/shift_test.go
+++ b/internal/batch/shift_test.go
@@ -7,21 +7,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// shiftWindow is the window by which a load after a shift of its work is looked at.
+// shiftWindow is the length of the windows by which the results after a shift of the mix are
+// evaluated.
 const shiftWindow = time.Second
 
-// seasonalMix is the work of another season: bookings prevail, have more and shorter tasks, and the
-// callers still estimate what checks took before.
+// seasonalMix is the mix of another season: bookings dominate and have more and shorter tasks,
+// and callers still estimate an earlier run time for checks, which is too short by half.
 func seasonalMix() []requestKind {
 	mix := ticketMix()
 	hold, booking, check := &mix[0], &mix[1], &mix[2]
-	hold.share, hold.meanRunTime = 12, 90*time.Millisecond
-	booking.share, booking.tasks, booking.meanRunTime = 16, 7, 500*time.Millisecond
+	hold.share, hold.medianRunTime = 12, 90*time.Millisecond
+	booking.share, booking.tasks, booking.medianRunTime = 16, 7, 500*time.Millisecond
 	check.share, check.estimateDivisor = 60, 2
 	return mix
 }
 
-// servedByWindow gives the share that was served in time in each window since the shift.
+// servedByWindow returns the share served in time in each window after the shift.
 func servedByWindow(list []*loadResult) []float64 {
 	shares := make([]float64, len(list[0].shifted))
 	for i := range shares {
@@ -35,7 +36,8 @@
 	return shares
 }
 
-// Guards against decisions that keep to the work of before: two seconds after it has shifted in mix, run time, fan-out and estimates, as many are served in time as later on.
+// Guards against decisions that rely on outdated observations: two seconds after a shift of mix,
+// run times, fan-out and estimates, as many requests are served in time as later on.
 func TestLoadThatShiftsIsServedAsWellTwoSecondsLater(t *testing.T) {
 	const adaptTime = 2 * time.Second
 	shares := servedByWindow(load{offeredLoad: 0.8, mixAfterShift: seasonalMix()}.resultsWithSeeds(t, 4))
--- a/internal/batch/sim_test.go
+++ b/internal/batch/sim_test.go
@@ -15,9 +15,8 @@
 	"wigeontray/internal/wire"
 )
 
-// sim plays entries, guards, workers and callers of one service in one thread,
-// under one clock and one seed, with faults between them. It checks what callers
-// and workers must never see.
+// sim simulates entries, guards, workers and callers of one service in a single thread, with one
+// clock, one seed and injected faults. It checks rules that callers and workers rely on.
 type sim struct {
 	rng    *rand.Rand
 	now    time.Duration
@@ -27,54 +26,56 @@
 	entries []*simEntry
 	guards  []*simGuard
 	workers []*simWorker
-	jobs    map[string]*simJob
-	running map[string]string // task to the worker that runs it
+	jobs    map[string]*simJob // by ID
+	running map[string]string  // worker that runs a task, by task ID
 	faults  simFaults
-	// linkRate is what the link of an entry carries in each direction, in bytes a second; 0
-	// for no bound.
+	// linkRate is the bandwidth of an entry's link in each direction, in bytes a second; 0 for no
+	// limit.
 	linkRate       float64
-	answerDelay    time.Duration            // by how much later workers answer
-	resendInterval time.Duration            // when callers without an answer send a job again
-	disabled       policy.Set               // mechanisms that are switched off
-	drains         wire.Drains              // as the operators have them
-	drained        map[string]time.Duration // since when guards know of a domain's drain
-	violations     []string                 // rules that were broken
+	answerDelay    time.Duration            // additional delay of workers' answers
+	resendInterval time.Duration            // time after which callers without an answer resubmit a job
+	disabled       policy.Set               // disabled mechanisms
+	drains         wire.Drains              // as set by the operators
+	drained        map[string]time.Duration // time by which guards have received a domain's drain
+	violations     []string                 // broken rules
 	counts         simCounts
 
-	workDone float64 // at workers, in cores times seconds
-	wasted   float64 // the part of it that served no caller in time
+	workDone float64 // work of ended runs, in cores times seconds
+	wasted   float64 // part of workDone for requests that were not served in time
 }
 
-// simFaults are the chances of faults, each by call or frame.
+// simFaults holds the probabilities of faults, each per call.
 type simFaults struct {
-	lateOrder  float64 // an order gets no answer and is carried out seconds later
-	lostAnswer float64 // an order is carried out and its answer lost
+	lateOrder  float64 // an order gets no answer and is executed late
+	lostAnswer float64 // an order is executed and its answer is lost
 	failRun    float64 // a run fails
 }
 
+// simCounts counts jobs by outcome, and starts of tasks, fetched texts and crashes.
 type simCounts struct{ sent, complete, failed, refused, unknown, starts, fetched, crashes int }
 
+// simJob is a job with its caller's and the workers' state.
 type simJob struct {
 	id                string
 	steps             []batch.Step
 	submittedAt       time.Duration
 	hasEnded          bool
-	failed            bool // it was told so
-	refused           bool // every answer said that it has not run
+	failed            bool // it was answered as failed
+	refused           bool // every attempt was answered as not run
 	hasUnknownAttempt bool // an attempt ended without a final answer
-	hasStarted        bool // a task of it was started at a worker
+	hasStarted        bool // a task was started at a worker
 
 	queue    *batch.Queue         // simQueue if nil
-	runTime  time.Duration        // how long its tasks usually take; by their estimate if 0
-	text     string               // what its tasks are; "x" if empty
-	workDone float64              // in cores times seconds
-	onAnswer func(*batch.Outcome) // is given its answer; may be nil
-
-	crashes            bool           // each worker that starts the first task of a step of it
-	crashedWorkers     map[string]int // workers so far, by task
-	crashesByTask      map[string]int // crashes of workers where a task was, whatever their cause
-	failedRuns         int            // runs that failed
-	startsAfterCrashes map[string]int // starts of a task after crashedWorkersLimit of them
+	runTime  time.Duration        // typical run time of its tasks; if 0, derived from the estimates
+	text     string               // "x" if empty
+	workDone float64              // work of its ended runs, in cores times seconds
+	onAnswer func(*batch.Outcome) // called with each answer; may be nil
+
+	crashes            bool           // the first task of each step crashes its worker
+	crashedWorkers     map[string]int // workers that it crashed, by task ID
+	crashesByTask      map[string]int // crashes of workers that were running a task, whatever their cause
+	failedRuns         int            // failed runs
+	startsAfterCrashes map[string]int // starts of a task after it has crashed crashedWorkersLimit workers
 }
 
 type event struct {
@@ -126,8 +127,10 @@
 	}
 }
 
+// domainOf returns the failure domain of the entry or guard with number i.
 func domainOf(i int) string { return fmt.Sprintf("d%d", i%2) }
 
+// at schedules an event.
 func (s *sim) at(t time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.events, event{at: max(t, s.now), seq: s.seq, do: do})
@@ -135,7 +138,7 @@
 
 func (s *sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-// run plays until a time.
+// run processes events until the given time or the first violation.
 func (s *sim) run(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until && len(s.violations) == 0 {
 		e := heap.Pop(&s.events).(event)
@@ -145,6 +148,7 @@
 	s.now = max(s.now, until)
 }
 
+// addViolation records a broken rule with the simulated time.
 func (s *sim) addViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now-time.Hour)+fmt.Sprintf(format, args...))
 }
@@ -167,8 +171,8 @@
 	}
 }
 
-// drain lets the operators drain some failure domains and take all others back. Entries and
-// guards hear of it within a few round trips.
+// drain sets the drained failure domains. Entries and guards receive the change within
+// maxDrainDelay.
 func (s *sim) drain(domains ...string) {
 	s.drains = wire.Drains{Revision: s.drains.Revision + 1, Domains: domains}
 	for _, e := range s.entries {
@@ -187,7 +191,8 @@
 	}
 }
 
-// maxDrainDelay is within what time all processes that are not frozen have heard of a drain.
+// maxDrainDelay is the time within which all processes that are not suspended have received a
+// drain.
 const maxDrainDelay = 20 * simDelay
 
 func (s *sim) sendDrainsToEntry(e *simEntry) {
@@ -212,7 +217,7 @@
 	})
 }
 
-// killGuard ends a guard's process and starts another a little later.
+// killGuard terminates a guard and starts a new incarnation after the downtime.
 func (s *sim) killGuard(i int, downtime time.Duration) {
 	g := s.guards[i]
 	if g.hasExited {
@@ -225,8 +230,8 @@
 	s.after(downtime, func() { s.startGuard(i) })
 }
 
-// killEntry ends an entry's process: its callers hear nothing more. Another one
-// takes its place.
+// killEntry terminates an entry, whose callers get no answer, and starts a new incarnation after
+// the downtime. If isSilent is set, its links are not closed until then.
 func (s *sim) killEntry(i int, downtime time.Duration, isSilent bool) {
 	e := s.entries[i]
 	if e.hasExited {
@@ -254,7 +259,7 @@
 	})
 }
 
-// linksInOrder gives a guard's links in the order of their entries.
+// linksInOrder returns a guard's links ordered by entry.
 func (g *simGuard) linksInOrder() []*simLink {
 	var out []*simLink
 	for _, id := range slices.Sorted(maps.Keys(g.links)) {
@@ -263,6 +268,7 @@
 	return out
 }
 
+// link connects a guard to an entry.
 func (s *sim) link(e *simEntry, g *simGuard) {
 	l := &simLink{entry: e, guard: g, isUp: true}
 	hello := &wire.RunHello{Version: wire.Version, Texts: string(g.id), Incarnation: g.id, Worker: g.m.Worker(), Load: g.m.Load(s.now, "")}
@@ -280,7 +286,7 @@
 	})
 }
 
-// unlink breaks a link; both ends that live notice, and the guard dials again.
+// unlink breaks a link. Both ends that still run detect it, and the guard reconnects.
 func (s *sim) unlink(l *simLink) {
 	if !l.isUp {
 		return
--- a/internal/batch/simcaller_test.go
+++ b/internal/batch/simcaller_test.go
@@ -11,13 +11,13 @@
 	"wigeontray/internal/sched"
 )
 
-// What a request and its answer take on a link beside the text of the job, in bytes.
+// Sizes of a request and an answer on a link without the job's text, in bytes.
 const (
 	requestBytes = 500
 	answerBytes  = 250
 )
 
-// submit sends a job as a caller would, and again where it gets no final answer.
+// submit submits a job as a caller does, and resubmits it if it gets no final answer.
 func (s *sim) submit(j *simJob, callerTimeout time.Duration) {
 	e := s.entries[s.rng.IntN(len(s.entries))]
 	isDone := false
@@ -43,7 +43,7 @@
 			return
 		}
 		e.handle(func() {
-			// An entry that was frozen waits a little for callers that have left.
+			// An entry that was suspended first lets callers that have left cancel their jobs.
 			s.at(e.resumedAt+batch.WakePause, func() {
 				if !isDone && !e.hasExited {
 					e.handle(func() { e.submit(j, callerTimeout, answer) })
@@ -52,7 +52,7 @@
 		})
 	})
 	s.after(callerTimeout, func() {
-		if !isDone { // the caller leaves, and sends the job again
+		if !isDone { // the caller leaves and resubmits the job
 			isDone = true
 			if !e.hasExited {
 				e.handle(func() { e.step(func() { e.m.Cancel(s.now, j.id) }) })
@@ -81,15 +81,15 @@
 
 var simQueue = &batch.Queue{Name: "q", Service: "svc", MaxAttempts: 4, Stretch: 1.6, Slack: 60 * time.Millisecond}
 
-// checkFailure looks at a job that is told to have failed: a run of it has, or two workers have
-// crashed under one of its tasks.
+// checkFailure checks that a job answered as failed has a failed run, or a task during whose runs
+// two workers crashed.
 func (s *sim) checkFailure(j *simJob, err *errkind.Error) {
 	maxCrashes := 0
 	for _, n := range j.crashesByTask {
 		maxCrashes = max(maxCrashes, n)
 	}
 	if err.Kind == errkind.UpstreamFailed && j.failedRuns == 0 && maxCrashes < 2 {
-		s.addViolation("job %s is told to have failed, no run of it has, and %d workers crashed under a task: %v", j.id, maxCrashes, err)
+		s.addViolation("job %s was answered as failed without a failed run and with %d worker crashes during one task: %v", j.id, maxCrashes, err)
 	}
 }
 
@@ -109,7 +109,7 @@
 		s.counts.refused++
 		j.hasEnded, j.refused = true, !j.hasUnknownAttempt
 		if j.hasStarted && j.refused {
-			s.addViolation("job %s was refused as not run, but a task of it had been started: %v", j.id, out.Err)
+			s.addViolation("job %s was refused as not run after one of its tasks was started: %v", j.id, out.Err)
 		}
 	default:
 		s.counts.unknown++
@@ -117,10 +117,10 @@
 	}
 }
 
-// simTextBytes is the length of the text of a job, in bytes.
+// simTextBytes is the size of a random job's text.
 const simTextBytes = 2400
 
-// submitRandomJob makes a job and sends it.
+// submitRandomJob submits a random job with one or two steps.
 func (s *sim) submitRandomJob(n int) {
 	j := &simJob{id: fmt.Sprintf("%016x", n), submittedAt: s.now, text: randomText(simTextBytes)}
 	for i := range 1 + s.rng.IntN(2) {
@@ -138,6 +138,7 @@
 	s.submit(j, 4*time.Second)
 }
 
+// sendReport sends a worker's report to its guard, now and periodically.
 func (s *sim) sendReport(i int) {
 	w := s.workers[i]
 	if w.isUp {
--- a/internal/batch/simnode_test.go
+++ b/internal/batch/simnode_test.go
@@ -9,66 +9,68 @@
 	"wigeontray/internal/wire"
 )
 
-// simEntry is one entry; a frozen one keeps what comes until it wakes.
+// simEntry is one entry. While it is suspended, its events are deferred.
 type simEntry struct {
-	s           *sim
-	id          identity.Incarnation
-	m           *batch.Machine
-	waiters     map[string]func(*batch.Outcome)
-	frozenUntil time.Duration // until then
-	resumedAt   time.Duration // when it last woke
-	deferred    []func()
-	tickAt      time.Duration
-	hasExited   bool
-	in, out     simPipe // its VM's link
+	s              *sim
+	id             identity.Incarnation
+	m              *batch.Machine
+	waiters        map[string]func(*batch.Outcome)
+	suspendedUntil time.Duration // end of its suspension
+	resumedAt      time.Duration // end of its last suspension
+	deferred       []func()
+	tickAt         time.Duration
+	hasExited      bool
+	in, out        simPipe // its VM's link
 }
 
+// simGuard is one guard. While it is suspended, its events are deferred.
 type simGuard struct {
-	s           *sim
-	id          identity.Incarnation
-	m           *runs.Machine
-	worker      *simWorker
-	links       map[identity.Incarnation]*simLink
-	frozenUntil time.Duration
-	resumedAt   time.Duration // when it last woke
-	deferred    []func()
-	tickAt      time.Duration
-	hasExited   bool
-	texts       map[string]string // of jobs, for other guards
+	s              *sim
+	id             identity.Incarnation
+	m              *runs.Machine
+	worker         *simWorker
+	links          map[identity.Incarnation]*simLink
+	suspendedUntil time.Duration
+	resumedAt      time.Duration // end of its last suspension
+	deferred       []func()
+	tickAt         time.Duration
+	hasExited      bool
+	texts          map[string]string // texts of jobs kept for other guards, by job ID
 }
 
-// simLink carries frames in order between an entry and a guard. While it is cut
-// they are held up, and arrive in order when it heals.
+// simLink delivers frames in order between an entry and a guard. While it is cut, frames are
+// delayed, and arrive in order afterwards.
 type simLink struct {
 	entry        *simEntry
 	guard        *simGuard
 	isUp         bool
-	cutUntil     time.Duration // until then
-	entryArrival time.Duration // arrival of the newest frame
-	guardArrival time.Duration
+	cutUntil     time.Duration // end of the cut
+	entryArrival time.Duration // arrival of the latest frame at the entry
+	guardArrival time.Duration // arrival of the latest frame at the guard
 }
 
+// simDelay is the latency of an idle link.
 const simDelay = time.Millisecond
 
-// simPipe is one direction of a VM's link, which carries what is put on it in order.
+// simPipe is one direction of a VM's link, which transmits data in order.
 type simPipe struct{ freeAt time.Duration }
 
-// packetHeaderBytes is what the headers of a small packet take.
+// packetHeaderBytes is the size of the headers of a small packet.
 const packetHeaderBytes = 66
 
-// transcode gives a frame as it comes, and what it takes on a link, in bytes.
+// transcode encodes and decodes a frame, and returns its size on a link in bytes.
 func transcode(f *wire.Frame) (received *wire.Frame, size int) {
 	b, err := wire.Encode(f)
 	if err == nil {
 		received, err = wire.Decode(b)
 	}
 	if err != nil {
-		panic(err) // every frame of the machines can be encoded
+		panic(err) // the machines issue only frames that can be encoded
 	}
 	return received, len(b) + packetHeaderBytes
 }
 
-// transmit tells when size bytes that are put on a link now have passed it.
+// transmit returns the time at which size bytes put on the link now have passed it.
 func (s *sim) transmit(p *simPipe, size int) time.Duration {
 	if s.linkRate <= 0 {
 		return s.now
@@ -77,35 +79,36 @@
 	return p.freeAt
 }
 
-// handle lets an entry do something now, or when it wakes. It then takes first note
-// that it was frozen.
+// handle runs an event now or, if the entry is suspended, when it resumes. On resuming, the entry
+// first handles the suspension itself.
 func (e *simEntry) handle(do func()) {
-	handleOrDefer(e.s, &e.frozenUntil, &e.deferred, do, func() {
+	handleOrDefer(e.s, &e.suspendedUntil, &e.deferred, do, func() {
 		e.resumedAt = e.s.now
 		e.step(func() { e.m.Woke(e.s.now) })
 	})
 }
 
 func (g *simGuard) handle(do func()) {
-	handleOrDefer(g.s, &g.frozenUntil, &g.deferred, do, func() { g.resumedAt = g.s.now })
+	handleOrDefer(g.s, &g.suspendedUntil, &g.deferred, do, func() { g.resumedAt = g.s.now })
 }
 
-func handleOrDefer(s *sim, frozenUntil *time.Duration, deferred *[]func(), do, onResume func()) {
-	if s.now >= *frozenUntil {
+// handleOrDefer runs an event now, or defers it until the process resumes.
+func handleOrDefer(s *sim, suspendedUntil *time.Duration, deferred *[]func(), do, onResume func()) {
+	if s.now >= *suspendedUntil {
 		do()
 		return
 	}
 	*deferred = append(*deferred, do)
 	if len(*deferred) == 1 {
-		scheduleResume(s, frozenUntil, deferred, onResume)
+		scheduleResume(s, suspendedUntil, deferred, onResume)
 	}
 }
 
-// scheduleResume does what was held up once a process is no longer frozen.
-func scheduleResume(s *sim, frozenUntil *time.Duration, deferred *[]func(), onResume func()) {
-	s.at(*frozenUntil, func() {
-		if s.now < *frozenUntil {
-			scheduleResume(s, frozenUntil, deferred, onResume)
+// scheduleResume schedules onResume and the deferred events for the end of the suspension.
+func scheduleResume(s *sim, suspendedUntil *time.Duration, deferred *[]func(), onResume func()) {
+	s.at(*suspendedUntil, func() {
+		if s.now < *suspendedUntil {
+			scheduleResume(s, suspendedUntil, deferred, onResume)
 			return
 		}
 		onResume()
@@ -130,6 +133,7 @@
 	})
 }
 
+// step passes an event to the machine and carries out its actions.
 func (e *simEntry) step(do func()) {
 	s := e.s
 	do()
@@ -186,6 +190,7 @@
 	})
 }
 
+// step passes an event to the machine and carries out its actions.
 func (g *simGuard) step(do func()) {
 	s := g.s
 	do()
@@ -227,7 +232,7 @@
 	}
 }
 
-// fetch gets a text from another guard.
+// fetch fetches a text from another guard.
 func (g *simGuard) fetch(f *runs.Fetch) {
 	s := g.s
 	answer := func(text string, ok bool) func() {
@@ -239,7 +244,7 @@
 	}
 	s.after(2*simDelay, func() {
 		for _, o := range s.guards {
-			if text, ok := o.texts[f.Job]; ok && string(o.id) == f.Source && !o.hasExited && s.now >= o.frozenUntil {
+			if text, ok := o.texts[f.Job]; ok && string(o.id) == f.Source && !o.hasExited && s.now >= o.suspendedUntil {
 				s.counts.fetched++
 				s.after(2*simDelay, answer(text, true))
 				return
@@ -249,8 +254,8 @@
 	})
 }
 
-// sendOrder sends an order to the worker; got is nil if no answer comes in time. An
-// order of a guard that has died since still arrives.
+// sendOrder sends an order to the worker; result is nil if no answer arrives within the timeout.
+// An order arrives even if the guard has terminated since.
 func (g *simGuard) sendOrder(timeout time.Duration, execute func() any, onAnswer func(result any)) {
 	s := g.s
 	reply := func(after time.Duration, result any) {
--- a/internal/batch/simworker_test.go
+++ b/internal/batch/simworker_test.go
@@ -11,38 +11,39 @@
 	"wigeontray/internal/sched"
 )
 
-// simWorker runs tasks under leases as workers of the platform do.
+// simWorker runs tasks under leases as the platform's workers do.
 type simWorker struct {
 	s             *sim
 	name          string
 	number        int
-	generation    int
-	id            string
+	generation    int    // number of its current incarnation
+	id            string // ID of its current incarnation
 	isUp          bool
 	seq           int64
 	startedAt     time.Duration
 	capacity      sched.Room
-	token         int64
-	leaseEnd      time.Duration // end of every lease, on its own clock
+	token         int64         // highest fencing token seen
+	leaseEnd      time.Duration // end of all leases, on its own clock
 	active        map[runs.Key]*simRun
-	highestRun    map[string]int64 // run that was started, stopped or ended, by task
-	ended         []runs.Ended
+	highestRun    map[string]int64 // highest run started, stopped or ended, by task ID
+	ended         []runs.Ended     // ended runs that the guard has not acknowledged
 	lastEndNumber int64
 	pendingHold   *simHold
-	slowFactor    float64 // how many times longer a run takes; 0 for not
-	isStalled     bool    // what runs does not advance
+	slowFactor    float64 // factor by which runs take longer; 0 for none
+	isStalled     bool    // its runs make no progress
 }
 
+// simRun is an active run at a worker.
 type simRun struct {
 	key          runs.Key
 	room         sched.Room
 	startedAt    time.Duration
-	duration     time.Duration
-	stalledFor   time.Duration // how long it has stood still
-	stalledSince time.Duration // when it began to, if it does
+	duration     time.Duration // time that the run needs
+	stalledFor   time.Duration // total duration of past stalls
+	stalledSince time.Duration // start of the current stall
 }
 
-// progress is for how long the run has worked.
+// progress returns how long the run has made progress.
 func (r *simRun) progress(now time.Duration, isStalled bool) time.Duration {
 	if isStalled {
 		now = r.stalledSince
@@ -50,11 +51,13 @@
 	return now - r.startedAt - r.stalledFor
 }
 
+// simHold is a Hold order that awaits its answer.
 type simHold struct {
 	answer     func(*runs.HoldAnswer)
 	isAnswered bool
 }
 
+// reset starts a new incarnation.
 func (w *simWorker) reset() {
 	w.generation++
 	w.id, w.isUp, w.startedAt = fmt.Sprintf("%s-%d", w.name, w.generation), true, w.s.now-time.Duration(w.number)*time.Second
@@ -64,7 +67,7 @@
 	w.ended, w.lastEndNumber = nil, 0
 }
 
-// crash ends a life; another one begins later.
+// crash ends the current incarnation; a new one starts after the downtime.
 func (w *simWorker) crash(downtime time.Duration) {
 	if !w.isUp {
 		return
@@ -77,7 +80,7 @@
 	w.s.after(downtime, w.reset)
 }
 
-// recordCrash counts a crash of a worker where a task was.
+// recordCrash counts a crash of a worker that was running a task.
 func (j *simJob) recordCrash(task string) {
 	if j.crashesByTask == nil {
 		j.crashesByTask = make(map[string]int)
@@ -87,10 +90,10 @@
 
 func taskID(k runs.Key) string { return fmt.Sprintf("%s.%d.%d", k.Job, k.Step, k.Index) }
 
-// clock is 2% slow.
+// clock returns the time on the worker's clock, which is 2% slow.
 func (w *simWorker) clock() time.Duration { return (w.s.now - w.startedAt) * 98 / 100 }
 
-// checkLease checks what every order has to pass.
+// checkLease checks the worker ID and fencing token that each order carries.
 func (w *simWorker) checkLease(l *runs.Lease) runs.Verdict {
 	switch {
 	case !w.isUp:
@@ -104,14 +107,17 @@
 	return runs.Done
 }
 
+// maxLease is the maximum time by which a lease is extended.
 const maxLease = time.Second
 
+// extendLease extends all leases, by at most maxLease from now.
 func (w *simWorker) extendLease(untilMs int64) {
 	leaseEnd := time.Duration(untilMs) * time.Millisecond
 	w.leaseEnd = max(w.leaseEnd, min(leaseEnd, w.clock()+maxLease))
 	w.s.after((w.leaseEnd-w.clock())*100/98+time.Microsecond, w.expireLeases)
 }
 
+// expireLeases ends all runs once the leases have expired.
 func (w *simWorker) expireLeases() {
 	if !w.isUp || w.clock() < w.leaseEnd {
 		return
@@ -121,6 +127,7 @@
 	}
 }
 
+// runsInOrder returns the active runs ordered by task ID.
 func (w *simWorker) runsInOrder() []*simRun {
 	var out []*simRun
 	for _, r := range w.active {
@@ -130,6 +137,7 @@
 	return out
 }
 
+// start handles a Start order.
 func (w *simWorker) start(o *runs.Start) any {
 	answer := func(v runs.Verdict) any { return runs.StartAnswer{Verdict: v, ClockMs: w.clock().Milliseconds()} }
 	v := w.checkLease(&o.Lease)
@@ -153,6 +161,7 @@
 	return answer(w.startRun(o.Key, task))
 }
 
+// startRun starts a run and checks that no rule is broken by it.
 func (w *simWorker) startRun(k runs.Key, task string) runs.Verdict {
 	s := w.s
 	job := s.jobs[k.Job]
@@ -162,11 +171,11 @@
 		inUse = inUse.Plus(r.room)
 	}
 	if !w.capacity.Minus(inUse).Holds(step.Need) {
-		s.addViolation("worker %s was given more than it has room for", w.id)
+		s.addViolation("worker %s received a task for which it has no room", w.id)
 		return runs.NoRoom
 	}
 	if other, isRunning := s.running[task]; isRunning {
-		s.addViolation("task %s was started at %s while it runs at %s", task, w.id, other)
+		s.addViolation("task %s was started at %s while it was running at %s", task, w.id, other)
 	}
 	s.checkDrain(w, task)
 	if job.refused {
@@ -202,26 +211,27 @@
 	}
 	if job.crashedWorkers[task] >= crashedWorkersLimit && !s.disabled.Has(policy.CrashLimit) {
 		if job.startsAfterCrashes[task]++; job.startsAfterCrashes[task] >= maxStartsAfterCrashes {
-			s.addViolation("task %s was started %d times after %d workers had crashed under it", task, job.startsAfterCrashes[task], job.crashedWorkers[task])
+			s.addViolation("task %s was started %d times after %d workers had crashed during its runs", task, job.startsAfterCrashes[task], job.crashedWorkers[task])
 		}
 	}
 	w.endAfter(r, runTime, result)
 	return runs.Done
 }
 
-// What a task does that crashes its worker, and when it must not be started any more.
+// Behavior of a task that crashes its worker, and the limits after which its starts are violations.
 const (
 	crashDelay            = 5 * time.Millisecond
 	crashDowntime         = 3 * time.Second
-	crashedWorkersLimit   = 3 // from then on its starts are counted
+	crashedWorkersLimit   = 3 // crashes from which the task's starts are counted
 	maxStartsAfterCrashes = 3
 )
 
-// maxDrainLatency is how long after a request to drain a domain tasks may start there.
+// maxDrainLatency is the time after a request to drain a domain within which tasks may still
+// start there.
 const maxDrainLatency = time.Second
 
-// checkDrain looks at a start in a drained domain. A guard that has just woken takes what was
-// held up in its order.
+// checkDrain checks that a task does not start in a drained domain. A guard that has just resumed
+// first handles its deferred events in order, so it gets maxDrainLatency as well.
 func (s *sim) checkDrain(w *simWorker, task string) {
 	domain := domainOf(w.number)
 	since, drained := s.drained[domain]
@@ -230,7 +240,7 @@
 	}
 }
 
-// endAfter ends a run once it has worked for its time.
+// endAfter ends a run after the delay, or later if it was stalled.
 func (w *simWorker) endAfter(r *simRun, delay time.Duration, result runs.How) {
 	generation := w.generation
 	w.s.after(delay, func() {
@@ -239,7 +249,7 @@
 		}
 		remaining := r.duration - r.progress(w.s.now, w.isStalled)
 		if w.isStalled {
-			remaining = max(remaining, time.Millisecond) // looked at again until it goes on
+			remaining = max(remaining, time.Millisecond) // checked again until the stall ends
 		}
 		if remaining > 0 {
 			w.endAfter(r, remaining, result)
@@ -249,7 +259,7 @@
 	})
 }
 
-// stall lets nothing that runs here advance.
+// stall stops the progress of all runs.
 func (w *simWorker) stall() {
 	w.isStalled = true
 	for _, r := range w.active {
@@ -257,7 +267,7 @@
 	}
 }
 
-// resume ends what made the worker slow or stand still.
+// resume ends a slow period or a stall.
 func (w *simWorker) resume() {
 	w.slowFactor = 0
 	if !w.isStalled {
@@ -269,6 +279,7 @@
 	}
 }
 
+// endRun ends a run and answers a pending Hold.
 func (w *simWorker) endRun(r *simRun, result runs.How) {
 	delete(w.active, r.key)
 	delete(w.s.running, taskID(r.key))
@@ -283,6 +294,7 @@
 	}
 }
 
+// stop handles a Stop order: the run ends 40 ms later.
 func (w *simWorker) stop(o *runs.Stop) any {
 	v := w.checkLease(&o.Lease)
 	if v == runs.NoAnswer {
@@ -304,6 +316,7 @@
 	return runs.Done
 }
 
+// holdAnswer returns the lists of ended and active runs.
 func (w *simWorker) holdAnswer() *runs.HoldAnswer {
 	a := &runs.HoldAnswer{Verdict: runs.Done, ClockMs: w.clock().Milliseconds(), Ended: slices.Clone(w.ended)}
 	for _, r := range w.runsInOrder() {
@@ -312,7 +325,8 @@
 	return a
 }
 
-// hold answers when something ends, or after the time that the guard waits.
+// hold handles a Hold order: it is answered when a run ends, or after the time that the guard
+// waits.
 func (w *simWorker) hold(g *simGuard, h *runs.Hold) {
 	s := w.s
 	pending := &simHold{}
@@ -330,11 +344,12 @@
 	pending.answer = func(a *runs.HoldAnswer) { reply(simDelay/2+s.answerDelay, a) }
 	s.after(h.Wait+h.AnswerIn, func() { reply(0, &runs.HoldAnswer{Verdict: runs.NoAnswer}) })
 	if s.rng.Float64() < s.faults.lateOrder {
-		return // its answer never comes
+		return // the answer is lost
 	}
 	s.after(simDelay/2, func() { w.handle(h, pending) })
 }
 
+// handle handles a Hold order that has arrived.
 func (w *simWorker) handle(h *runs.Hold, pending *simHold) {
 	v := w.checkLease(&h.Lease)
 	if v == runs.NoAnswer {
--- a/internal/batch/slow_test.go
+++ b/internal/batch/slow_test.go
@@ -12,33 +12,33 @@
 	"wigeontray/internal/wire"
 )
 
-// newFleet is an entry with some empty workers.
+// newFleet returns the machine of an entry with some idle workers.
 func newFleet(workers int) *Machine {
 	m := New(0, Options{Seed: 1})
 	for i := range workers {
 		m.GuardUp(0, &wire.RunHello{
-			Incarnation: identity.Incarnation(fmt.Sprint("g", i)), Worker: newWorker(i, false),
+			Incarnation: identity.Incarnation(fmt.Sprint("g", i)), Worker: testWorker(i, false),
 			Load: wire.RunLoad{Free: sched.Room{CPU: 40_000}},
 		})
 	}
 	return m
 }
 
-func newWorker(i int, isSlow bool) wire.RunWorker {
+func testWorker(i int, isSlow bool) wire.RunWorker {
 	return wire.RunWorker{ID: fmt.Sprint("w", i), Service: "s", Capacity: sched.Room{CPU: 40_000}, Usable: true, Slow: isSlow}
 }
 
-// A guard sees that its worker has turned slow. Its entries give the worker no task for a
-// while, try it with one, and shut it out again if it is still slow.
+// Guards against tasks sent to a worker that its guard reports as slow. The worker is
+// quarantined, then limited to one task, and quarantined again if it is still slow.
 func TestWorkerReportedSlowGetsNoTasks(t *testing.T) {
 	m := newFleet(3)
-	w := newWorker(0, true)
+	w := testWorker(0, true)
 	m.Beat(0, "g0", &wire.GuardBeat{Worker: &w})
 	qt.Check(t, m.Workers(), qt.Equals, 2)
 	firstEnd := m.NextTick()
 	qt.Assert(t, firstEnd > 0, qt.IsTrue)
 	m.Tick(firstEnd)
-	qt.Check(t, m.Workers(), qt.Equals, 2) // still slow
+	qt.Check(t, m.Workers(), qt.Equals, 2) // quarantined again, as it is still slow
 	w.Slow = false
 	m.Beat(firstEnd, "g0", &wire.GuardBeat{Worker: &w})
 	secondEnd := m.NextTick()
@@ -48,12 +48,12 @@
 	qt.Check(t, m.workers[0].Limit, qt.Equals, 1)
 }
 
-// All workers look slow: the callers' estimates have changed, or the pool is overloaded.
-// Shut out together they would serve nobody.
+// Guards against a service without usable workers when all of them seem slow, because the
+// callers' estimates have changed or the workers are overloaded.
 func TestHalfOfTheWorkersStayUsableIfAllAreSlow(t *testing.T) {
 	m := newFleet(6)
 	for i := range 6 {
-		w := newWorker(i, true)
+		w := testWorker(i, true)
 		m.Beat(0, identity.Incarnation(fmt.Sprint("g", i)), &wire.GuardBeat{Worker: &w})
 	}
 	qt.Check(t, m.Workers(), qt.Equals, 3)
--- a/internal/batch/thin_test.go
+++ b/internal/batch/thin_test.go
@@ -13,17 +13,17 @@
 	"wigeontray/internal/wire"
 )
 
-// linkRates are those of the links that are compared, in bytes a second: 0.5 to 16 Mbit/s.
+// linkRates are the compared link bandwidths, in bytes a second: 0.5 to 16 Mbit/s.
 var linkRates = []float64{62_500, 125_000, 187_500, 250_000, 375_000, 500_000, 1_000_000, 2_000_000}
 
-// thinLoad is a load at half of the room over links of a rate.
+// thinLoad returns a load of half the capacity over links of the given bandwidth.
 func thinLoad(rate float64, seed uint64) load {
 	return load{offeredLoad: 0.5, seed: seed, duration: loadDuration, linkRate: rate}
 }
 
-// BenchmarkLinkRate reports the share that is served in time at half of the room, by what
-// the links of the entries bear, and what would be if nothing but the bytes that have to
-// pass took time.
+// BenchmarkLinkRate reports the share of requests served in time at half the capacity, by the
+// bandwidth of the entries' links, and the ideal share if only the transfer of the required bytes
+// took time.
 func BenchmarkLinkRate(b *testing.B) {
 	for _, rate := range append(linkRates, 0) {
 		b.Run(fmt.Sprintf("%g", rate*8/1e6), func(b *testing.B) {
@@ -41,17 +41,17 @@
 	}
 }
 
-// linkJob is a request in a play of links alone.
+// linkJob is a request in a simulation of links only.
 type linkJob struct {
 	kind      *requestKind
 	tally     *tally
 	arrivedAt time.Duration
 	runTime   time.Duration
-	bytes     int // that tell its tasks to as few workers as hold them
+	bytes     int // size of its text for the smallest number of workers that hold its tasks
 }
 
-// simulateLinks plays a load on workers with room for all: the requests and the texts of their
-// jobs pass the links of the entries, the most urgent first, and nothing else does.
+// simulateLinks runs a load on workers with unlimited room. Only the requests and the texts of
+// their jobs pass the entries' links, the most urgent first.
 func (l load) simulateLinks() *loadResult {
 	s := newSim(l.seed, 0, 0, runs.DefaultResend, 0)
 	s.linkRate = l.linkRate
@@ -75,7 +75,7 @@
 	return r
 }
 
-// packedSize is what a text of n bytes takes on a link.
+// packedSize returns the size of a packed text of n bytes on a link.
 func packedSize(n int) int {
 	if p := wire.PackText(randomText(n)); p != nil {
 		n = len(p.Bytes)
@@ -83,12 +83,12 @@
 	return n + packetHeaderBytes
 }
 
-// linkEntry sends jobs over its link one after the other.
+// linkEntry sends jobs over its link one at a time.
 type linkEntry struct {
-	s       *sim
-	in, out simPipe
-	waiting []*linkJob
-	sending bool
+	s         *sim
+	in, out   simPipe
+	waiting   []*linkJob
+	isSending bool
 }
 
 func (e *linkEntry) enqueue(j *linkJob) {
@@ -98,14 +98,14 @@
 }
 
 func (e *linkEntry) send() {
-	if e.sending || len(e.waiting) == 0 {
+	if e.isSending || len(e.waiting) == 0 {
 		return
 	}
 	j := e.waiting[0]
 	e.waiting = e.waiting[1:]
-	e.sending = true
+	e.isSending = true
 	e.s.at(e.s.transmit(&e.out, j.bytes), func() {
-		e.sending = false
+		e.isSending = false
 		if e.s.now+3*simDelay+j.runTime-j.arrivedAt <= j.kind.targetDuration(j.runTime) {
 			j.tally.inTime++
 		}
@@ -113,7 +113,7 @@
 	})
 }
 
-// Guards against congestion collapse on entries with thin links.
+// Guards against congestion collapse at entries with thin links.
 func TestLoadOverThinLinksIsServedInTime(t *testing.T) {
 	const minShareOfIdeal = 0.9
 	for _, rate := range linkRates {
@@ -133,6 +133,6 @@
 	}
 }
 
-// minTestedRate is the rate from which on a load is served as it should be, in bytes a second:
-// 1.5 Mbit/s.
+// minTestedRate is the lowest bandwidth at which the load is served as required, in bytes a
+// second: 1.5 Mbit/s.
 const minTestedRate = 187_500
--- a/internal/batch/uplink.go
+++ b/internal/batch/uplink.go
@@ -98,7 +98,7 @@
 	return smallFrameBytes
 }
 
-// text returns the number of bytes that the text takes in a RunTasks frame.
+// textBytes returns the number of bytes that the text takes in a RunTasks frame.
 func textBytes(t *wire.RunTasks) int {
 	if t.Packed != nil {
 		return len(t.Packed.Bytes)
--- a/internal/batch/uplink_test.go
+++ b/internal/batch/uplink_test.go
@@ -17,11 +17,13 @@
 	longText = 2400    // bytes
 )
 
+// newTasksFrame returns a RunTasks frame with a text of the given size.
 func newTasksFrame(bytes int) *wire.Frame {
 	return &wire.Frame{RunTasks: &wire.RunTasks{Text: string(make([]byte, bytes))}}
 }
 
-// sendBurst puts frames on a link at once and lets them come as one of a rate would carry them.
+// sendBurst records frames sent at the same time and their arrivals over a link of the given
+// rate.
 func sendBurst(u *uplink, now time.Duration, frames int, rate float64) (end time.Duration) {
 	arrived := now
 	for range frames {
@@ -33,7 +35,7 @@
 	return arrived
 }
 
-// Guards against a thin link that is not recognised, so that frames queue on it.
+// Guards against a thin link that is not detected, so that frames queue on it.
 func TestRateOfAThinLinkIsMeasured(t *testing.T) {
 	var u uplink
 	sendBurst(&u, time.Second, 8, thinRate)
@@ -43,7 +45,7 @@
 	qt.Check(t, u.canSend(u.nextSendAt()), qt.IsTrue)
 }
 
-// Guards against a pause of the process taken for a thin link.
+// Guards against a process pause that is taken for a thin link.
 func TestProcessPauseIsNotTakenForAThinLink(t *testing.T) {
 	var u uplink
 	now := time.Second
@@ -58,7 +60,7 @@
 	qt.Check(t, u.rate, qt.Equals, 0.0)
 }
 
-// Guards against callers refused for good after a link was thin for a moment.
+// Guards against callers that are refused permanently after the link was thin for a short time.
 func TestRateOfAThinLinkIsRaisedAgain(t *testing.T) {
 	var u uplink
 	now := sendBurst(&u, time.Second, 8, thinRate/10)
@@ -72,7 +74,7 @@
 	qt.Check(t, u.rate > thinRate, qt.IsTrue, qt.Commentf("%.0f", u.rate))
 }
 
-// Guards against a link overfilled before its bandwidth is known.
+// Guards against an overloaded link before its bandwidth is known.
 func TestLittleIsSentOverALinkOfUnknownRate(t *testing.T) {
 	var u uplink
 	now := time.Second
@@ -82,17 +84,18 @@
 		u.recordSend(now, newTasksFrame(longText))
 	}
 	qt.Check(t, sent < 2*initialWindow, qt.IsTrue)
-	qt.Check(t, u.canSend(now+windowTimeout), qt.IsTrue) // no word came
+	qt.Check(t, u.canSend(now+windowTimeout), qt.IsTrue) // no arrival was reported
 	m := u.recordSend(now, newTasksFrame(longText))
 	u.recordArrival(now, m, 0)
 	for u.canSend(now) && sent < 2*unlimitedWindow {
 		sent += frameBytes(newTasksFrame(longText))
 		u.recordArrival(now, u.recordSend(now, newTasksFrame(longText)), 0)
 	}
-	qt.Check(t, sent >= 2*unlimitedWindow, qt.IsTrue) // each that has come lets more be sent
+	qt.Check(t, sent >= 2*unlimitedWindow, qt.IsTrue) // each arrival allows more to be sent
 }
 
-// newThinLinkEntry is an entry with a thin link and guards with room for two tasks each.
+// newThinLinkEntry returns the machine of an entry with a thin link and guards with room for two
+// tasks each.
 func newThinLinkEntry(guards int) *Machine {
 	m := New(0, Options{Seed: 1})
 	for i := range guards {
@@ -111,7 +114,7 @@
 	return identity.Incarnation([]string{"g0", "g1", "g2", "g3"}[i])
 }
 
-// sentRunTasks gives the frames with tasks among some actions, in order.
+// sentRunTasks returns the RunTasks frames among the actions and their guards, in order.
 func sentRunTasks(actions []Action) (list []*wire.RunTasks, guards []identity.Incarnation) {
 	for _, a := range actions {
 		if a.Frame != nil && a.Frame.RunTasks != nil {
@@ -121,13 +124,14 @@
 	return list, guards
 }
 
+// longJob returns a job with a text of longText bytes.
 func longJob(id string, tasks int) *Job {
 	j := testJob(id, tasks, 4000)
 	j.Text = string(make([]byte, longText))
 	return j
 }
 
-// Guards against a text sent over a thin link once for each guard.
+// Guards against a text that is sent over a thin link once for each guard.
 func TestTextOfAJobPassesAThinLinkOnce(t *testing.T) {
 	m := newThinLinkEntry(3)
 	qt.Assert(t, m.Submit(0, longJob("j", 6)) == nil, qt.IsTrue)
@@ -140,7 +144,7 @@
 	}
 }
 
-// Guards against tasks that wait for a text whose guard is gone.
+// Guards against tasks that wait for a text from a guard that is gone.
 func TestUnavailableTextIsSentByTheEntry(t *testing.T) {
 	m := newThinLinkEntry(2)
 	qt.Assert(t, m.Submit(0, longJob("j", 4)) == nil, qt.IsTrue)
@@ -170,13 +174,13 @@
 	qt.Check(t, list[0].Packed, qt.IsNil)
 }
 
-// Guards against room held idle for jobs that wait for the link.
+// Guards against room that guards hold unused for jobs that wait for the link.
 func TestNoRoomIsHeldForJobsThatWaitForTheLink(t *testing.T) {
 	m := newThinLinkEntry(2)
 	m.uplink.idleAt = time.Second
 	j := longJob("j", 1)
 	q := *testQueue
-	q.Stretch = 100 // it may wait
+	q.Stretch = 100 // allows a long wait
 	j.Queue = &q
 	qt.Assert(t, m.Submit(0, j) == nil, qt.IsTrue)
 	qt.Check(t, m.Actions(0), qt.HasLen, 0)
