--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -11,10 +11,10 @@
 // is a suspect. Suspects are placed on different workers, so that a second crash identifies the
 // task that caused it.
 const (
-	// maxCrashes is the number of certain worker crashes during a task's runs at which its job
-	// fails.
+	// maxCrashes is the number of worker crashes that certainly occurred while a task was at the
+	// worker from which its job fails.
 	maxCrashes = 2
-	// maxSuspectedCrashes is the number of worker crashes, certain or possible, at which a task
+	// maxSuspectedCrashes is the number of worker crashes, certain or possible, from which a task
 	// is not started again.
 	maxSuspectedCrashes = 3
 )
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -10,10 +10,10 @@
 // tasks and are not counted as room, so that admission uses the remaining capacity at once. Runs
 // that are active there continue.
 func (m *Machine) SetDrains(now time.Duration, d *wire.Drains) {
-	before := m.drains
+	previous := m.drains
 	m.drains = *d
 	for _, g := range m.guards {
-		if g == nil || d.Has(g.worker.Domain) == before.Has(g.worker.Domain) {
+		if g == nil || d.Has(g.worker.Domain) == previous.Has(g.worker.Domain) {
 			continue
 		}
 		m.updateState(g)
