--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -7,52 +7,57 @@
 	"wigeontray/internal/wire"
 )
 
-// Bounds of the crashes of workers under a task. All that was at a worker is suspected of its
-// crash; suspects run apart from each other, so that the second crash tells the cause.
+// Limits on worker crashes during a task's runs. Every task that was at a worker when it crashed
+// is a suspect. Suspects are placed on different workers, so that a second crash identifies the
+// task that caused it.
 const (
-	// mostCrashes is under how many crashes a task may run before its job has failed.
-	mostCrashes = 2
-	// mostSuspected is how many workers may crash where the task ran or may have run before it
-	// is not started any more.
-	mostSuspected = 3
+	// maxCrashes is the number of worker crashes that certainly occurred while a task was at the
+	// worker from which its job fails.
+	maxCrashes = 2
+	// maxSuspectedCrashes is the number of worker crashes, certain or possible, from which a task
+	// is not started again.
+	maxSuspectedCrashes = 3
 )
 
-// crashCount counts the crashes of workers under one task.
+// crashCount counts the worker crashes during the runs of one task.
 type crashCount struct {
-	certain  int
-	possible int // it may have been there
+	certain  int // the task was at the worker
+	possible int // the task may have been at the worker
 }
 
-func (c crashCount) all() int { return c.certain + c.possible }
+func (c crashCount) total() int { return c.certain + c.possible }
 
-// crashCounts counts the crashes of workers under tasks, for the newest tasks. The counts
-// outlast the jobs: a caller may send a job again, here or to another entry.
+// crashCounts holds the crash counts of the most recent tasks. The counts are kept after the job
+// has ended, because its caller may resubmit it to this or to another entry.
 type crashCounts struct {
 	counts map[wire.TaskName]crashCount
-	ring   []wire.TaskName
-	next   int
+	ring   []wire.TaskName // tasks in order of insertion; the oldest is evicted first
+	next   int             // next position in ring
 }
 
 func newCrashCounts(size int) *crashCounts {
 	return &crashCounts{counts: make(map[wire.TaskName]crashCount), ring: make([]wire.TaskName, size)}
 }
 
-// add adds to the count of a task.
-func (c *crashCounts) add(t wire.TaskName, more crashCount) {
-	n, known := c.counts[t]
-	if !known {
+// add adds delta to a task's count and evicts the oldest task if this one is new.
+func (c *crashCounts) add(t wire.TaskName, delta crashCount) {
+	count, exists := c.counts[t]
+	if !exists {
 		delete(c.counts, c.ring[c.next])
 		c.ring[c.next] = t
 		c.next = (c.next + 1) % len(c.ring)
 	}
-	c.counts[t] = crashCount{certain: n.certain + more.certain, possible: n.possible + more.possible}
+	c.counts[t] = crashCount{certain: count.certain + delta.certain, possible: count.possible + delta.possible}
 }
 
-func (c *crashCounts) of(t wire.TaskName) crashCount { return c.counts[t] }
+func (c *crashCounts) get(t wire.TaskName) crashCount { return c.counts[t] }
 
-func nameOf(k runs.Key) wire.TaskName { return wire.TaskName{Job: k.Job, Step: k.Step, Index: k.Index} }
+func taskNameOf(k runs.Key) wire.TaskName {
+	return wire.TaskName{Job: k.Job, Step: k.Step, Index: k.Index}
+}
 
-// NoteCrash takes the tasks of other entries that were at a worker when it crashed.
+// NoteCrash counts a worker crash for the tasks of other entries that were at the worker: their
+// jobs may be submitted to this entry next.
 func (m *Machine) NoteCrash(c *wire.WorkerCrash) {
 	for _, t := range c.Tasks {
 		m.crashes.add(t, crashCount{certain: 1})
@@ -62,26 +67,27 @@
 	}
 }
 
-// noteCrash counts what an end says of a crash of its worker.
-func (m *Machine) noteCrash(k runs.Key, e *wire.RunEnd) {
+// recordCrash counts the worker crash that a run's end reports, if any.
+func (m *Machine) recordCrash(k runs.Key, e *wire.RunEnd) {
 	switch {
-	case m.opt.Off.Has(policy.CrashLimit):
+	case m.options.Off.Has(policy.CrashLimit):
 	case e.Crashed:
-		m.crashes.add(nameOf(k), crashCount{certain: 1})
+		m.crashes.add(taskNameOf(k), crashCount{certain: 1})
 	case e.Suspected:
-		m.crashes.add(nameOf(k), crashCount{possible: 1})
+		m.crashes.add(taskNameOf(k), crashCount{possible: 1})
 	}
 }
 
-// givenUp tells why no task of a job that comes again is started, or nil.
-func (m *Machine) givenUp(spec *Job) *errkind.Error {
+// checkCrashLimits returns an error if a task of a submitted job must not be started because of
+// earlier worker crashes.
+func (m *Machine) checkCrashLimits(spec *Job) *errkind.Error {
 	if len(m.crashes.counts) == 0 {
 		return nil
 	}
 	for step := range spec.Steps {
 		for index := range spec.Steps[step].Count {
 			t := wire.TaskName{Job: spec.ID, Step: step, Index: index}
-			if err := m.crashes.of(t).limit(t); err != nil {
+			if err := m.crashes.get(t).checkLimit(t); err != nil {
 				return err
 			}
 		}
@@ -89,13 +95,13 @@
 	return nil
 }
 
-// limit tells why a task is not started any more, or nil.
-func (c crashCount) limit(t wire.TaskName) *errkind.Error {
+// checkLimit returns an error if the task must not be started again.
+func (c crashCount) checkLimit(t wire.TaskName) *errkind.Error {
 	switch {
-	case c.certain >= mostCrashes:
+	case c.certain >= maxCrashes:
 		return errkind.New(errkind.UpstreamFailed, "%d workers crashed under task %d of step %d", c.certain, t.Index, t.Step)
-	case c.all() >= mostSuspected:
-		return errkind.New(errkind.WorkerLost, "%d workers crashed where task %d of step %d may have run", c.all(), t.Index, t.Step)
+	case c.total() >= maxSuspectedCrashes:
+		return errkind.New(errkind.WorkerLost, "%d workers crashed where task %d of step %d may have run", c.total(), t.Index, t.Step)
 	}
 	return nil
 }
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -6,34 +6,34 @@
 	"wigeontray/internal/wire"
 )
 
-// SetDrains puts the failure domains that the operators drain in force. Workers there get no
-// more tasks and no longer count as room, so that admission knows at once what is left; what
-// runs there goes on.
+// SetDrains applies the operators' list of drained failure domains. Workers in them get no more
+// tasks and are not counted as room, so that admission uses the remaining capacity at once. Runs
+// that are active there continue.
 func (m *Machine) SetDrains(now time.Duration, d *wire.Drains) {
-	before := m.drains
+	previous := m.drains
 	m.drains = *d
-	for _, s := range m.sites {
-		if s == nil || d.Has(s.worker.Domain) == before.Has(s.worker.Domain) {
+	for _, g := range m.guards {
+		if g == nil || d.Has(g.worker.Domain) == previous.Has(g.worker.Domain) {
 			continue
 		}
-		m.setState(s)
-		m.tryCold(s)
+		m.updateState(g)
+		m.limitColdWorker(g)
 	}
-	m.pump(now)
+	m.dispatchWaiting(now)
 }
 
-// tryCold lets a worker that says it is cold begin with one task at a time.
-func (m *Machine) tryCold(s *site) {
-	if s.worker.Cold && s.worker.Usable && !m.drains.Has(s.worker.Domain) {
-		m.view[s.place].Limit = 1
+// limitColdWorker limits a worker that reports itself cold to one task at first.
+func (m *Machine) limitColdWorker(g *guard) {
+	if g.worker.Cold && g.worker.Usable && !m.drains.Has(g.worker.Domain) {
+		m.workers[g.position].Limit = 1
 	}
 }
 
-// WorkersIn counts the workers that are known in a failure domain.
+// WorkersIn returns the number of known workers in a failure domain.
 func (m *Machine) WorkersIn(domain string) int {
 	n := 0
-	for _, s := range m.sites {
-		if s != nil && s.worker.ID != "" && s.worker.Domain == domain {
+	for _, g := range m.guards {
+		if g != nil && g.worker.ID != "" && g.worker.Domain == domain {
 			n++
 		}
 	}
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -14,196 +14,200 @@
 	"wigeontray/internal/wire"
 )
 
-// flight is one run that was sent to a guard and has not ended.
-type flight struct {
-	key  runs.Key
-	job  *job
-	step *step
-	site *site
-	lost time.Duration // when it has ended for sure, if its guard was lost; else 0
-	// suspect tells that the task has run under a worker's crash.
-	suspect bool
+// activeRun is a run that was sent to a guard and has not ended.
+type activeRun struct {
+	key   runs.Key
+	job   *job
+	step  *step
+	guard *guard
+	// endedBy is the time after which the run has certainly ended if its guard was lost, else 0.
+	endedBy time.Duration
+	// isSuspect is set if a worker crashed while an earlier run of the task was, or may have
+	// been, there.
+	isSuspect bool
 }
 
-// flightsInOrder gives the flights in a fixed order, so that the same events lead
-// to the same actions each time.
-func (m *Machine) flightsInOrder() []*flight {
-	return slices.SortedFunc(maps.Values(m.flights), func(a, b *flight) int {
+// activeRunsInOrder returns the active runs in a fixed order, so that the same events always lead
+// to the same actions.
+func (m *Machine) activeRunsInOrder() []*activeRun {
+	return slices.SortedFunc(maps.Values(m.activeRuns), func(a, b *activeRun) int {
 		return cmp.Or(cmp.Compare(a.job.seq, b.job.seq), a.key.Step-b.key.Step, a.key.Index-b.key.Index)
 	})
 }
 
-// Machine is the state of one entry's jobs.
+// Machine is the scheduling state of one entry. It is not safe for concurrent use.
 type Machine struct {
-	opt     Options
-	rng     *rand.Rand
-	began   time.Duration
-	entries int // that share the workers
-
-	sites  []*site // same places as view
-	view   []sched.Site
-	places map[identity.Incarnation]*site
-
-	jobs         map[string]*job
-	queue        []*job // with tasks that wait, in order
-	flights      map[runs.Key]*flight
-	learned      map[string]*sched.Ratio // by queue
-	past         *past
-	crashes      *crashCounts
-	seq          uint64
-	urgent       map[string]urgency // by service
-	anyLost      bool               // a guard with flights was lost
-	advertised   wire.RunDemand     // the demand that guards have heard of
-	advertisedAt time.Duration      // and when
-	// advertisedTo is to how many guards at most.
-	advertisedTo int
-	uplink       uplink
-	drains       wire.Drains // failure domains in which nothing is started
+	options    Options
+	rng        *rand.Rand
+	startedAt  time.Duration
+	entryCount int // entries that share the workers
+
+	guards    []*guard     // by position, nil where free; parallel to workers
+	workers   []sched.Site // placement data of the guards' workers
+	guardByID map[identity.Incarnation]*guard
+
+	jobs             map[string]*job // unanswered jobs, by ID
+	queue            []*job          // jobs with waiting tasks, ordered by compareJobs
+	activeRuns       map[runs.Key]*activeRun
+	runTimeRatios    map[string]*sched.Ratio // by queue
+	endedJobs        *endedJobs
+	crashes          *crashCounts
+	seq              uint64
+	recentPriorities map[string]recentPriority // by service
+	hasLostRuns      bool                      // activeRuns may contain runs of lost guards
+	advertised       wire.RunDemand            // last advertised demand
+	advertisedAt     time.Duration             // time of the last advertisement
+	// advertisedCount is the maximum number of guards addressed by the last advertisement.
+	advertisedCount int
+	uplink          uplink
+	drains          wire.Drains // failure domains in which no task is started
 
 	actions []Action
 }
 
-// New returns the machine of an entry that starts now.
-func New(now time.Duration, opt Options) *Machine {
-	opt.Timing = opt.Timing.OrDefault()
+// New returns the machine of an entry that starts at now.
+func New(now time.Duration, options Options) *Machine {
+	options.Timing = options.Timing.OrDefault()
 	return &Machine{
-		opt:     opt,
-		rng:     rand.New(rand.NewPCG(opt.Seed, 0)),
-		began:   now,
-		entries: 1,
-		places:  make(map[identity.Incarnation]*site),
-		jobs:    make(map[string]*job),
-		flights: make(map[runs.Key]*flight),
-		learned: make(map[string]*sched.Ratio),
-		urgent:  make(map[string]urgency),
-		past:    newPast(remembered),
-		crashes: newCrashCounts(remembered),
+		options:          options,
+		rng:              rand.New(rand.NewPCG(options.Seed, 0)),
+		startedAt:        now,
+		entryCount:       1,
+		guardByID:        make(map[identity.Incarnation]*guard),
+		jobs:             make(map[string]*job),
+		activeRuns:       make(map[runs.Key]*activeRun),
+		runTimeRatios:    make(map[string]*sched.Ratio),
+		recentPriorities: make(map[string]recentPriority),
+		endedJobs:        newEndedJobs(historySize),
+		crashes:          newCrashCounts(historySize),
 	}
 }
 
-// Actions returns the actions since the last call, for the caller to keep.
+// Actions returns the actions since the last call, which the caller may keep.
 func (m *Machine) Actions(now time.Duration) []Action {
 	m.advertise(now)
-	out := m.actions
+	pending := m.actions
 	m.actions = nil
-	return out
+	return pending
 }
 
-// Beside notes a frame that is sent to a guard beside those of the machine.
-func (m *Machine) Beside(now time.Duration, f *wire.Frame) { m.uplink.put(now, f) }
+// Beside accounts for a frame that the owner sends to a guard in addition to the machine's
+// actions.
+func (m *Machine) Beside(now time.Duration, f *wire.Frame) { m.uplink.recordSend(now, f) }
 
-// SetEntries tells how many entries share the workers.
-func (m *Machine) SetEntries(n int) { m.entries = max(1, n) }
+// SetEntries sets the number of entries that share the workers.
+func (m *Machine) SetEntries(n int) { m.entryCount = max(1, n) }
 
-// Jobs tells how many jobs are not answered, and how many of a queue no task has
-// been sent of.
+// Jobs returns the number of unanswered jobs, and the number of those in the given queue of which
+// no task has been sent.
 func (m *Machine) Jobs(queue string) (open, pending int) {
 	for _, j := range m.jobs {
-		if j.spec.Queue.Name == queue && !j.sent {
+		if j.spec.Queue.Name == queue && !j.hasSentTasks {
 			pending++
 		}
 	}
 	return len(m.jobs), pending
 }
 
-// Snapshot is what decides about new jobs, for logs.
+// Snapshot is the data that admission decisions are based on, for logs.
 type Snapshot struct {
-	Waiting   int           // jobs with tasks that wait for room
+	Waiting   int           // jobs with waiting tasks
 	Running   int           // runs that were sent and have not ended
-	Workers   int           // that may be given tasks
-	Free      int64         // processor that is believed free there, thousandths of a core
-	Entries   int           // that share the workers
-	LinkRate  int64         // as Machine.LinkRate
-	LinkAhead time.Duration // that what was sent takes to pass the link
+	Workers   int           // usable workers
+	Free      int64         // estimate of the free CPU of usable workers, in thousandths of a core
+	Entries   int           // entries that share the workers
+	LinkRate  int64         // see Machine.LinkRate
+	LinkAhead time.Duration // time that the sent frames still need to pass the link
 }
 
-// LinkRate is the bandwidth towards the guards, in bytes a second; 0 while it has not
-// been found to be thin.
+// LinkRate returns the estimated bandwidth to the guards, in bytes a second; 0 if the link has
+// not been found to be thin.
 func (m *Machine) LinkRate() int64 { return int64(m.uplink.rate) }
 
-// Snapshot reads the machine.
+// Snapshot returns the data that admission decisions are currently based on.
 func (m *Machine) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
-		Waiting: len(m.queue), Running: len(m.flights), Workers: m.Workers(), Entries: m.entries,
-		LinkRate: m.LinkRate(), LinkAhead: max(0, m.uplink.free-now),
+		Waiting: len(m.queue), Running: len(m.activeRuns), Workers: m.Workers(), Entries: m.entryCount,
+		LinkRate: m.LinkRate(), LinkAhead: max(0, m.uplink.idleAt-now),
 	}
-	for i := range m.view {
-		if v := &m.view[i]; v.State == sched.Usable {
-			s.Free += max(0, v.Free.CPU)
+	for i := range m.workers {
+		if w := &m.workers[i]; w.State == sched.Usable {
+			s.Free += max(0, w.Free.CPU)
 		}
 	}
 	return s
 }
 
-// Workers tells how many workers may be given tasks.
+// Workers returns the number of usable workers.
 func (m *Machine) Workers() int {
 	n := 0
-	for i := range m.view {
-		if m.view[i].State == sched.Usable {
+	for i := range m.workers {
+		if m.workers[i].State == sched.Usable {
 			n++
 		}
 	}
 	return n
 }
 
-// State tells what is known of a job.
+// State returns the state of a job, also of recently ended ones.
 func (m *Machine) State(id string) State {
 	j := m.jobs[id]
 	switch {
 	case j == nil:
-		return m.past.state(id)
-	case j.sent:
+		return m.endedJobs.state(id)
+	case j.hasSentTasks:
 		return Running
 	}
 	return Queued
 }
 
-// Submit admits a job or refuses it for good. The outcome of an admitted job
-// comes as a Finish action. A job that has been admitted and is not answered must
-// not be submitted again.
+// Submit admits a job or refuses it with a final error. The outcome of an admitted job is
+// returned as a Finish action. A job that has been admitted and not answered must not be
+// submitted again.
 func (m *Machine) Submit(now time.Duration, spec *Job) *errkind.Error {
-	m.noteUrgency(now, spec.Queue)
-	chain := m.chain(spec)
-	wait := m.wait(spec)
-	if err := m.givenUp(spec); err != nil {
+	m.recordPriority(now, spec.Queue)
+	criticalPath := m.criticalPath(spec)
+	expectedWait := m.expectedWait(spec)
+	if err := m.checkCrashLimits(spec); err != nil {
 		return err
 	}
-	if err := m.admit(now, spec, chain, wait); err != nil {
+	if err := m.admit(now, spec, criticalPath, expectedWait); err != nil {
 		return err
 	}
-	j := m.newJob(spec, now, chain, m.past.lastRun(spec.ID))
-	_, free := m.room(spec.Queue.Service)
-	j.note(Event{At: now, What: Admitted, Tasks: j.open, Free: free, Wait: wait, Goal: j.goal - now})
+	j := m.newJob(spec, now, criticalPath, m.endedJobs.maxRun(spec.ID))
+	_, freeCPU := m.serviceCPU(spec.Queue.Service)
+	j.addEvent(Event{At: now, What: EventAdmitted, Tasks: j.unfinished, Free: freeCPU, Wait: expectedWait, Goal: j.targetEnd - now})
 	m.jobs[spec.ID] = j
 	m.enqueue(j)
-	m.pump(now)
+	m.dispatchWaiting(now)
 	return nil
 }
 
-// Cancel withdraws a job and tells whether it was there.
+// Cancel withdraws a job and reports whether it was found.
 func (m *Machine) Cancel(now time.Duration, id string) bool {
 	j := m.jobs[id]
 	if j == nil {
 		return false
 	}
-	m.fail(now, j, errkind.New(errkind.Cancelled, "the caller cancelled the job"))
-	m.pump(now)
+	m.failJob(now, j, errkind.New(errkind.Cancelled, "the caller cancelled the job"))
+	m.dispatchWaiting(now)
 	return true
 }
 
+// enqueue adds a job with waiting tasks to the queue, unless it is there already.
 func (m *Machine) enqueue(j *job) {
 	if j.waiting == 0 {
 		return
 	}
-	at, found := slices.BinarySearchFunc(m.queue, j, compareJobs)
+	position, found := slices.BinarySearchFunc(m.queue, j, compareJobs)
 	if !found {
-		m.queue = slices.Insert(m.queue, at, j)
+		m.queue = slices.Insert(m.queue, position, j)
 	}
 }
 
 func (m *Machine) dequeue(j *job) {
-	if at, found := slices.BinarySearchFunc(m.queue, j, compareJobs); found {
-		m.queue = slices.Delete(m.queue, at, at+1)
+	if position, found := slices.BinarySearchFunc(m.queue, j, compareJobs); found {
+		m.queue = slices.Delete(m.queue, position, position+1)
 	}
 }
 
--- a/internal/batch/shift_test.go
+++ b/internal/batch/shift_test.go
@@ -7,39 +7,41 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// shiftWindow is the window by which a load after a shift of its work is looked at.
+// shiftWindow is the length of the windows by which the results after a shift of the mix are
+// evaluated.
 const shiftWindow = time.Second
 
-// otherMix is the work of another season: bookings prevail, have more and shorter tasks, and the
-// callers still estimate what checks took before.
-func otherMix() []requestKind {
-	mix := deskMix()
+// seasonalMix is the mix of another season: bookings dominate and have more and shorter tasks,
+// and callers still estimate an earlier run time for checks, which is too short by half.
+func seasonalMix() []requestKind {
+	mix := ticketMix()
 	hold, booking, check := &mix[0], &mix[1], &mix[2]
-	hold.share, hold.run = 12, 90*time.Millisecond
-	booking.share, booking.tasks, booking.run = 16, 7, 500*time.Millisecond
-	check.share, check.shorter = 60, 2
+	hold.share, hold.medianRunTime = 12, 90*time.Millisecond
+	booking.share, booking.tasks, booking.medianRunTime = 16, 7, 500*time.Millisecond
+	check.share, check.estimateDivisor = 60, 2
 	return mix
 }
 
-// servedByWindow gives the share that was served in time in each window since the shift.
+// servedByWindow returns the share served in time in each window after the shift.
 func servedByWindow(list []*loadResult) []float64 {
 	shares := make([]float64, len(list[0].shifted))
 	for i := range shares {
-		inTime, asked := 0, 0
+		inTime, arrivals := 0, 0
 		for _, r := range list {
 			inTime += r.shifted[i].inTime
-			asked += r.shifted[i].asked
+			arrivals += r.shifted[i].arrivals
 		}
-		shares[i] = float64(inTime) / float64(max(1, asked))
+		shares[i] = float64(inTime) / float64(max(1, arrivals))
 	}
 	return shares
 }
 
-// Guards against decisions that keep to the work of before: two seconds after it has shifted in mix, run time, fan-out and estimates, as many are served in time as later on.
+// Guards against decisions that rely on outdated observations: two seconds after a shift of mix,
+// run times, fan-out and estimates, as many requests are served in time as later on.
 func TestLoadThatShiftsIsServedAsWellTwoSecondsLater(t *testing.T) {
-	const adapts = 2 * time.Second
-	shares := servedByWindow(load{ofRoom: 0.8, shifts: otherMix()}.resultsOf(t, 4))
-	first := int(adapts / shiftWindow)
+	const adaptTime = 2 * time.Second
+	shares := servedByWindow(load{offeredLoad: 0.8, mixAfterShift: seasonalMix()}.resultsWithSeeds(t, 4))
+	first := int(adaptTime / shiftWindow)
 	last := shares[first : len(shares)-1] // the last window is empty
 	t.Logf("served in time by window: %.2f", shares)
 	mean := 0.0
--- a/internal/batch/table.go
+++ b/internal/batch/table.go
@@ -5,40 +5,40 @@
 	"strings"
 )
 
-// Route leads requests to a queue.
+// Route maps requests with a host and path prefix to a queue.
 type Route struct {
 	Host   string
-	Prefix string // of the path
+	Prefix string // path prefix
 	Queue  *Queue
-	// Reason tells why the queue's jobs cannot be served; empty if they can.
+	// Reason says why the queue's jobs cannot be served; empty if they can.
 	Reason string
 }
 
-// Table finds the queue of a request. It is not changed once made.
+// Table finds the queue of a request. It is immutable.
 type Table struct {
-	byHost  map[string][]Route // longest prefix first
-	MaxBody int64              // bytes in a submission
+	byHost  map[string][]Route // sorted by descending prefix length
+	MaxBody int64              // maximum size of a submission, in bytes
 }
 
-// NewTable returns the table of some routes.
+// NewTable returns a table of the given routes.
 func NewTable(routes []Route, maxBody int64) *Table {
 	t := &Table{byHost: make(map[string][]Route), MaxBody: maxBody}
 	for _, r := range routes {
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
 	}
-	for _, rs := range t.byHost {
-		slices.SortStableFunc(rs, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, hostRoutes := range t.byHost {
+		slices.SortStableFunc(hostRoutes, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	return t
 }
 
-// Find gives the route with the longest prefix of path, and what follows the
-// prefix; nil if there is none.
+// Find returns the route with the longest matching prefix of path, and the rest of
+// the path; a nil route if none matches.
 func (t *Table) Find(host, path string) (r *Route, rest string) {
-	rs := t.byHost[host]
-	for i := range rs {
-		if rest, ok := strings.CutPrefix(path, rs[i].Prefix); ok {
-			return &rs[i], rest
+	hostRoutes := t.byHost[host]
+	for i := range hostRoutes {
+		if rest, ok := strings.CutPrefix(path, hostRoutes[i].Prefix); ok {
+			return &hostRoutes[i], rest
 		}
 	}
 	return nil, ""
--- a/internal/batch/uplink_test.go
+++ b/internal/batch/uplink_test.go
@@ -17,83 +17,86 @@
 	longText = 2400    // bytes
 )
 
-func tasksOf(bytes int) *wire.Frame {
+// newTasksFrame returns a RunTasks frame with a text of the given size.
+func newTasksFrame(bytes int) *wire.Frame {
 	return &wire.Frame{RunTasks: &wire.RunTasks{Text: string(make([]byte, bytes))}}
 }
 
-// burst puts frames on a link at once and lets them come as one of a rate would carry them.
-func burst(u *uplink, now time.Duration, frames int, rate float64) (end time.Duration) {
-	came := now
+// sendBurst records frames sent at the same time and their arrivals over a link of the given
+// rate.
+func sendBurst(u *uplink, now time.Duration, frames int, rate float64) (end time.Duration) {
+	arrived := now
 	for range frames {
-		f := tasksOf(longText)
-		m := u.put(now, f)
-		came += time.Duration(frameBytes(f) / rate * float64(time.Second))
-		u.arrived(came, m, came-now)
+		f := newTasksFrame(longText)
+		m := u.recordSend(now, f)
+		arrived += time.Duration(frameBytes(f) / rate * float64(time.Second))
+		u.recordArrival(arrived, m, arrived-now)
 	}
-	return came
+	return arrived
 }
 
-// Guards against a thin link that is not recognised, so that frames queue on it.
+// Guards against a thin link that is not detected, so that frames queue on it.
 func TestRateOfAThinLinkIsMeasured(t *testing.T) {
 	var u uplink
-	burst(&u, time.Second, 8, thinRate)
+	sendBurst(&u, time.Second, 8, thinRate)
 	qt.Check(t, u.rate > 0.8*thinRate && u.rate <= thinRate, qt.IsTrue, qt.Commentf("%.0f", u.rate))
-	u.put(2*time.Second, tasksOf(10*longText))
-	qt.Check(t, u.open(2*time.Second), qt.IsFalse)
-	qt.Check(t, u.open(u.opensAt()), qt.IsTrue)
+	u.recordSend(2*time.Second, newTasksFrame(10*longText))
+	qt.Check(t, u.canSend(2*time.Second), qt.IsFalse)
+	qt.Check(t, u.canSend(u.nextSendAt()), qt.IsTrue)
 }
 
-// Guards against a pause of the process taken for a thin link.
-func TestPauseOfTheProcessIsNoThinLink(t *testing.T) {
+// Guards against a process pause that is taken for a thin link.
+func TestProcessPauseIsNotTakenForAThinLink(t *testing.T) {
 	var u uplink
 	now := time.Second
 	for i := range 8 {
-		m := u.put(now, tasksOf(longText))
-		late := time.Duration(0)
+		m := u.recordSend(now, newTasksFrame(longText))
+		delay := time.Duration(0)
 		if i >= 3 {
-			late = 80 * time.Millisecond
+			delay = 80 * time.Millisecond
 		}
-		u.arrived(now+late, m, late)
+		u.recordArrival(now+delay, m, delay)
 	}
 	qt.Check(t, u.rate, qt.Equals, 0.0)
 }
 
-// Guards against callers refused for good after a link was thin for a moment.
+// Guards against callers that are refused permanently after the link was thin for a short time.
 func TestRateOfAThinLinkIsRaisedAgain(t *testing.T) {
 	var u uplink
-	now := burst(&u, time.Second, 8, thinRate/10)
+	now := sendBurst(&u, time.Second, 8, thinRate/10)
 	qt.Assert(t, u.rate < thinRate/5, qt.IsTrue)
 	for range 40 {
 		now += 100 * time.Millisecond
-		m := u.put(now, tasksOf(longText))
-		u.open(now) // the next job is held back
-		u.arrived(now+time.Millisecond, m, 0)
+		m := u.recordSend(now, newTasksFrame(longText))
+		u.canSend(now) // the next job is held back
+		u.recordArrival(now+time.Millisecond, m, 0)
 	}
 	qt.Check(t, u.rate > thinRate, qt.IsTrue, qt.Commentf("%.0f", u.rate))
 }
 
-// Guards against a link overfilled before its bandwidth is known.
-func TestLittleIsSentOverALinkThatIsNotKnown(t *testing.T) {
+// Guards against an overloaded link before its bandwidth is known.
+func TestLittleIsSentOverALinkOfUnknownRate(t *testing.T) {
 	var u uplink
 	now := time.Second
 	sent := 0.0
-	for u.open(now) {
-		sent += frameBytes(tasksOf(longText))
-		u.put(now, tasksOf(longText))
+	for u.canSend(now) {
+		sent += frameBytes(newTasksFrame(longText))
+		u.recordSend(now, newTasksFrame(longText))
 	}
-	qt.Check(t, sent < 2*firstWindow, qt.IsTrue)
-	qt.Check(t, u.open(now+windowTimeout), qt.IsTrue) // no word came
-	m := u.put(now, tasksOf(longText))
-	u.arrived(now, m, 0)
-	for u.open(now) && sent < 2*openWindow {
-		sent += frameBytes(tasksOf(longText))
-		u.arrived(now, u.put(now, tasksOf(longText)), 0)
+	qt.Check(t, sent < 2*initialWindow, qt.IsTrue)
+	qt.Check(t, u.canSend(now+windowTimeout), qt.IsTrue) // no arrival was reported
+	m := u.recordSend(now, newTasksFrame(longText))
+	u.recordArrival(now, m, 0)
+	for u.canSend(now) && sent < 2*unlimitedWindow {
+		sent += frameBytes(newTasksFrame(longText))
+		u.recordArrival(now, u.recordSend(now, newTasksFrame(longText)), 0)
 	}
-	qt.Check(t, sent >= 2*openWindow, qt.IsTrue) // each that has come lets more be sent
+	qt.Check(t, sent >= 2*unlimitedWindow, qt.IsTrue) // each arrival allows more to be sent
 }
 
-// thinEntry is an entry with a thin link and guards with room for two tasks each.
-func thinEntry(guards int) *Machine {
+// newThinLinkEntry returns the machine of an entry with a thin link and guards with room for two
+// tasks each.
+func newThinLinkEntry(guards int) *Machine {
 	m := New(0, Options{Seed: 1})
 	for i := range guards {
 		m.GuardUp(0, &wire.RunHello{
@@ -111,8 +114,8 @@
 	return identity.Incarnation([]string{"g0", "g1", "g2", "g3"}[i])
 }
 
-// sentTo gives the frames with tasks among some actions, in order.
-func sentTo(actions []Action) (list []*wire.RunTasks, guards []identity.Incarnation) {
+// sentRunTasks returns the RunTasks frames among the actions and their guards, in order.
+func sentRunTasks(actions []Action) (list []*wire.RunTasks, guards []identity.Incarnation) {
 	for _, a := range actions {
 		if a.Frame != nil && a.Frame.RunTasks != nil {
 			list, guards = append(list, a.Frame.RunTasks), append(guards, a.Guard)
@@ -121,17 +124,18 @@
 	return list, guards
 }
 
+// longJob returns a job with a text of longText bytes.
 func longJob(id string, tasks int) *Job {
 	j := testJob(id, tasks, 4000)
 	j.Text = string(make([]byte, longText))
 	return j
 }
 
-// Guards against a text sent over a thin link once for each guard.
+// Guards against a text that is sent over a thin link once for each guard.
 func TestTextOfAJobPassesAThinLinkOnce(t *testing.T) {
-	m := thinEntry(3)
+	m := newThinLinkEntry(3)
 	qt.Assert(t, m.Submit(0, longJob("j", 6)) == nil, qt.IsTrue)
-	list, guards := sentTo(m.Actions(0))
+	list, guards := sentRunTasks(m.Actions(0))
 	qt.Assert(t, list, qt.HasLen, 3)
 	qt.Check(t, textBytes(list[0]) > 0 && list[0].Keep, qt.IsTrue)
 	for _, other := range list[1:] {
@@ -140,15 +144,15 @@
 	}
 }
 
-// Guards against tasks that wait for a text whose guard is gone.
-func TestTextThatIsNotToBeHadIsSentByTheEntry(t *testing.T) {
-	m := thinEntry(2)
+// Guards against tasks that wait for a text from a guard that is gone.
+func TestUnavailableTextIsSentByTheEntry(t *testing.T) {
+	m := newThinLinkEntry(2)
 	qt.Assert(t, m.Submit(0, longJob("j", 4)) == nil, qt.IsTrue)
-	list, guards := sentTo(m.Actions(0))
+	list, guards := sentRunTasks(m.Actions(0))
 	qt.Assert(t, list, qt.HasLen, 2)
 	end := wire.RunEnd{Job: "j", Index: list[1].Tasks[0].Index, Run: 1, Kind: errkind.Busy, Ran: errkind.RanNo, NoText: true}
 	m.Ended(time.Millisecond, guards[1], &wire.RunsEnded{Ends: []wire.RunEnd{end}, Load: wire.RunLoad{ClockMs: 1, Seen: 1, Free: sched.Room{CPU: 4000}}})
-	again, _ := sentTo(m.Actions(time.Millisecond))
+	again, _ := sentRunTasks(m.Actions(time.Millisecond))
 	qt.Assert(t, again, qt.HasLen, 1)
 	qt.Check(t, again[0].Source, qt.Equals, "")
 	qt.Check(t, textBytes(again[0]) > 0, qt.IsTrue)
@@ -164,23 +168,23 @@
 	})
 	j := longJob("j", 1)
 	qt.Assert(t, m.Submit(0, j) == nil, qt.IsTrue)
-	list, _ := sentTo(m.Actions(0))
+	list, _ := sentRunTasks(m.Actions(0))
 	qt.Assert(t, list, qt.HasLen, 1)
 	qt.Check(t, list[0].Text, qt.Equals, j.Text)
 	qt.Check(t, list[0].Packed, qt.IsNil)
 }
 
-// Guards against room held idle for jobs that wait for the link.
+// Guards against room that guards hold unused for jobs that wait for the link.
 func TestNoRoomIsHeldForJobsThatWaitForTheLink(t *testing.T) {
-	m := thinEntry(2)
-	m.uplink.free = time.Second
+	m := newThinLinkEntry(2)
+	m.uplink.idleAt = time.Second
 	j := longJob("j", 1)
 	q := *testQueue
-	q.Stretch = 100 // it may wait
+	q.Stretch = 100 // allows a long wait
 	j.Queue = &q
 	qt.Assert(t, m.Submit(0, j) == nil, qt.IsTrue)
 	qt.Check(t, m.Actions(0), qt.HasLen, 0)
 	next := m.NextTick()
 	m.Tick(next)
-	qt.Check(t, sentTasks(m.Actions(next)), qt.Equals, 1)
+	qt.Check(t, countSentTasks(m.Actions(next)), qt.Equals, 1)
 }
