--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -62,7 +62,7 @@
 	mechanismCount
 )
 
-var names = [mechanismCount]string{
+var mechanismNames = [mechanismCount]string{
 	WholeStarts: "whole-starts", BoundedWait: "bounded-wait", Offers: "offers", UrgentOffers: "urgent-offers",
 	NearFirst: "near-first", OwnDomain: "own-domain", LearnedTimes: "learned-times", QuickShare: "quick-share",
 	Quarantine: "quarantine", Probation: "probation", StallWatch: "stall-watch", PaceWatch: "pace-watch",
@@ -71,24 +71,24 @@
 }
 
 // String gives the name that Parse reads.
-func (m Mechanism) String() string { return names[m] }
+func (m Mechanism) String() string { return mechanismNames[m] }
 
 // All lists the mechanisms.
 func All() []Mechanism {
-	all := make([]Mechanism, mechanismCount)
-	for i := range all {
-		all[i] = Mechanism(i)
+	mechanisms := make([]Mechanism, mechanismCount)
+	for i := range mechanisms {
+		mechanisms[i] = Mechanism(i)
 	}
-	return all
+	return mechanisms
 }
 
 // Set is a set of mechanisms. The zero value is empty.
 type Set uint32
 
 // Of gives the set of some mechanisms.
-func Of(ms ...Mechanism) Set {
+func Of(mechanisms ...Mechanism) Set {
 	var s Set
-	for _, m := range ms {
+	for _, m := range mechanisms {
 		s |= 1 << m
 	}
 	return s
@@ -104,7 +104,7 @@
 		if name == "" {
 			continue
 		}
-		m := slices.Index(names[:], name)
+		m := slices.Index(mechanismNames[:], name)
 		if m < 0 {
 			return 0, fmt.Errorf("no mechanism is named %q", name)
 		}
--- a/internal/runs/api.go
+++ b/internal/runs/api.go
@@ -33,8 +33,8 @@
 	Run         int64
 }
 
-func (k Key) compare(o Key) int {
-	return cmp.Or(strings.Compare(k.Job, o.Job), k.Step-o.Step, k.Index-o.Index, cmp.Compare(k.Run, o.Run))
+func (k Key) compare(other Key) int {
+	return cmp.Or(strings.Compare(k.Job, other.Job), k.Step-other.Step, k.Index-other.Index, cmp.Compare(k.Run, other.Run))
 }
 
 // Report is what a worker says of itself.
@@ -56,9 +56,9 @@
 
 // Bounds of a capacity that is believed.
 const (
-	mostCPU      = 1 << 30 // thousandths of a core
-	mostMemoryMB = 1 << 30
-	mostGPUs     = 1 << 16
+	maxCPU      = 1 << 30 // thousandths of a core
+	maxMemoryMB = 1 << 30
+	maxGPUs     = 1 << 16
 )
 
 // Check tells why a report names no worker to use, or nil. Another writer may have
@@ -78,7 +78,7 @@
 	case r.ClockMs <= 0:
 		return fmt.Errorf("report with a clock of %d ms", r.ClockMs)
 	case r.Capacity.CPU < 0 || r.Capacity.MemoryMB < 0 || r.Capacity.GPUs < 0,
-		r.Capacity.CPU > mostCPU || r.Capacity.MemoryMB > mostMemoryMB || r.Capacity.GPUs > mostGPUs:
+		r.Capacity.CPU > maxCPU || r.Capacity.MemoryMB > maxMemoryMB || r.Capacity.GPUs > maxGPUs:
 		return fmt.Errorf("report with a capacity of %+v", r.Capacity)
 	}
 	return nil
@@ -208,30 +208,30 @@
 
 // Bounds in time of the machine.
 const (
-	// renewEvery is how long a Hold waits for an end. A busy worker answers sooner;
+	// renewInterval is how long a Hold waits for an end. A busy worker answers sooner;
 	// the answer to one that is lost is missed only after this time.
-	renewEvery = 60 * time.Millisecond
-	// orderTime is when an order counts as unanswered: a worker on the guard's own
+	renewInterval = 60 * time.Millisecond
+	// orderTimeout is when an order counts as unanswered: a worker on the guard's own
 	// VM answers in one or two milliseconds, and the guard's processor pauses
 	// for up to 20 ms.
-	orderTime = 40 * time.Millisecond
-	// fetchTime is when the text of a job counts as not to be had from another guard:
+	orderTimeout = 40 * time.Millisecond
+	// fetchTimeout is when the text of a job counts as not to be had from another guard:
 	// a connection and an answer between failure domains, and pauses of two processors.
-	fetchTime = 120 * time.Millisecond
-	// startTries is how often a start is sent before it is given up.
-	startTries = 3
-	// StopTime bounds how long an acknowledged stop takes at the worker, with
+	fetchTimeout = 120 * time.Millisecond
+	// maxStartAttempts is how often a start is sent before it is given up.
+	maxStartAttempts = 3
+	// MaxStopDelay bounds how long an acknowledged stop takes at the worker, with
 	// margin.
-	StopTime = 100 * time.Millisecond
-	// retryOrder is the pause before an order without an answer is repeated.
-	retryOrder = 30 * time.Millisecond
-	// clockSlack is by how much longer than Timing.Lease a lease may last. The
+	MaxStopDelay = 100 * time.Millisecond
+	// orderRetryDelay is the pause before an order without an answer is repeated.
+	orderRetryDelay = 30 * time.Millisecond
+	// clockSkewMargin is by how much longer than Timing.Lease a lease may last. The
 	// worker's clock may be 2% slow: over the lease, and over the time since its
 	// last report, of which one comes every 1.5 s.
-	clockSlack = 50 * time.Millisecond
-	// probeEvery is how often a worker that does not answer is asked again.
-	probeEvery = 500 * time.Millisecond
-	// silentHolds is how many Holds in a row go unanswered before a worker counts
+	clockSkewMargin = 50 * time.Millisecond
+	// probeInterval is how often a worker that does not answer is asked again.
+	probeInterval = 500 * time.Millisecond
+	// maxUnansweredHolds is how many Holds in a row go unanswered before a worker counts
 	// as unreachable, which takes about as long as its lease.
-	silentHolds = 4
+	maxUnansweredHolds = 4
 )
--- a/internal/runs/crash.go
+++ b/internal/runs/crash.go
@@ -4,67 +4,67 @@
 	"wigeontray/internal/wire"
 )
 
-// unannounced tells whether an end of the worker now would be a crash.
-func (m *Machine) unannounced() bool {
-	return m.life.id != "" && !m.life.left && !m.worker.Leaving
+// isExitUnannounced tells whether an end of the worker now would be a crash.
+func (m *Machine) isExitUnannounced() bool {
+	return m.instance.id != "" && !m.instance.hasLeft && !m.worker.Leaving
 }
 
-// blame is what a crash of the worker says of a run.
-type blame uint8
+// crashBlame is what a crash of the worker says of a run.
+type crashBlame uint8
 
 const (
-	innocent blame = iota
-	possible       // it may have been there
-	certain        // it was there
+	blameNone     crashBlame = iota
+	blamePossible            // it may have been there
+	blameCertain             // it was there
 )
 
-// blameRuns tells which runs may have caused a crash of the worker: all that the worker may have
+// assignBlame tells which runs may have caused a crash of the worker: all that the worker may have
 // taken, also those whose start has no answer, as it may have crashed before it could answer, and
 // those that were being stopped. Only a run that was there for certain counts towards the end of
 // its job as failed, and beside one that was suspected of an earlier crash only that one.
-func (m *Machine) blameRuns() map[Key]blame {
-	blamed, suspects := make(map[Key]blame), false
+func (m *Machine) assignBlame() map[Key]crashBlame {
+	blamed, hasSuspects := make(map[Key]crashBlame), false
 	for _, r := range m.runs {
-		suspects = suspects || r.crashes > 0 && r.state != awaiting
+		hasSuspects = hasSuspects || r.crashCount > 0 && r.state != awaitingText
 	}
 	for k, r := range m.runs {
 		switch {
-		case r.state == awaiting:
-		case r.state == running && (r.crashes > 0 || !suspects) && m.ranToTheCrash(r):
-			blamed[k] = certain
+		case r.state == awaitingText:
+		case r.state == running && (r.crashCount > 0 || !hasSuspects) && m.wasRunningAtCrash(r):
+			blamed[k] = blameCertain
 		default:
-			blamed[k] = possible
+			blamed[k] = blamePossible
 		}
 	}
 	return blamed
 }
 
-// ranToTheCrash tells whether a run that the worker had taken was there when it crashed. An end
+// wasRunningAtCrash tells whether a run that the worker had taken was there when it crashed. An end
 // before that would have been seen, unless the worker left orders unanswered already; if it did,
 // a run that was far from its end when the worker answered last counts as there.
-func (m *Machine) ranToTheCrash(r *run) bool {
-	heard := m.life.heard
-	doubted := m.doubtFrom < heard && heard < m.doubtful
-	return !doubted || heard < r.present+r.expect/2
+func (m *Machine) wasRunningAtCrash(r *run) bool {
+	lastAnswerAt := m.instance.lastAnswerAt
+	wasLossy := m.lossySince < lastAnswerAt && lastAnswerAt < m.lossyUntil
+	return !wasLossy || lastAnswerAt < r.answeredAt+r.expectedTime/2
 }
 
 // reportCrash tells each entry of the blamed tasks of the other entries: a caller who is left
 // without an answer sends its job to another one.
-func (m *Machine) reportCrash(blamed map[Key]blame) {
-	for _, name := range m.names() {
-		var c wire.WorkerCrash
-		for _, r := range m.inOrder() {
+func (m *Machine) reportCrash(blamed map[Key]crashBlame) {
+	for _, recipient := range m.sortedEntries() {
+		var crash wire.WorkerCrash
+		for _, r := range m.sortedRuns() {
 			task := wire.TaskName{Job: r.key.Job, Step: r.key.Step, Index: r.key.Index}
 			switch {
-			case r.entry == name:
-			case blamed[r.key] == certain:
-				c.Tasks = append(c.Tasks, task)
-			case blamed[r.key] == possible:
-				c.Suspects = append(c.Suspects, task)
+			case r.entry == recipient:
+			case blamed[r.key] == blameCertain:
+				crash.Tasks = append(crash.Tasks, task)
+			case blamed[r.key] == blamePossible:
+				crash.Suspects = append(crash.Suspects, task)
 			}
 		}
-		if len(c.Tasks)+len(c.Suspects) > 0 && m.entries[name].linked {
-			m.actions = append(m.actions, Action{Send: &Send{To: name, Frame: &wire.Frame{WorkerCrash: &c}}})
+		if len(crash.Tasks)+len(crash.Suspects) > 0 && m.entries[recipient].isLinked {
+			m.actions = append(m.actions, Action{Send: &Send{To: recipient, Frame: &wire.Frame{WorkerCrash: &crash}}})
 		}
 	}
 }
@@ -73,7 +73,7 @@
 // next crash tells which one is the cause.
 func (m *Machine) hasSuspect() bool {
 	for _, r := range m.runs {
-		if r.crashes > 0 {
+		if r.crashCount > 0 {
 			return true
 		}
 	}
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -151,12 +151,12 @@
 	r.send(r.now, 1)
 	r.started(key(1), Done)
 	r.held(testWorker, HoldAnswer{Active: []Active{{Key: key(1)}}})
-	for i := range 2 * silentHolds {
+	for i := range 2 * maxUnansweredHolds {
 		r.actions()
 		r.held(testWorker, HoldAnswer{Verdict: NoAnswer, Gone: i == 0})
-		r.pass(retryOrder)
+		r.pass(orderRetryDelay)
 	}
-	r.pass(testTiming.Lease + clockSlack)
+	r.pass(testTiming.Lease + clockSkewMargin)
 	ends := sortOut(r.actions()).ends
 	r.Assert(ends, qt.HasLen, 1)
 	r.Check(ends[0].Crashed, qt.IsTrue)
--- a/internal/runs/hang_test.go
+++ b/internal/runs/hang_test.go
@@ -12,10 +12,10 @@
 // a caller of 200 ms waited for half a second, and of 900 ms for a second and a half.
 func TestWorkerOnWhichNothingAdvancesGivesBackWhatItHas(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(hangJobs)...)
+	keys := r.begin(false, jobNames(minHangJobs)...)
 	r.list(20*time.Millisecond, 10, keys...)
 	r.Check(r.stops(), qt.HasLen, 0)
-	r.list(hangLeast, 10, keys...)
+	r.list(minHangAge, 10, keys...)
 	r.Check(r.m.Worker().Slow, qt.IsTrue)
 	r.Check(r.stops(), qt.DeepEquals, keys)
 }
@@ -24,9 +24,9 @@
 // nothing of the worker.
 func TestRunsThatStandStillBesideOthersAreGivenTime(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(hangJobs+1)...)
+	keys := r.begin(false, jobNames(minHangJobs+1)...)
 	r.list(20*time.Millisecond, 10, keys...)
-	r.now += hangLeast
+	r.now += minHangAge
 	var a HoldAnswer
 	for i, k := range keys {
 		percent := int64(10)
@@ -43,9 +43,9 @@
 // A run that has just begun has not advanced yet, which does not make the others hang.
 func TestRunThatHasJustBegunTellsNothing(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(hangJobs)...)
+	keys := r.begin(false, jobNames(minHangJobs)...)
 	r.list(40*time.Millisecond, 30, keys...)
-	r.list(hangLeast-10*time.Millisecond, 60, keys...)
+	r.list(minHangAge-10*time.Millisecond, 60, keys...)
 	r.list(10*time.Millisecond, 60, append(keys, r.begin(false, "new")...)...)
 	r.Check(r.m.Worker().Slow, qt.IsFalse)
 	r.Check(r.stops(), qt.HasLen, 0)
--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -8,154 +8,154 @@
 	"wigeontray/internal/wire"
 )
 
-// pumpHold sends a Hold if one is due. While anything runs there is always one
+// sendHoldIfDue sends a Hold if one is due. While anything runs there is always one
 // under way.
-func (m *Machine) pumpHold(now time.Duration) {
+func (m *Machine) sendHoldIfDue(now time.Duration) {
 	switch {
-	case m.life.holding || now < m.life.holdAt || !m.wantsHold():
-	case m.next != nil:
-		m.verify(now)
+	case m.instance.hasHoldInFlight || now < m.instance.nextHoldAt || !m.needsHold():
+	case m.candidate != nil:
+		m.verifyCandidate(now)
 	default:
-		m.hold(now)
+		m.sendHold(now)
 	}
 }
 
-// wantsHold tells whether the worker has to be asked. An idle one is not.
-func (m *Machine) wantsHold() bool {
-	l := &m.life
-	if m.next != nil {
+// needsHold tells whether the worker has to be asked. An idle one is not.
+func (m *Machine) needsHold() bool {
+	inst := &m.instance
+	if m.candidate != nil {
 		return true
 	}
-	return l.id != "" && (len(m.runs) > 0 || l.strays || l.probe || l.cursor > l.acked)
+	return inst.id != "" && (len(m.runs) > 0 || inst.hasStrays || inst.needsProbe || inst.endCursor > inst.ackedCursor)
 }
 
-func (m *Machine) hold(now time.Duration) {
-	l := &m.life
-	h := &Hold{Lease: m.leaseFrom(now), Ack: l.cursor, AnswerIn: m.holdIn(now, l.silent)}
+func (m *Machine) sendHold(now time.Duration) {
+	inst := &m.instance
+	h := &Hold{Lease: m.newLease(now), Ack: inst.endCursor, AnswerIn: m.holdTimeout(now, inst.unansweredHolds)}
 	switch {
-	case l.left:
+	case inst.hasLeft:
 		h.UntilMs, h.Wait = 0, m.holdWait(now) // it ends
-	case l.silent > 0:
+	case inst.unansweredHolds > 0:
 		// Renewed blindly, the lease of a worker that hears and cannot be heard
 		// would never end, and its tasks could not be given to another.
 		h.UntilMs = 0
 	case len(m.runs) > 0:
 		h.Wait = m.holdWait(now)
-		m.noteOrder(now)
+		m.extendLease(now)
 	}
-	l.holding, l.holdSent, l.holdWait, l.ackSent, l.probe = true, now, h.Wait, l.cursor, false
+	inst.hasHoldInFlight, inst.holdSentAt, inst.holdWait, inst.sentAck, inst.needsProbe = true, now, h.Wait, inst.endCursor, false
 	m.actions = append(m.actions, Action{Hold: h})
 }
 
 // holdWait is how long a Hold may wait. While a stop is in doubt or a run is missed the
 // lists are wanted at once.
 func (m *Machine) holdWait(now time.Duration) time.Duration {
-	stops := false
+	isStopping := false
 	for _, r := range m.runs {
-		if r.missed > 0 {
+		if r.missingSince > 0 {
 			return 0
 		}
-		stops = stops || r.state == stopping
+		isStopping = isStopping || r.state == stopping
 	}
 	switch {
-	case stops:
-		return retryOrder
-	case m.doubts(now):
-		return doubtWait
+	case isStopping:
+		return orderRetryDelay
+	case m.isLossy(now):
+		return lossyHoldInterval
 	}
-	return renewEvery
+	return renewInterval
 }
 
-// verify asks the worker whether it is the life that has reported, under a token
+// verifyCandidate asks the worker whether it is the life that has reported, under a token
 // above every earlier one: the worker's own clock, which only grows within a life.
-func (m *Machine) verify(now time.Duration) {
-	l := &m.life
-	l.token = max(m.next.ClockMs, 1)
-	l.holding, l.holdSent, l.holdWait = true, now, 0
-	h := &Hold{Lease: Lease{Worker: m.next.ID, Token: l.token}, AnswerIn: m.holdIn(now, l.unverified)}
+func (m *Machine) verifyCandidate(now time.Duration) {
+	inst := &m.instance
+	inst.token = max(m.candidate.ClockMs, 1)
+	inst.hasHoldInFlight, inst.holdSentAt, inst.holdWait = true, now, 0
+	h := &Hold{Lease: Lease{Worker: m.candidate.ID, Token: inst.token}, AnswerIn: m.holdTimeout(now, inst.unansweredVerifications)}
 	m.actions = append(m.actions, Action{Hold: h})
 }
 
 // Held takes the answer to a Hold that was sent for the given life.
 func (m *Machine) Held(now time.Duration, worker string, a *HoldAnswer) {
-	m.life.holding = false
-	m.noteAnswer(now, a.Verdict)
-	if took := now - m.life.holdSent - m.life.holdWait; a.Verdict != NoAnswer && took > 0 {
-		m.noteDelay(took)
+	m.instance.hasHoldInFlight = false
+	m.recordAnswer(now, a.Verdict)
+	if delay := now - m.instance.holdSentAt - m.instance.holdWait; a.Verdict != NoAnswer && delay > 0 {
+		m.recordAnswerDelay(delay)
 	}
-	if m.next != nil && worker == m.next.ID {
-		m.verified(now, a)
-	} else if worker == m.life.id {
-		m.answered(now, a)
+	if m.candidate != nil && worker == m.candidate.ID {
+		m.handleCandidateAnswer(now, a)
+	} else if worker == m.instance.id {
+		m.handleInstanceAnswer(now, a)
 	}
-	m.pumpHold(now)
+	m.sendHoldIfDue(now)
 }
 
-func (m *Machine) verified(now time.Duration, a *HoldAnswer) {
+func (m *Machine) handleCandidateAnswer(now time.Duration, a *HoldAnswer) {
 	switch a.Verdict {
 	case Done:
-		m.adopt(now, a)
+		m.adoptCandidate(now, a)
 	case FencedOff:
-		m.next.ClockMs = a.ClockMs
+		m.candidate.ClockMs = a.ClockMs
 	case OtherWorker:
-		m.next = nil
+		m.candidate = nil
 	default:
-		m.life.unverified++
-		m.life.holdAt = now + retryOrder
+		m.instance.unansweredVerifications++
+		m.instance.nextHoldAt = now + orderRetryDelay
 	}
 }
 
-func (m *Machine) answered(now time.Duration, a *HoldAnswer) {
-	l := &m.life
+func (m *Machine) handleInstanceAnswer(now time.Duration, a *HoldAnswer) {
+	inst := &m.instance
 	switch a.Verdict {
 	case Done:
-		m.noteClock(now, a.ClockMs)
-		l.silent, l.gone, l.heard, l.acked = 0, false, now, max(l.acked, l.ackSent)
-		m.takeEnds(now, a.Ended)
+		m.updateClockOffset(now, a.ClockMs)
+		inst.unansweredHolds, inst.hasRefusedConn, inst.lastAnswerAt, inst.ackedCursor = 0, false, now, max(inst.ackedCursor, inst.sentAck)
+		m.settleEndedRuns(now, a.Ended)
 		m.reconcile(now, a.Active)
-		m.setUsable(now, !l.strays)
-		m.endLeft(now)
+		m.setUsable(now, !inst.hasStrays)
+		m.endDepartedInstance(now)
 	case OtherWorker:
-		m.endLife(now)
-		m.announce(now)
+		m.endInstance(now)
+		m.announceWorker(now)
 	case FencedOff:
 		// Another guard of this worker took over, or an earlier one had a
 		// greater token.
-		l.token = max(l.token, a.ClockMs)
-		l.holdAt = now + retryOrder
+		inst.token = max(inst.token, a.ClockMs)
+		inst.nextHoldAt = now + orderRetryDelay
 	default:
-		m.life.gone = m.life.gone || a.Gone
-		m.unanswered(now)
+		m.instance.hasRefusedConn = m.instance.hasRefusedConn || a.Gone
+		m.recordUnansweredHold(now)
 	}
 }
 
-func (m *Machine) unanswered(now time.Duration) {
-	l := &m.life
-	l.silent++
-	l.holdAt = now + retryOrder
-	if l.silent < silentHolds {
-		l.probe = true
+func (m *Machine) recordUnansweredHold(now time.Duration) {
+	inst := &m.instance
+	inst.unansweredHolds++
+	inst.nextHoldAt = now + orderRetryDelay
+	if inst.unansweredHolds < maxUnansweredHolds {
+		inst.needsProbe = true
 		return
 	}
 	m.setUsable(now, false)
-	l.holdAt = now + probeEvery
-	l.probe = true
+	inst.nextHoldAt = now + probeInterval
+	inst.needsProbe = true
 }
 
-// takeEnds settles the runs whose end is listed.
-func (m *Machine) takeEnds(now time.Duration, ends []Ended) {
+// settleEndedRuns settles the runs whose end is listed.
+func (m *Machine) settleEndedRuns(now time.Duration, ends []Ended) {
 	for _, e := range ends {
-		if e.Number <= m.life.cursor {
+		if e.Number <= m.instance.endCursor {
 			continue // listed again, as its acknowledgement was not there yet
 		}
-		m.life.cursor = e.Number
+		m.instance.endCursor = e.Number
 		if r := m.runs[e.Key]; r != nil {
-			m.end(now, r, endOf(r, e.How))
+			m.endRun(now, r, runEndFor(r, e.How))
 		}
 	}
 }
 
-func endOf(r *run, how How) wire.RunEnd {
+func runEndFor(r *run, how How) wire.RunEnd {
 	switch how {
 	case EndDone:
 		return wire.RunEnd{Ran: errkind.RanYes}
@@ -163,7 +163,7 @@
 		return wire.RunEnd{Kind: errkind.UpstreamFailed, Ran: errkind.RanYes}
 	}
 	if r.state == stopping {
-		return r.why
+		return r.endAfterStop
 	}
 	return wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes}
 }
@@ -176,24 +176,24 @@
 	listed := make(map[Key]bool, len(active))
 	for _, a := range active {
 		listed[a.Key] = true
-		m.watch(now, a)
+		m.trackProgress(now, a)
 	}
-	m.watchPace(now)
-	m.watchHang(now)
+	m.detectSlowWorker(now)
+	m.detectHang(now)
 	m.stopStrays(now, active)
-	sent := m.life.holdSent
-	for _, r := range m.inOrder() {
+	sentAt := m.instance.holdSentAt
+	for _, r := range m.sortedRuns() {
 		if listed[r.key] {
-			r.missed = 0
+			r.missingSince = 0
 			continue
 		}
 		switch {
-		case r.state == running && r.present < sent && r.missed == 0:
-			r.missed, m.life.holdAt = now, now
-		case r.state == running && r.missed > 0 && r.missed <= sent:
-			m.end(now, r, wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes})
-		case r.state == stopping && r.stopped > 0 && r.stopped < sent:
-			m.end(now, r, r.why)
+		case r.state == running && r.answeredAt < sentAt && r.missingSince == 0:
+			r.missingSince, m.instance.nextHoldAt = now, now
+		case r.state == running && r.missingSince > 0 && r.missingSince <= sentAt:
+			m.endRun(now, r, wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes})
+		case r.state == stopping && r.stopConfirmedAt > 0 && r.stopConfirmedAt < sentAt:
+			m.endRun(now, r, r.endAfterStop)
 		}
 	}
 }
@@ -202,24 +202,24 @@
 // percents: one that is slow by a factor of eight advances by one in a twelfth of
 // the expected time.
 const (
-	stallLeast = 150 * time.Millisecond
-	stallMost  = 600 * time.Millisecond
+	minStallTimeout = 150 * time.Millisecond
+	maxStallTimeout = 600 * time.Millisecond
 )
 
-// watch stops a run that stands still. Its worker counts as busy with it for as
+// trackProgress stops a run that stands still. Its worker counts as busy with it for as
 // long as the caller waits, which may be ten times its length; started elsewhere,
 // the task may still end in time, and the entry learns which worker hangs.
-func (m *Machine) watch(now time.Duration, a Active) {
+func (m *Machine) trackProgress(now time.Duration, a Active) {
 	r := m.runs[a.Key]
 	if r == nil || r.state != running {
 		return
 	}
 	if a.Percent != r.percent {
-		r.percent, r.advanced = a.Percent, now
+		r.percent, r.advancedAt = a.Percent, now
 		return
 	}
-	limit := min(max(r.expect, stallLeast), stallMost)
-	if now-r.advanced > limit && !m.off.Has(policy.StallWatch) {
-		m.stop(now, r, wire.RunEnd{Kind: errkind.Stalled, Ran: errkind.RanYes})
+	stallTimeout := min(max(r.expectedTime, minStallTimeout), maxStallTimeout)
+	if now-r.advancedAt > stallTimeout && !m.disabled.Has(policy.StallWatch) {
+		m.stopRun(now, r, wire.RunEnd{Kind: errkind.Stalled, Ran: errkind.RanYes})
 	}
 }
--- a/internal/runs/left_test.go
+++ b/internal/runs/left_test.go
@@ -27,7 +27,7 @@
 	// It answers nothing more: the run has ended when its lease is over.
 	r.pass(testTiming.Lease / 2)
 	r.Check(sortOut(r.actions()).ends, qt.HasLen, 0)
-	r.pass(testTiming.Lease/2 + clockSlack)
+	r.pass(testTiming.Lease/2 + clockSkewMargin)
 	ends := sortOut(r.actions()).ends
 	r.Assert(ends, qt.HasLen, 1)
 	r.Check(ends[0].Kind, qt.Equals, errkind.WorkerLost)
--- a/internal/runs/machine_test.go
+++ b/internal/runs/machine_test.go
@@ -124,7 +124,7 @@
 	r.Assert(sortOut(r.actions()).stops, qt.HasLen, 0)
 	r.pass(testTiming.Permit)
 	r.Assert(sortOut(r.actions()).stops, qt.DeepEquals, []Key{key(0)})
-	r.Assert(testTiming.Permit+StopTime < 1300*time.Millisecond, qt.IsTrue)
+	r.Assert(testTiming.Permit+MaxStopDelay < 1300*time.Millisecond, qt.IsTrue)
 }
 
 // A frame with tasks is held up by a cut and arrives seconds later, when its job
@@ -145,7 +145,7 @@
 func TestUnansweredStartIsStoppedBeforeItIsGivenBack(t *testing.T) {
 	r := newRig(t)
 	r.send(r.now, 0)
-	for range startTries {
+	for range maxStartAttempts {
 		got := sortOut(r.actions())
 		r.Assert(got.starts, qt.DeepEquals, []Key{key(0)})
 		r.Assert(got.stops, qt.HasLen, 0)
@@ -206,8 +206,8 @@
 	r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
 	r.Assert(sortOut(r.actions()).stops, qt.HasLen, 1)
 	r.m.Stopped(r.now, key(0), NoAnswer, 0)
-	r.Assert(r.m.NextTick() <= r.now+retryOrder, qt.IsTrue)
-	r.pass(retryOrder)
+	r.Assert(r.m.NextTick() <= r.now+orderRetryDelay, qt.IsTrue)
+	r.pass(orderRetryDelay)
 	r.Assert(sortOut(r.actions()).stops, qt.HasLen, 1)
 }
 
@@ -264,7 +264,7 @@
 	rep.Capacity = sched.Room{CPU: 4000}
 	r.m.Heard(r.now, rep)
 	r.held(testWorker, HoldAnswer{Verdict: NoAnswer})
-	r.pass(retryOrder)
+	r.pass(orderRetryDelay)
 	r.Assert(r.hold().Worker, qt.Equals, "worker-2")
 	r.held("worker-2", HoldAnswer{})
 	got := sortOut(r.actions())
@@ -317,9 +317,9 @@
 	sent := r.now
 	var ends []wire.RunEnd
 	for len(ends) == 0 && r.now < sent+2*time.Second {
-		r.now += renewEvery + orderTime
+		r.now += renewInterval + orderTimeout
 		r.held(testWorker, HoldAnswer{Verdict: NoAnswer})
-		r.now += retryOrder
+		r.now += orderRetryDelay
 		r.m.Tick(r.now)
 		got := sortOut(r.actions())
 		for _, h := range got.holds {
@@ -329,7 +329,7 @@
 	}
 	r.Assert(ends, qt.HasLen, 1)
 	r.Assert(ends[0].Kind, qt.Equals, errkind.WorkerLost)
-	r.Assert(r.now >= sent+testTiming.Lease+clockSlack, qt.IsTrue)
+	r.Assert(r.now >= sent+testTiming.Lease+clockSkewMargin, qt.IsTrue)
 	r.Assert(r.m.Worker().Usable, qt.IsFalse)
 }
 
--- a/internal/runs/offer.go
+++ b/internal/runs/offer.go
@@ -14,118 +14,118 @@
 //
 // The most urgent task that fits goes first, whichever entry has it.
 
-// An entry that did not use an offer is passed over for offerPause, and each further time
-// in a row for twice as long, up to mostUnused times (320 ms), until it is heard from. One
+// An entry that did not use an offer is passed over for offerBackoffDelay, and each further time
+// in a row for twice as long, up to maxUnusedOffers times (320 ms), until it is heard from. One
 // that has found room elsewhere says so at once; one that is frozen says nothing, and with
 // a short pause alone it would hold most of what becomes free until it wakes.
 const (
-	offerPause = 5 * time.Millisecond
-	mostUnused = 6
+	offerBackoffDelay = 5 * time.Millisecond
+	maxUnusedOffers   = 6
 )
 
-// offerTime is how long room is held for an entry that was offered it: two round
+// offerTimeout is how long room is held for an entry that was offered it: two round
 // trips between failure domains, and a pause of its processor.
-const offerTime = 20 * time.Millisecond
+const offerTimeout = 20 * time.Millisecond
 
 // offer is room that is held for one entry.
 type offer struct {
-	room  sched.Room
-	until time.Duration // 0 if none is held
-	pause time.Duration // no other one before
+	room      sched.Room
+	expiresAt time.Duration // 0 if none is held
+	notBefore time.Duration // no other one before
 }
 
-// freeFor is what an entry may use: all that is free but what is offered to
+// freeRoomFor is what an entry may use: all that is free but what is offered to
 // others.
-func (m *Machine) freeFor(p *permit) sched.Room {
-	free := m.free()
-	for _, o := range m.entries {
-		if o != p && o.offer.until > 0 {
-			free = free.Minus(o.offer.room)
+func (m *Machine) freeRoomFor(ent *entryState) sched.Room {
+	freeRoom := m.freeRoom()
+	for _, other := range m.entries {
+		if other != ent && other.offer.expiresAt > 0 {
+			freeRoom = freeRoom.Minus(other.offer.room)
 		}
 	}
-	return free
+	return freeRoom
 }
 
 // makeOffers offers free room to entries that wait, the most urgent first and
 // those of one urgency in turn, and gives those that were made an offer.
-func (m *Machine) makeOffers(now time.Duration) map[*permit]bool {
-	if m.off.Has(policy.Offers) {
+func (m *Machine) makeOffers(now time.Duration) map[*entryState]bool {
+	if m.disabled.Has(policy.Offers) {
 		return nil
 	}
-	var made map[*permit]bool
+	var offered map[*entryState]bool
 	for {
-		left := m.freeFor(nil)
-		p := m.nextWaiting(now, left)
-		if p == nil {
-			return made
+		free := m.freeRoomFor(nil)
+		ent := m.nextEntryToOffer(now, free)
+		if ent == nil {
+			return offered
 		}
-		left.CPU = min(left.CPU, p.demand.CPU-p.offer.room.CPU)
-		m.turns++
-		p.offer, p.turn = p.offer.grown(now, left), m.turns
-		if made == nil {
-			made = make(map[*permit]bool)
+		free.CPU = min(free.CPU, ent.demand.CPU-ent.offer.room.CPU)
+		m.offerTurns++
+		ent.offer, ent.lastOfferTurn = ent.offer.extendedBy(now, free), m.offerTurns
+		if offered == nil {
+			offered = make(map[*entryState]bool)
 		}
-		made[p] = true
+		offered[ent] = true
 	}
 }
 
-// grown is the offer with more room. It ends when the first part of it does.
-func (o offer) grown(now time.Duration, more sched.Room) offer {
-	if o.until == 0 {
-		return offer{room: more, until: now + offerTime}
+// extendedBy is the offer with more room. It ends when the first part of it does.
+func (o offer) extendedBy(now time.Duration, more sched.Room) offer {
+	if o.expiresAt == 0 {
+		return offer{room: more, expiresAt: now + offerTimeout}
 	}
 	o.room = o.room.Plus(more)
 	return o
 }
 
-// nextWaiting is the entry that comes next and could use the room, or nil.
-func (m *Machine) nextWaiting(now time.Duration, left sched.Room) *permit {
-	var best *permit
-	for _, name := range m.names() {
-		p := m.entries[name]
-		if !m.mayOffer(now, p) || left.CPU < max(1, p.demand.LeastCPU) {
+// nextEntryToOffer is the entry that comes next and could use the room, or nil.
+func (m *Machine) nextEntryToOffer(now time.Duration, free sched.Room) *entryState {
+	var best *entryState
+	for _, entry := range m.sortedEntries() {
+		ent := m.entries[entry]
+		if !m.canOffer(now, ent) || free.CPU < max(1, ent.demand.LeastCPU) {
 			continue
 		}
-		if best == nil || m.goesBefore(p, best, left) {
-			best = p
+		if best == nil || m.isServedBefore(ent, best, free) {
+			best = ent
 		}
 	}
 	return best
 }
 
-// mayOffer tells whether an entry may be offered room, or more of it than it has been:
+// canOffer tells whether an entry may be offered room, or more of it than it has been:
 // if what ends while its answer is on the way went to others, these would begin what is
 // less urgent. One whose frames are held up on their way could not use it in time.
-func (m *Machine) mayOffer(now time.Duration, p *permit) bool {
-	if !p.linked || now < p.offer.pause || p.demand.CPU == 0 || p.age > offerTime {
+func (m *Machine) canOffer(now time.Duration, ent *entryState) bool {
+	if !ent.isLinked || now < ent.offer.notBefore || ent.demand.CPU == 0 || ent.tasksAge > offerTimeout {
 		return false
 	}
-	return p.offer.until == 0 || p.offer.room.CPU < p.demand.CPU && !m.off.Has(policy.UrgentOffers)
+	return ent.offer.expiresAt == 0 || ent.offer.room.CPU < ent.demand.CPU && !m.disabled.Has(policy.UrgentOffers)
 }
 
-// goesBefore orders entries by the most urgent of their tasks, and those of one urgency
+// isServedBefore orders entries by the most urgent of their tasks, and those of one urgency
 // by turn. An entry whose most urgent task does not fit into the room comes after those
 // whose fits: it would use it for something that is less urgent.
-func (m *Machine) goesBefore(p, o *permit, left sched.Room) bool {
-	pFits, oFits := left.CPU >= p.demand.UrgentCPU, left.CPU >= o.demand.UrgentCPU
-	if pFits != oFits && !m.off.Has(policy.UrgentOffers) {
-		return pFits
+func (m *Machine) isServedBefore(ent, other *entryState, free sched.Room) bool {
+	entFits, otherFits := free.CPU >= ent.demand.UrgentCPU, free.CPU >= other.demand.UrgentCPU
+	if entFits != otherFits && !m.disabled.Has(policy.UrgentOffers) {
+		return entFits
 	}
-	if p.demand.Priority != o.demand.Priority {
-		return p.demand.Priority < o.demand.Priority
+	if ent.demand.Priority != other.demand.Priority {
+		return ent.demand.Priority < other.demand.Priority
 	}
-	return p.turn < o.turn
+	return ent.lastOfferTurn < other.lastOfferTurn
 }
 
-// endOffers takes back what was not used in time.
-func (m *Machine) endOffers(now time.Duration) {
-	for _, p := range m.entries {
-		if p.offer.until > 0 && now >= p.offer.until {
-			p.offer = offer{pause: now + offerPause<<p.unused}
-			p.unused = min(p.unused+1, mostUnused)
+// expireOffers takes back what was not used in time.
+func (m *Machine) expireOffers(now time.Duration) {
+	for _, ent := range m.entries {
+		if ent.offer.expiresAt > 0 && now >= ent.offer.expiresAt {
+			ent.offer = offer{notBefore: now + offerBackoffDelay<<ent.unusedOffers}
+			ent.unusedOffers = min(ent.unusedOffers+1, maxUnusedOffers)
 		}
-		if p.offer.pause > 0 && now >= p.offer.pause {
-			p.offer.pause = 0
+		if ent.offer.notBefore > 0 && now >= ent.offer.notBefore {
+			ent.offer.notBefore = 0
 		}
 	}
 }
--- a/internal/runs/offer_test.go
+++ b/internal/runs/offer_test.go
@@ -103,7 +103,7 @@
 		r.pass(time.Millisecond)
 		r.demand(otherEntry, wire.RunDemand{CPU: 2000, LeastCPU: 2000, UrgentCPU: 2000, Priority: 1})
 		r.actions()
-		if r.m.entries[testEntry].offer.until > 0 {
+		if r.m.entries[testEntry].offer.expiresAt > 0 {
 			held++
 		}
 		ticks++
--- a/internal/runs/pace_test.go
+++ b/internal/runs/pace_test.go
@@ -56,11 +56,11 @@
 // and new ones came all the while.
 func TestSlowWorkerIsSeenAndItsRunsMove(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(paceSlow)...)
+	keys := r.begin(false, jobNames(minSlowJobs)...)
 	r.list(60*time.Millisecond, 6, keys...)
 	r.Check(r.m.Worker().Slow, qt.IsTrue)
 	stopped := r.stops()
-	r.Check(stopped, qt.HasLen, paceSlow)
+	r.Check(stopped, qt.HasLen, minSlowJobs)
 	// Their entry is told why.
 	r.now += 20 * time.Millisecond
 	var a HoldAnswer
@@ -101,7 +101,7 @@
 // and again, it would never end.
 func TestTaskMovesOnceOnly(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(true, jobNames(paceJobs)...)
+	keys := r.begin(true, jobNames(paceWindowJobs)...)
 	r.list(60*time.Millisecond, 6, keys...)
 	r.Check(r.m.Worker().Slow, qt.IsTrue)
 	r.Check(r.stops(), qt.HasLen, 0)
@@ -110,7 +110,7 @@
 // A slow run is nearly done. Begun again elsewhere it would end later.
 func TestSlowRunThatIsNearlyDoneStays(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(paceJobs)...)
+	keys := r.begin(false, jobNames(paceWindowJobs)...)
 	r.list(800*time.Millisecond, 80, keys...)
 	r.Check(r.m.Worker().Slow, qt.IsTrue)
 	r.Check(r.stops(), qt.HasLen, 0)
@@ -119,7 +119,7 @@
 // The worker is sound again. What was slow before must not keep it out for ever.
 func TestWorkerIsGoodAgain(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(true, jobNames(paceJobs)...)
+	keys := r.begin(true, jobNames(paceWindowJobs)...)
 	r.list(60*time.Millisecond, 6, keys...)
 	r.Assert(r.m.Worker().Slow, qt.IsTrue)
 	var a HoldAnswer
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -10,71 +10,71 @@
 )
 
 // LinkUp notes that an entry's link is ready.
-func (m *Machine) LinkUp(now time.Duration, name identity.Incarnation) {
-	p := m.entries[name]
-	if p == nil {
-		p = new(permit)
-		m.entries[name] = p
+func (m *Machine) LinkUp(now time.Duration, entry identity.Incarnation) {
+	ent := m.entries[entry]
+	if ent == nil {
+		ent = new(entryState)
+		m.entries[entry] = ent
 	}
-	p.linked, p.demand, p.offer, p.seen, p.unused = true, wire.RunDemand{}, offer{}, 0, 0
-	p.newest, p.age = now, 0
+	ent.isLinked, ent.demand, ent.offer, ent.lastSeq, ent.unusedOffers = true, wire.RunDemand{}, offer{}, 0, 0
+	ent.latestClock, ent.tasksAge = now, 0
 }
 
 // LinkDown notes that an entry's link was lost. Its runs are stopped: the entry
 // may be gone, and its callers then send their jobs to another one.
-func (m *Machine) LinkDown(now time.Duration, name identity.Incarnation) {
-	p := m.entries[name]
-	if p == nil {
+func (m *Machine) LinkDown(now time.Duration, entry identity.Incarnation) {
+	ent := m.entries[entry]
+	if ent == nil {
 		return
 	}
-	p.linked, p.demand, p.offer = false, wire.RunDemand{}, offer{}
-	m.stopAll(now, name, withdrawn(errkind.Cancelled))
-	m.forgetIdle(name)
+	ent.isLinked, ent.demand, ent.offer = false, wire.RunDemand{}, offer{}
+	m.stopEntryRuns(now, entry, endWithdrawn(errkind.Cancelled))
+	m.removeIdleEntry(entry)
 }
 
 // Run takes tasks from an entry. What does not fit is refused at once.
-func (m *Machine) Run(now time.Duration, from identity.Incarnation, t *wire.RunTasks) {
-	p := m.entries[from]
-	if p == nil || !p.linked {
+func (m *Machine) Run(now time.Duration, from identity.Incarnation, frame *wire.RunTasks) {
+	ent := m.entries[from]
+	if ent == nil || !ent.isLinked {
 		return
 	}
-	p.seen, p.demand, p.offer, p.unused = t.Seq, t.Demand, offer{}, 0
-	kind := m.refusal(now, p, t)
-	awaited := false
-	for i := range t.Tasks {
-		r := m.begin(now, from, t, &t.Tasks[i], kind)
-		awaited = awaited || r != nil && r.state == awaiting
+	ent.lastSeq, ent.demand, ent.offer, ent.unusedOffers = frame.Seq, frame.Demand, offer{}, 0
+	kind := m.refusalKind(now, ent, frame)
+	needsText := false
+	for i := range frame.Tasks {
+		r := m.acceptTask(now, from, frame, &frame.Tasks[i], kind)
+		needsText = needsText || r != nil && r.state == awaitingText
 	}
-	if awaited {
-		m.actions = append(m.actions, Action{Fetch: &Fetch{From: from, Job: t.Job, Source: t.Source, AnswerIn: fetchTime}})
+	if needsText {
+		m.actions = append(m.actions, Action{Fetch: &Fetch{From: from, Job: frame.Job, Source: frame.Source, AnswerIn: fetchTimeout}})
 	}
 }
 
-// lateTasks is the age from which on an entry is told at once how old its tasks were when
+// lateTasksAge is the age from which on an entry is told at once how old its tasks were when
 // they came, as it is after its first ones: it may be sending more than its link carries, and
 // would learn that only from the end of a run.
-const lateTasks = 30 * time.Millisecond
+const lateTasksAge = 30 * time.Millisecond
 
-// refusal tells why none of the tasks may start, or None. A frame that was held
+// refusalKind tells why none of the tasks may start, or None. A frame that was held
 // up on its way is refused by its age: its job may have been sent again and run
 // elsewhere meanwhile.
-func (m *Machine) refusal(now time.Duration, p *permit, t *wire.RunTasks) errkind.Kind {
-	p.hear(t.ClockMs)
-	p.age = max(0, now-milliseconds(t.ClockMs))
-	p.owed = t.Seq == 1 || p.age > lateTasks
+func (m *Machine) refusalKind(now time.Duration, ent *entryState, frame *wire.RunTasks) errkind.Kind {
+	ent.observeClock(frame.ClockMs)
+	ent.tasksAge = max(0, now-milliseconds(frame.ClockMs))
+	ent.needsLoad = frame.Seq == 1 || ent.tasksAge > lateTasksAge
 	switch {
-	case now-milliseconds(t.ClockMs) > m.timing.Permit:
+	case now-milliseconds(frame.ClockMs) > m.timing.Permit:
 		return errkind.Fenced
-	case t.LeftMs <= 0:
+	case frame.LeftMs <= 0:
 		return errkind.DeadlineExpired
-	case m.life.recalled && !t.SelfLimiting:
+	case m.instance.isRecalled && !frame.SelfLimiting:
 		return errkind.Busy // its capacity is not known for sure
 	}
-	return m.closed()
+	return m.unavailableKind()
 }
 
-// closed tells why the worker takes no new run, or None.
-func (m *Machine) closed() errkind.Kind {
+// unavailableKind tells why the worker takes no new run, or None.
+func (m *Machine) unavailableKind() errkind.Kind {
 	switch {
 	case m.worker.Leaving || m.Drained():
 		return errkind.Draining
@@ -84,31 +84,33 @@
 	return errkind.None
 }
 
-func (p *permit) hear(clockMs int64) { p.newest = max(p.newest, milliseconds(clockMs)) }
+func (ent *entryState) observeClock(clockMs int64) {
+	ent.latestClock = max(ent.latestClock, milliseconds(clockMs))
+}
 
-func (m *Machine) begin(now time.Duration, from identity.Incarnation, t *wire.RunTasks, task *wire.RunTask, kind errkind.Kind) *run {
-	k := Key{Job: t.Job, Step: task.Step, Index: task.Index, Run: task.Run}
+func (m *Machine) acceptTask(now time.Duration, from identity.Incarnation, frame *wire.RunTasks, task *wire.RunTask, kind errkind.Kind) *run {
+	k := Key{Job: frame.Job, Step: task.Step, Index: task.Index, Run: task.Run}
 	if m.runs[k] != nil {
 		return nil
 	}
 	switch {
 	case kind != errkind.None:
-	case !m.freeFor(m.entries[from]).Holds(task.Need):
+	case !m.freeRoomFor(m.entries[from]).Holds(task.Need):
 		kind = errkind.Busy
-	case m.otherRun(k), task.Crashes > 0 && m.hasSuspect() && !m.off.Has(policy.SuspectsApart):
+	case m.hasOtherRun(k), task.Crashes > 0 && m.hasSuspect() && !m.disabled.Has(policy.SuspectsApart):
 		kind = errkind.Busy
 	}
 	if kind != errkind.None {
-		m.tell(from, k, notRun(kind))
+		m.queueEnd(from, k, endNotRun(kind))
 		return nil
 	}
-	left := milliseconds(t.LeftMs)
-	r := &run{key: k, entry: from, need: task.Need, text: t.Text, deadline: now + left, ordered: now, expect: milliseconds(task.ExpectMs), moved: task.Moved, crashes: task.Crashes}
-	m.add(r)
-	if t.Source != "" {
-		r.state = awaiting
+	timeLeft := milliseconds(frame.LeftMs)
+	r := &run{key: k, entry: from, need: task.Need, text: frame.Text, deadline: now + timeLeft, orderedAt: now, expectedTime: milliseconds(task.ExpectMs), hasMoved: task.Moved, crashCount: task.Crashes}
+	m.addRun(r)
+	if frame.Source != "" {
+		r.state = awaitingText
 	} else {
-		m.orderStart(now, r)
+		m.sendStart(now, r)
 	}
 	return r
 }
@@ -116,37 +118,37 @@
 // Fetched takes the text of an entry's job, or that it was not to be had. The room of the
 // runs that await it was held meanwhile.
 func (m *Machine) Fetched(now time.Duration, from identity.Incarnation, job, text string, ok bool) {
-	for _, r := range m.inOrder() {
-		if r.state != awaiting || r.entry != from || r.key.Job != job {
+	for _, r := range m.sortedRuns() {
+		if r.state != awaitingText || r.entry != from || r.key.Job != job {
 			continue
 		}
-		switch kind := m.closed(); {
+		switch kind := m.unavailableKind(); {
 		case !ok:
-			e := notRun(errkind.Busy)
-			e.NoText = true
-			m.end(now, r, e)
+			end := endNotRun(errkind.Busy)
+			end.NoText = true
+			m.endRun(now, r, end)
 		case kind != errkind.None:
-			m.end(now, r, notRun(kind))
-		case m.overfull():
-			m.end(now, r, notRun(errkind.Busy))
+			m.endRun(now, r, endNotRun(kind))
+		case m.isOverCapacity():
+			m.endRun(now, r, endNotRun(errkind.Busy))
 		default:
-			r.state, r.text, r.ordered = starting, text, now
-			m.orderStart(now, r)
+			r.state, r.text, r.orderedAt = starting, text, now
+			m.sendStart(now, r)
 		}
 	}
 }
 
-func (m *Machine) orderStart(now time.Duration, r *run) {
-	r.tries++
-	r.sent = now
-	m.noteOrder(now)
-	m.actions = append(m.actions, Action{Start: &Start{Lease: m.leaseFrom(now), Key: r.key, Text: r.text, AnswerIn: m.answerIn(now)}})
+func (m *Machine) sendStart(now time.Duration, r *run) {
+	r.startAttempts++
+	r.lastSentAt = now
+	m.extendLease(now)
+	m.actions = append(m.actions, Action{Start: &Start{Lease: m.newLease(now), Key: r.key, Text: r.text, AnswerIn: m.answerTimeout(now)}})
 }
 
-// otherRun tells whether another run of the same task may be at this worker.
-func (m *Machine) otherRun(k Key) bool {
-	for o := range m.runs {
-		if o.Job == k.Job && o.Step == k.Step && o.Index == k.Index {
+// hasOtherRun tells whether another run of the same task may be at this worker.
+func (m *Machine) hasOtherRun(k Key) bool {
+	for other := range m.runs {
+		if other.Job == k.Job && other.Step == k.Step && other.Index == k.Index {
 			return true
 		}
 	}
@@ -154,132 +156,132 @@
 }
 
 // StopJob ends all runs of a job for the entry.
-func (m *Machine) StopJob(now time.Duration, from identity.Incarnation, s *wire.StopRuns) {
-	if p := m.entries[from]; p != nil {
-		p.hear(s.ClockMs)
+func (m *Machine) StopJob(now time.Duration, from identity.Incarnation, frame *wire.StopRuns) {
+	if ent := m.entries[from]; ent != nil {
+		ent.observeClock(frame.ClockMs)
 	}
-	for _, r := range m.inOrder() {
-		if r.key.Job == s.Job && r.entry == from {
-			m.stop(now, r, withdrawn(errkind.Cancelled))
+	for _, r := range m.sortedRuns() {
+		if r.key.Job == frame.Job && r.entry == from {
+			m.stopRun(now, r, endWithdrawn(errkind.Cancelled))
 		}
 	}
 }
 
 // Beat notes that an entry lives.
-func (m *Machine) Beat(_ time.Duration, from identity.Incarnation, b *wire.EntryBeat) {
-	if p := m.entries[from]; p != nil {
-		p.hear(b.ClockMs)
-		p.demand, p.unused = b.Demand, 0
-		if p.offer.room.CPU < max(1, b.Demand.LeastCPU) || b.Demand.CPU == 0 {
-			p.offer = offer{} // it has no use for it
+func (m *Machine) Beat(_ time.Duration, from identity.Incarnation, beat *wire.EntryBeat) {
+	if ent := m.entries[from]; ent != nil {
+		ent.observeClock(beat.ClockMs)
+		ent.demand, ent.unusedOffers = beat.Demand, 0
+		if ent.offer.room.CPU < max(1, beat.Demand.LeastCPU) || beat.Demand.CPU == 0 {
+			ent.offer = offer{} // it has no use for it
 		}
 	}
 }
 
-func (m *Machine) stopAll(now time.Duration, entry identity.Incarnation, why wire.RunEnd) {
-	for _, r := range m.inOrder() {
+func (m *Machine) stopEntryRuns(now time.Duration, entry identity.Incarnation, endAfterStop wire.RunEnd) {
+	for _, r := range m.sortedRuns() {
 		if r.entry == entry {
-			m.stop(now, r, why)
+			m.stopRun(now, r, endAfterStop)
 		}
 	}
 }
 
-// stop ends a run. why is told once it is gone.
-func (m *Machine) stop(now time.Duration, r *run, why wire.RunEnd) {
+// stopRun ends a run. why is told once it is gone.
+func (m *Machine) stopRun(now time.Duration, r *run, endAfterStop wire.RunEnd) {
 	switch r.state {
 	case stopping:
 		return
-	case awaiting:
-		m.end(now, r, notRun(why.Kind))
+	case awaitingText:
+		m.endRun(now, r, endNotRun(endAfterStop.Kind))
 		return
 	}
-	r.state, r.why, r.stopAt = stopping, why, now
-	m.orderStop(now, r)
+	r.state, r.endAfterStop, r.nextStopAt = stopping, endAfterStop, now
+	m.sendStopIfDue(now, r)
 }
 
-func (m *Machine) orderStop(now time.Duration, r *run) {
-	if r.stopSent || r.stopped > 0 || now < r.stopAt {
+func (m *Machine) sendStopIfDue(now time.Duration, r *run) {
+	if r.hasStopInFlight || r.stopConfirmedAt > 0 || now < r.nextStopAt {
 		return
 	}
-	r.stopSent = true
-	l := m.leaseFrom(now)
-	l.UntilMs = 0
-	m.actions = append(m.actions, Action{Stop: &Stop{Lease: l, Key: r.key, AnswerIn: m.answerIn(now)}})
+	r.hasStopInFlight = true
+	lease := m.newLease(now)
+	lease.UntilMs = 0
+	m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: r.key, AnswerIn: m.answerTimeout(now)}})
 }
 
 // Started takes the answer to a Start.
 func (m *Machine) Started(now time.Duration, k Key, a StartAnswer) {
-	m.noteClock(now, a.ClockMs)
-	m.noteAnswer(now, a.Verdict)
+	m.updateClockOffset(now, a.ClockMs)
+	m.recordAnswer(now, a.Verdict)
 	r := m.runs[k]
-	if r == nil || r.answered {
+	if r == nil || r.isAnswered {
 		return
 	}
 	if a.Verdict != NoAnswer {
-		m.noteDelay(now - r.sent)
+		m.recordAnswerDelay(now - r.lastSentAt)
 	}
-	if a.Verdict == NoAnswer && r.state == starting && r.tries < startTries && !m.Drained() && !m.overfull() {
+	if a.Verdict == NoAnswer && r.state == starting && r.startAttempts < maxStartAttempts && !m.Drained() && !m.isOverCapacity() {
 		// The worker takes a run that is there already, or has been, for the same
 		// one: sent again, it starts now or is found running. A copy that is
 		// carried out seconds later is refused by its number or its lease.
-		m.orderStart(now, r)
+		m.sendStart(now, r)
 		return
 	}
-	if a.Verdict == Done || a.Verdict == Outdated && r.tries > 1 {
+	if a.Verdict == Done || a.Verdict == Outdated && r.startAttempts > 1 {
 		// Outdated by an earlier copy of the same start: the lists tell how its run
 		// does or has ended.
-		r.answered, r.present, r.advanced = true, now, now
+		r.isAnswered, r.answeredAt, r.advancedAt = true, now, now
 		if r.state == starting {
 			r.state = running
 		}
 		return
 	}
-	if a.Verdict == NoAnswer || r.tries > 1 {
+	if a.Verdict == NoAnswer || r.startAttempts > 1 {
 		// It, or an earlier copy that got no answer, may be at the worker or come
 		// later. Stopped under the same number, it can do neither, and the task may
 		// run elsewhere.
-		m.stop(now, r, withdrawn(errkind.NotRun))
+		m.stopRun(now, r, endWithdrawn(errkind.NotRun))
 		return
 	}
-	m.refused(now, r, a.Verdict)
+	m.handleRefusal(now, r, a.Verdict)
 }
 
-// refused ends a run that the worker did not take.
-func (m *Machine) refused(now time.Duration, r *run, v Verdict) {
-	e := notRun(errkind.Busy)
+// handleRefusal ends a run that the worker did not take.
+func (m *Machine) handleRefusal(now time.Duration, r *run, v Verdict) {
+	end := endNotRun(errkind.Busy)
 	switch v {
 	case Outdated:
-		e.Renumber = true
+		end.Renumber = true
 	case Malformed:
-		e.Kind = errkind.BadRequest
+		end.Kind = errkind.BadRequest
 	case FencedOff, OtherWorker:
-		e.Kind = errkind.NoWorkers
-		m.lostControl(now)
+		end.Kind = errkind.NoWorkers
+		m.recordLostControl(now)
 	case Unhealthy:
-		e.Kind = errkind.UpstreamFailed
+		end.Kind = errkind.UpstreamFailed
 	}
-	if r.state == stopping && !e.Renumber {
-		e.Kind = r.why.Kind
+	if r.state == stopping && !end.Renumber {
+		end.Kind = r.endAfterStop.Kind
 	}
-	m.end(now, r, e)
+	m.endRun(now, r, end)
 }
 
 // Stopped takes the answer to a Stop: whether the worker confirmed it.
 func (m *Machine) Stopped(now time.Duration, k Key, v Verdict, clockMs int64) {
-	m.noteClock(now, clockMs)
-	m.noteAnswer(now, v)
+	m.updateClockOffset(now, clockMs)
+	m.recordAnswer(now, v)
 	r := m.runs[k]
 	if r == nil {
 		return
 	}
-	r.stopSent = false
+	r.hasStopInFlight = false
 	switch v {
 	case Done, Outdated:
-		r.stopped = now
+		r.stopConfirmedAt = now
 	case OtherWorker:
-		m.end(now, r, r.why)
+		m.endRun(now, r, r.endAfterStop)
 	default:
-		r.stopAt = now + retryOrder
+		r.nextStopAt = now + orderRetryDelay
 	}
 }
 
--- a/internal/runs/tick.go
+++ b/internal/runs/tick.go
@@ -12,57 +12,57 @@
 func (m *Machine) Tick(now time.Duration) {
 	m.tickRuns(now)
 	m.tickEntries(now)
-	m.endOffers(now)
-	m.pumpHold(now)
+	m.expireOffers(now)
+	m.sendHoldIfDue(now)
 }
 
 func (m *Machine) tickRuns(now time.Duration) {
-	for _, r := range m.inOrder() {
+	for _, r := range m.sortedRuns() {
 		switch {
 		case r.state != stopping && now >= r.deadline:
-			m.stop(now, r, withdrawn(errkind.TimedOut))
+			m.stopRun(now, r, endWithdrawn(errkind.TimedOut))
 		case r.state == stopping:
-			m.orderStop(now, r)
+			m.sendStopIfDue(now, r)
 		}
 	}
-	if m.life.silent >= silentHolds && now >= m.life.leaseEnd {
-		m.letGo(now, m.life.gone && m.unannounced())
+	if m.instance.unansweredHolds >= maxUnansweredHolds && now >= m.instance.leaseEnd {
+		m.endAllRuns(now, m.instance.hasRefusedConn && m.isExitUnannounced())
 	}
-	m.endLeft(now)
+	m.endDepartedInstance(now)
 }
 
-// letGo settles all runs: those of a worker that has not answered for the time of
+// endAllRuns settles all runs: those of a worker that has not answered for the time of
 // its lease, or whose life is over. They have ended, whether it lives or not.
-func (m *Machine) letGo(now time.Duration, crashed bool) {
-	var blamed map[Key]blame
-	if crashed {
-		blamed = m.blameRuns()
+func (m *Machine) endAllRuns(now time.Duration, hasCrashed bool) {
+	var blamed map[Key]crashBlame
+	if hasCrashed {
+		blamed = m.assignBlame()
 		m.reportCrash(blamed)
 	}
-	for _, r := range m.inOrder() {
-		e := wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes}
+	for _, r := range m.sortedRuns() {
+		end := wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes}
 		switch r.state {
 		case stopping:
-			e = r.why
-		case awaiting:
-			e = notRun(errkind.NoWorkers)
+			end = r.endAfterStop
+		case awaitingText:
+			end = endNotRun(errkind.NoWorkers)
 		}
-		e.Crashed, e.Suspected = blamed[r.key] == certain, blamed[r.key] == possible
-		m.end(now, r, e)
+		end.Crashed, end.Suspected = blamed[r.key] == blameCertain, blamed[r.key] == blamePossible
+		m.endRun(now, r, end)
 	}
 }
 
 func (m *Machine) tickEntries(now time.Duration) {
-	for _, name := range m.names() {
-		p := m.entries[name]
-		if p.runs == 0 {
+	for _, entry := range m.sortedEntries() {
+		ent := m.entries[entry]
+		if ent.runs == 0 {
 			continue
 		}
-		if now-p.newest > m.timing.Permit {
-			m.stopAll(now, name, withdrawn(errkind.Fenced))
+		if now-ent.latestClock > m.timing.Permit {
+			m.stopEntryRuns(now, entry, endWithdrawn(errkind.Fenced))
 		}
-		if p.linked && now-p.lastSent >= m.timing.Beat {
-			m.send(now, name, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, name)}})
+		if ent.isLinked && now-ent.loadSentAt >= m.timing.Beat {
+			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry)}})
 		}
 	}
 }
@@ -70,7 +70,7 @@
 // NextTick tells when Tick is next due; 0 for never.
 func (m *Machine) NextTick() time.Duration {
 	var next time.Duration
-	sooner := func(t time.Duration) {
+	consider := func(t time.Duration) {
 		if next == 0 || t < next {
 			next = t
 		}
@@ -78,27 +78,27 @@
 	for _, r := range m.runs {
 		switch {
 		case r.state != stopping:
-			sooner(r.deadline)
-			sooner(m.entries[r.entry].newest + m.timing.Permit + time.Millisecond)
-		case !r.stopSent && r.stopped == 0:
-			sooner(r.stopAt)
+			consider(r.deadline)
+			consider(m.entries[r.entry].latestClock + m.timing.Permit + time.Millisecond)
+		case !r.hasStopInFlight && r.stopConfirmedAt == 0:
+			consider(r.nextStopAt)
 		}
 	}
-	for _, p := range m.entries {
-		if p.runs > 0 && p.linked {
-			sooner(p.lastSent + m.timing.Beat)
+	for _, ent := range m.entries {
+		if ent.runs > 0 && ent.isLinked {
+			consider(ent.loadSentAt + m.timing.Beat)
 		}
-		if p.offer.until > 0 {
-			sooner(p.offer.until)
-		} else if p.offer.pause > 0 && p.demand.CPU > 0 {
-			sooner(p.offer.pause)
+		if ent.offer.expiresAt > 0 {
+			consider(ent.offer.expiresAt)
+		} else if ent.offer.notBefore > 0 && ent.demand.CPU > 0 {
+			consider(ent.offer.notBefore)
 		}
 	}
-	if !m.life.holding && m.wantsHold() {
-		sooner(m.life.holdAt)
+	if !m.instance.hasHoldInFlight && m.needsHold() {
+		consider(m.instance.nextHoldAt)
 	}
-	if (m.life.left || m.life.silent >= silentHolds) && len(m.runs) > 0 {
-		sooner(m.life.leaseEnd)
+	if (m.instance.hasLeft || m.instance.unansweredHolds >= maxUnansweredHolds) && len(m.runs) > 0 {
+		consider(m.instance.leaseEnd)
 	}
 	return next
 }
--- a/internal/runs/timing.go
+++ b/internal/runs/timing.go
@@ -26,17 +26,17 @@
 // for LeastResend, and a job of a lost process may run beside its second run for the rest.
 const LeastResend = 600 * time.Millisecond
 
-// resendMargin is by how much Loss lies below the callers' time.
-const resendMargin = 50 * time.Millisecond
+// lossMargin is by how much Loss lies below the callers' time.
+const lossMargin = 50 * time.Millisecond
 
 // TimingFor gives the timing for callers that send a job again after resend. Callers
 // that wait longer than the default change nothing: a loss is better noticed soon. For
 // more hasty ones all times shrink alike, as a job that comes again while its first
 // run lasts would run twice at once.
-func TimingFor(resend time.Duration) Timing {
-	free := min(max(resend, LeastResend), DefaultResend) - resendMargin - clockSlack - StopTime
-	permit := free * 6 / 11
-	return Timing{Lease: free - permit, Permit: permit, Beat: permit / 3}
+func TimingFor(resendDelay time.Duration) Timing {
+	available := min(max(resendDelay, LeastResend), DefaultResend) - lossMargin - clockSkewMargin - MaxStopDelay
+	permit := available * 6 / 11
+	return Timing{Lease: available - permit, Permit: permit, Beat: permit / 3}
 }
 
 // OrDefault gives the timing for the default where none is set.
@@ -50,7 +50,7 @@
 // Loss is how long after the loss of a guard its runs may go on: a guard that is cut
 // off from an entry stops them when the permit ends; one that is gone lets the lease
 // run out.
-func (t Timing) Loss() time.Duration { return t.Permit + t.Lease + clockSlack + StopTime }
+func (t Timing) Loss() time.Duration { return t.Permit + t.Lease + clockSkewMargin + MaxStopDelay }
 
 // Stall is the pause after which an entry takes itself for having been frozen: its
 // callers may have left and sent their jobs elsewhere meanwhile. It lies below Permit;
--- a/internal/runs/worker.go
+++ b/internal/runs/worker.go
@@ -7,76 +7,76 @@
 	"wigeontray/internal/wire"
 )
 
-// life is what is known of the present life of the worker.
-type life struct {
-	id       string
-	seq      int64         // of its newest report
-	token    int64         // fencing token of this guard there
-	offset   time.Duration // the worker's clock less the guard's, at least
-	known    bool          // offset is known
-	cursor   int64         // ends up to this number were taken
-	acked    int64         // ends up to this number were acknowledged
-	leaseEnd time.Duration // when what runs there has ended without another order
-	strays   bool          // runs of an earlier guard may be there
-	left     bool          // it has announced its end, and may run on for a moment
-	recalled bool          // it has not reported to this guard yet
-	gone     bool          // nothing has listened at its address since it answered last
+// instance is what is known of the present life of the worker.
+type instance struct {
+	id             string
+	seq            int64         // of its newest report
+	token          int64         // fencing token of this guard there
+	clockOffset    time.Duration // the worker's clock less the guard's, at least
+	hasClockOffset bool          // offset is known
+	endCursor      int64         // ends up to this number were taken
+	ackedCursor    int64         // ends up to this number were acknowledged
+	leaseEnd       time.Duration // when what runs there has ended without another order
+	hasStrays      bool          // runs of an earlier guard may be there
+	hasLeft        bool          // it has announced its end, and may run on for a moment
+	isRecalled     bool          // it has not reported to this guard yet
+	hasRefusedConn bool          // nothing has listened at its address since it answered last
 
-	holding  bool // a Hold is under way
-	holdSent time.Duration
-	holdWait time.Duration // for which it may wait at the worker
+	hasHoldInFlight bool // a Hold is under way
+	holdSentAt      time.Duration
+	holdWait        time.Duration // for which it may wait at the worker
 	// unverified is how many Holds in a row to verify a new life had no answer.
-	unverified int
-	holdAt     time.Duration // not before this time
-	silent     int           // Holds in a row without an answer
-	heard      time.Duration // when the newest Hold was answered
-	probe      bool          // ask even though nothing runs
-	ackSent    int64         // Ack of the Hold that is under way
+	unansweredVerifications int
+	nextHoldAt              time.Duration // not before this time
+	unansweredHolds         int           // Holds in a row without an answer
+	lastAnswerAt            time.Duration // when the newest Hold was answered
+	needsProbe              bool          // ask even though nothing runs
+	sentAck                 int64         // Ack of the Hold that is under way
 }
 
 // Heard takes a worker's report. A report of another life than the present one
 // is verified with the worker first: one that was held up on its way may come
 // after its sender has crashed and a successor has registered.
-func (m *Machine) Heard(now time.Duration, rep *Report) {
-	if rep.ID == "" {
+func (m *Machine) Heard(now time.Duration, report *Report) {
+	if report.ID == "" {
 		return
 	}
-	if rep.ID != m.life.id {
-		if m.next == nil || m.next.ID != rep.ID || rep.Seq > m.next.Seq {
-			r := *rep
-			m.next = &r
+	if report.ID != m.instance.id {
+		if m.candidate == nil || m.candidate.ID != report.ID || report.Seq > m.candidate.Seq {
+			latest := *report
+			m.candidate = &latest
 		}
-		m.life.holdAt = min(m.life.holdAt, now)
-		m.pumpHold(now)
+		m.instance.nextHoldAt = min(m.instance.nextHoldAt, now)
+		m.sendHoldIfDue(now)
 		return
 	}
-	if rep.Seq <= m.life.seq {
+	if report.Seq <= m.instance.seq {
 		return
 	}
-	m.life.seq, m.life.recalled = rep.Seq, false
-	m.noteClock(now, rep.ClockMs)
-	before := m.worker
-	m.describe(rep)
-	m.noteCapacity(now, before.Capacity)
-	if m.worker.Capacity != before.Capacity || m.worker.Cold != before.Cold {
-		m.announce(now)
+	m.instance.seq, m.instance.isRecalled = report.Seq, false
+	m.updateClockOffset(now, report.ClockMs)
+	previous := m.worker
+	m.applyReport(report)
+	m.applyCapacity(now, previous.Capacity)
+	if m.worker.Capacity != previous.Capacity || m.worker.Cold != previous.Cold {
+		m.announceWorker(now)
 	}
-	if rep.Draining && !m.worker.Leaving {
+	if report.Draining && !m.worker.Leaving {
 		m.worker.Leaving, m.worker.Usable = true, false
-		m.announce(now)
+		m.announceWorker(now)
 	}
-	if m.life.silent >= silentHolds {
-		m.life.probe = true
-		m.life.holdAt = min(m.life.holdAt, now)
-		m.pumpHold(now)
+	if m.instance.unansweredHolds >= maxUnansweredHolds {
+		m.instance.needsProbe = true
+		m.instance.nextHoldAt = min(m.instance.nextHoldAt, now)
+		m.sendHoldIfDue(now)
 	}
 }
 
-// describe takes over what may change in one life.
-func (m *Machine) describe(rep *Report) {
-	m.worker.Service, m.worker.Domain = rep.Service, rep.Domain
-	m.worker.Rack, m.worker.Labels = rep.Rack, rep.Labels
-	m.worker.Capacity, m.worker.Cold = rep.Capacity, rep.Cold
+// applyReport takes over what may change in one life.
+func (m *Machine) applyReport(report *Report) {
+	m.worker.Service, m.worker.Domain = report.Service, report.Domain
+	m.worker.Rack, m.worker.Labels = report.Rack, report.Labels
+	m.worker.Capacity, m.worker.Cold = report.Capacity, report.Cold
 }
 
 // Left notes that a worker ends, as it has just announced. What runs there may go on
@@ -85,99 +85,99 @@
 // back when the worker lists them as ended, a successor answers at its address, or the
 // lease is over.
 func (m *Machine) Left(now time.Duration, id string) {
-	if m.next != nil && m.next.ID == id {
-		m.next = nil
+	if m.candidate != nil && m.candidate.ID == id {
+		m.candidate = nil
 	}
-	if id == "" || id != m.life.id {
+	if id == "" || id != m.instance.id {
 		return
 	}
-	m.life.left = true
+	m.instance.hasLeft = true
 	m.worker.Leaving, m.worker.Usable = true, false
-	m.announce(now)
-	for _, r := range m.inOrder() {
-		m.stop(now, r, wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes})
+	m.announceWorker(now)
+	for _, r := range m.sortedRuns() {
+		m.stopRun(now, r, wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes})
 	}
-	m.endLeft(now)
+	m.endDepartedInstance(now)
 }
 
-// endLeft ends the life of a worker that has left once nothing of it can run.
-func (m *Machine) endLeft(now time.Duration) {
-	if !m.life.left || len(m.runs) > 0 && now < m.life.leaseEnd {
+// endDepartedInstance ends the life of a worker that has left once nothing of it can run.
+func (m *Machine) endDepartedInstance(now time.Duration) {
+	if !m.instance.hasLeft || len(m.runs) > 0 && now < m.instance.leaseEnd {
 		return
 	}
-	m.endLife(now)
-	m.announce(now)
+	m.endInstance(now)
+	m.announceWorker(now)
 }
 
-// endLife ends the books of a life that is over: nothing of it runs any more.
-func (m *Machine) endLife(now time.Duration) {
-	m.letGo(now, m.unannounced())
-	m.life = life{}
-	m.worker = wire.RunWorker{Leaving: m.leaving}
+// endInstance ends the books of a life that is over: nothing of it runs any more.
+func (m *Machine) endInstance(now time.Duration) {
+	m.endAllRuns(now, m.isExitUnannounced())
+	m.instance = instance{}
+	m.worker = wire.RunWorker{Leaving: m.isLeaving}
 }
 
-// lostControl notes that the worker obeys somebody else or is another one. Its next
+// recordLostControl notes that the worker obeys somebody else or is another one. Its next
 // report brings it back.
-func (m *Machine) lostControl(now time.Duration) {
+func (m *Machine) recordLostControl(now time.Duration) {
 	m.setUsable(now, false)
-	m.life.probe = true
+	m.instance.needsProbe = true
 }
 
-// adopt begins the life that has answered a verifying Hold.
-func (m *Machine) adopt(now time.Duration, a *HoldAnswer) {
-	rep, token := m.next, m.life.token
-	m.next = nil
-	m.endLife(now)
-	m.life = life{id: rep.ID, seq: rep.Seq, token: token, recalled: rep.Recalled, heard: now}
-	m.worker = wire.RunWorker{ID: rep.ID, Leaving: m.leaving || rep.Draining}
-	m.describe(rep)
-	m.noteClock(now, a.ClockMs)
+// adoptCandidate begins the life that has answered a verifying Hold.
+func (m *Machine) adoptCandidate(now time.Duration, a *HoldAnswer) {
+	report, token := m.candidate, m.instance.token
+	m.candidate = nil
+	m.endInstance(now)
+	m.instance = instance{id: report.ID, seq: report.Seq, token: token, isRecalled: report.Recalled, lastAnswerAt: now}
+	m.worker = wire.RunWorker{ID: report.ID, Leaving: m.isLeaving || report.Draining}
+	m.applyReport(report)
+	m.updateClockOffset(now, a.ClockMs)
 	for _, e := range a.Ended {
-		m.life.cursor = max(m.life.cursor, e.Number)
+		m.instance.endCursor = max(m.instance.endCursor, e.Number)
 	}
 	m.stopStrays(now, a.Active)
-	m.life.probe = m.life.strays
-	m.worker.Usable = !m.life.strays && !m.worker.Leaving && !m.Drained()
-	m.announce(now)
+	m.instance.needsProbe = m.instance.hasStrays
+	m.worker.Usable = !m.instance.hasStrays && !m.worker.Leaving && !m.Drained()
+	m.announceWorker(now)
 }
 
 // stopStrays ends runs that this guard did not start: an earlier guard did, and
 // its entries take them for ended once the lease time has passed.
 func (m *Machine) stopStrays(now time.Duration, active []Active) {
-	m.life.strays = false
+	m.instance.hasStrays = false
 	for _, a := range active {
 		if m.runs[a.Key] != nil {
 			continue
 		}
-		m.life.strays = true
-		l := m.leaseFrom(now)
-		l.UntilMs = 0
-		m.actions = append(m.actions, Action{Stop: &Stop{Lease: l, Key: a.Key, AnswerIn: m.answerIn(now)}})
+		m.instance.hasStrays = true
+		lease := m.newLease(now)
+		lease.UntilMs = 0
+		m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: a.Key, AnswerIn: m.answerTimeout(now)}})
 	}
 }
 
-// noteClock learns the worker's clock from an answer or a report. What it says was
+// updateClockOffset learns the worker's clock from an answer or a report. What it says was
 // on its way for a while, so that the estimate is not ahead of the worker when it
 // comes. Only the newest word counts: a clock that is 2% slow falls behind an older
 // one, and a lease computed from that would end later than this guard believes.
-func (m *Machine) noteClock(now time.Duration, clockMs int64) {
+func (m *Machine) updateClockOffset(now time.Duration, clockMs int64) {
 	if clockMs == 0 {
 		return
 	}
-	m.life.offset = milliseconds(clockMs) - now
-	m.life.known = true
+	m.instance.clockOffset = milliseconds(clockMs) - now
+	m.instance.hasClockOffset = true
 }
 
-// leaseFrom gives what an order sent now carries.
-func (m *Machine) leaseFrom(now time.Duration) Lease {
-	l := Lease{Worker: m.life.id, Token: m.life.token}
-	if m.life.known {
-		l.UntilMs = (now + m.life.offset + m.timing.Lease).Milliseconds()
+// newLease gives what an order sent now carries.
+func (m *Machine) newLease(now time.Duration) Lease {
+	lease := Lease{Worker: m.instance.id, Token: m.instance.token}
+	if m.instance.hasClockOffset {
+		lease.UntilMs = (now + m.instance.clockOffset + m.timing.Lease).Milliseconds()
 	}
-	return l
+	return lease
 }
 
-// noteOrder notes that an order with a lease goes out now.
-func (m *Machine) noteOrder(now time.Duration) {
-	m.life.leaseEnd = max(m.life.leaseEnd, now+m.timing.Lease+clockSlack)
+// extendLease notes that an order with a lease goes out now.
+func (m *Machine) extendLease(now time.Duration) {
+	m.instance.leaseEnd = max(m.instance.leaseEnd, now+m.timing.Lease+clockSkewMargin)
 }
