--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSetsAreReadByName(t *testing.T) {
+func TestParseReadsMechanismNames(t *testing.T) {
 	for _, m := range All() {
 		s, err := Parse(m.String())
 		qt.Assert(t, err, qt.IsNil)
@@ -26,6 +26,6 @@
 	qt.Check(t, err, qt.ErrorMatches, `no mechanism is named "ofers"`)
 }
 
-func TestNothingIsOffByDefault(t *testing.T) {
+func TestNoMechanismIsDisabledByDefault(t *testing.T) {
 	qt.Check(t, Linked(), qt.Equals, Set(0))
 }
--- a/internal/runs/capacity_test.go
+++ b/internal/runs/capacity_test.go
@@ -13,41 +13,41 @@
 )
 
 // Guards against capacity that has grown and stays unused until the next end of a run, and against entries that go by the old one.
-func TestChangedCapacityIsToldAtOnce(t *testing.T) {
-	w := newWorld(t)
-	w.demand(otherEntry, wire.RunDemand{CPU: 4 * taskCPU, LeastCPU: taskCPU, UrgentCPU: taskCPU})
-	w.settle()
-	w.reportCapacity(20000)
+func TestCapacityChangeIsAnnouncedImmediately(t *testing.T) {
+	model := newCapacityModel(t)
+	model.sendDemand(otherEntry, wire.RunDemand{CPU: 4 * taskCPU, LeastCPU: taskCPU, UrgentCPU: taskCPU})
+	model.checkActions()
+	model.reportCapacity(20000)
 	offered := int64(0)
-	told := make(map[identity.Incarnation]int64)
-	for _, a := range w.actions() {
+	announced := make(map[identity.Incarnation]int64)
+	for _, a := range model.actions() {
 		if a.Send == nil || a.Send.Frame.GuardBeat == nil {
 			continue
 		}
 		if worker := a.Send.Frame.GuardBeat.Worker; worker != nil {
-			told[a.Send.To] = worker.Capacity.CPU
+			announced[a.Send.To] = worker.Capacity.CPU
 		}
 		if a.Send.To == otherEntry {
 			offered = a.Send.Frame.GuardBeat.Load.Free.CPU
 		}
 	}
-	w.Check(told[testEntry], qt.Equals, int64(20000))
-	w.Check(told[otherEntry], qt.Equals, int64(20000))
-	w.Check(offered >= 4*taskCPU, qt.IsTrue, qt.Commentf("%d", offered))
+	model.Check(announced[testEntry], qt.Equals, int64(20000))
+	model.Check(announced[otherEntry], qt.Equals, int64(20000))
+	model.Check(offered >= 4*taskCPU, qt.IsTrue, qt.Commentf("%d", offered))
 }
 
 // Guards against reports that would free room which is not there.
-func TestCapacityThatIsNotToBeBelievedIsRefused(t *testing.T) {
-	good := (&rig{}).report(testWorker, 1)
-	good.Domain = "z1"
-	good.ClockMs = 1
-	qt.Check(t, good.Check(), qt.IsNil)
+func TestImplausibleCapacityIsRejected(t *testing.T) {
+	valid := (&rig{}).newReport(testWorker, 1)
+	valid.Domain = "z1"
+	valid.ClockMs = 1
+	qt.Check(t, valid.Check(), qt.IsNil)
 	for _, c := range []sched.Room{{CPU: -1, MemoryMB: 1}, {CPU: 1 << 40, MemoryMB: 1}, {CPU: 1, MemoryMB: -1}, {CPU: 1, MemoryMB: 1 << 50}, {CPU: 1, MemoryMB: 1, GPUs: -1}} {
-		rep := *good
+		rep := *valid
 		rep.Capacity = c
 		qt.Check(t, rep.Check(), qt.IsNotNil, qt.Commentf("%+v", c))
 	}
-	empty := *good
+	empty := *valid
 	empty.Capacity = sched.Room{}
 	qt.Check(t, empty.Check(), qt.IsNil)
 }
@@ -56,15 +56,15 @@
 func TestRecalledCapacityIsNotTrusted(t *testing.T) {
 	r := &rig{C: qt.New(t), m: New(Options{}), now: time.Minute}
 	r.m.LinkUp(r.now, testEntry)
-	rep := r.report(testWorker, 0)
+	rep := r.newReport(testWorker, 0)
 	rep.Recalled = true
 	r.m.Heard(r.now, rep)
-	r.hold()
-	r.held(testWorker, HoldAnswer{})
+	r.nextHold()
+	r.answerHold(testWorker, HoldAnswer{})
 	r.Check(r.m.Worker().Usable, qt.IsTrue)
 	r.actions()
-	r.send(r.now, 1)
-	got := sortOut(r.actions())
+	r.sendTasks(r.now, 1)
+	got := groupActions(r.actions())
 	r.Check(got.starts, qt.HasLen, 0)
 	r.Assert(got.ends, qt.HasLen, 1)
 	r.Check(got.ends[0].Kind, qt.Equals, errkind.Busy)
@@ -74,8 +74,8 @@
 		Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Text: "text", LeftMs: 5000, SelfLimiting: true,
 		Tasks: []wire.RunTask{{Index: 2, Run: 1, Need: sched.Room{CPU: 3000}}},
 	})
-	r.Check(sortOut(r.actions()).starts, qt.DeepEquals, []Key{key(2)})
-	r.m.Heard(r.now, r.report(testWorker, 1))
-	r.send(r.now, 3)
-	r.Check(sortOut(r.actions()).starts, qt.DeepEquals, []Key{key(3)})
+	r.Check(groupActions(r.actions()).starts, qt.DeepEquals, []Key{key(2)})
+	r.m.Heard(r.now, r.newReport(testWorker, 1))
+	r.sendTasks(r.now, 3)
+	r.Check(groupActions(r.actions()).starts, qt.DeepEquals, []Key{key(3)})
 }
--- a/internal/runs/exhaustive_test.go
+++ b/internal/runs/exhaustive_test.go
@@ -10,38 +10,38 @@
 	"wigeontray/internal/wire"
 )
 
-// world is a guard with two entries and a worker whose capacity changes. It keeps its own book
+// capacityModel is a guard with two entries and a worker whose capacity changes. It keeps its own book
 // of what may be at the worker, from the orders alone.
-type world struct {
+type capacityModel struct {
 	*rig
-	capacity int64 // in the newest valid report
-	seq      int64
-	at       map[Key]int64   // processor of what may be at the worker
-	asked    []Key           // starts without an answer, the oldest first
-	text     map[string]bool // jobs whose text is to be fetched
-	listed   int64
-	sent     int
-	broken   string
+	capacity     int64 // in the newest valid report
+	seq          int64
+	placed       map[Key]int64   // processor of what may be at the worker
+	unanswered   []Key           // starts without an answer, the oldest first
+	pendingTexts map[string]bool // jobs whose text is to be fetched
+	lastEnd      int64
+	sentJobs     int
+	violation    string
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{rig: newRig(t), capacity: 8000, seq: 1, at: make(map[Key]int64), text: make(map[string]bool)}
-	w.m.LinkUp(w.now, otherEntry)
-	w.settle()
-	return w
+func newCapacityModel(t *testing.T) *capacityModel {
+	model := &capacityModel{rig: newRig(t), capacity: 8000, seq: 1, placed: make(map[Key]int64), pendingTexts: make(map[string]bool)}
+	model.m.LinkUp(model.now, otherEntry)
+	model.checkActions()
+	return model
 }
 
-// settle takes the actions and checks each start.
-func (w *world) settle() {
-	for _, a := range w.actions() {
+// checkActions takes the actions and checks each start.
+func (model *capacityModel) checkActions() {
+	for _, a := range model.actions() {
 		switch {
 		case a.Fetch != nil:
-			w.text[a.Fetch.Job] = true
+			model.pendingTexts[a.Fetch.Job] = true
 		case a.Start != nil:
-			w.at[a.Start.Key] = taskCPU
-			w.asked = append(w.asked, a.Start.Key)
-			if len(w.at)*taskCPU > int(w.capacity) {
-				w.broken = "a start brings the worker over its capacity"
+			model.placed[a.Start.Key] = taskCPU
+			model.unanswered = append(model.unanswered, a.Start.Key)
+			if len(model.placed)*taskCPU > int(model.capacity) {
+				model.violation = "a start brings the worker over its capacity"
 			}
 		}
 	}
@@ -49,104 +49,106 @@
 
 const taskCPU = 3000
 
-// sendTasks sends two tasks for an entry, with their text or without.
-func (w *world) sendTasks(from identity.Incarnation, source string) {
-	w.sent++
-	w.rig.seq++
-	t := &wire.RunTasks{Seq: w.rig.seq, ClockMs: w.now.Milliseconds(), Job: strings.Repeat("j", w.sent), Source: source, LeftMs: 5000}
+// sendJob sends two tasks for an entry, with their text or without.
+func (model *capacityModel) sendJob(from identity.Incarnation, source string) {
+	model.sentJobs++
+	model.rig.seq++
+	frame := &wire.RunTasks{Seq: model.rig.seq, ClockMs: model.now.Milliseconds(), Job: strings.Repeat("j", model.sentJobs), Source: source, LeftMs: 5000}
 	for i := range 2 {
-		t.Tasks = append(t.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: taskCPU}})
+		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: taskCPU}})
 	}
-	w.m.Run(w.now, from, t)
+	model.m.Run(model.now, from, frame)
 }
 
 // reportCapacity lets the worker tell its capacity, in thousandths of a core.
-func (w *world) reportCapacity(cpu int64) {
-	w.seq++
-	w.capacity = cpu
-	rep := w.report(testWorker, w.seq)
+func (model *capacityModel) reportCapacity(cpu int64) {
+	model.seq++
+	model.capacity = cpu
+	rep := model.newReport(testWorker, model.seq)
 	rep.Capacity.CPU = cpu
-	w.m.Heard(w.now, rep)
+	model.m.Heard(model.now, rep)
 }
 
-func (w *world) answer(v Verdict) {
-	if len(w.asked) == 0 {
+func (model *capacityModel) answerOldestStart(v Verdict) {
+	if len(model.unanswered) == 0 {
 		return
 	}
-	k := w.asked[0]
-	w.asked = w.asked[1:]
+	k := model.unanswered[0]
+	model.unanswered = model.unanswered[1:]
 	if v == NoRoom {
-		delete(w.at, k)
+		delete(model.placed, k)
 	}
-	w.started(k, v)
+	model.answerStart(k, v)
 }
 
-// list lets the oldest run end at the worker.
-func (w *world) list() {
+// finishOldest lets the oldest run end at the worker.
+func (model *capacityModel) finishOldest() {
 	a := HoldAnswer{}
-	for k := range w.at {
+	for k := range model.placed {
 		a.Active = append(a.Active, Active{Key: k, Percent: 50})
 	}
 	if len(a.Active) > 0 {
-		w.listed++
+		model.lastEnd++
 		k := a.Active[0].Key
-		for _, o := range a.Active {
-			if o.Key.compare(k) < 0 {
-				k = o.Key
+		for _, other := range a.Active {
+			if other.Key.compare(k) < 0 {
+				k = other.Key
 			}
 		}
-		a.Ended = []Ended{{Number: w.listed, Key: k}}
-		delete(w.at, k)
+		a.Ended = []Ended{{Number: model.lastEnd, Key: k}}
+		delete(model.placed, k)
 	}
-	w.held(testWorker, a)
+	model.answerHold(testWorker, a)
 }
 
-// worldEvents are what may happen, in any order.
-var worldEvents = []func(w *world){
-	func(w *world) { w.sendTasks(testEntry, "") },
-	func(w *world) { w.sendTasks(otherEntry, "guard-2") },
-	func(w *world) { w.reportCapacity(2000) },
-	func(w *world) { w.reportCapacity(7000) },
-	func(w *world) { w.reportCapacity(13000) },
-	func(w *world) { // a report that was held up
-		rep := w.report(testWorker, w.seq-1)
+// modelEvents are what may happen, in any order.
+var modelEvents = []func(model *capacityModel){
+	func(model *capacityModel) { model.sendJob(testEntry, "") },
+	func(model *capacityModel) { model.sendJob(otherEntry, "guard-2") },
+	func(model *capacityModel) { model.reportCapacity(2000) },
+	func(model *capacityModel) { model.reportCapacity(7000) },
+	func(model *capacityModel) { model.reportCapacity(13000) },
+	func(model *capacityModel) { // a report that was held up
+		rep := model.newReport(testWorker, model.seq-1)
 		rep.Capacity.CPU = 64000
-		w.m.Heard(w.now, rep)
+		model.m.Heard(model.now, rep)
 	},
-	func(w *world) { w.answer(Done) },
-	func(w *world) { w.answer(NoAnswer) },
-	func(w *world) { w.answer(NoRoom) },
-	(*world).list,
-	func(w *world) {
-		for job := range w.text {
-			delete(w.text, job)
-			w.m.Fetched(w.now, otherEntry, job, "text", true)
+	func(model *capacityModel) { model.answerOldestStart(Done) },
+	func(model *capacityModel) { model.answerOldestStart(NoAnswer) },
+	func(model *capacityModel) { model.answerOldestStart(NoRoom) },
+	(*capacityModel).finishOldest,
+	func(model *capacityModel) {
+		for job := range model.pendingTexts {
+			delete(model.pendingTexts, job)
+			model.m.Fetched(model.now, otherEntry, job, "text", true)
 		}
 	},
-	func(w *world) {
-		w.demand(otherEntry, wire.RunDemand{CPU: 2 * taskCPU, LeastCPU: taskCPU, UrgentCPU: taskCPU})
+	func(model *capacityModel) {
+		model.sendDemand(otherEntry, wire.RunDemand{CPU: 2 * taskCPU, LeastCPU: taskCPU, UrgentCPU: taskCPU})
+	},
+	func(model *capacityModel) {
+		model.m.StopJob(model.now, testEntry, &wire.StopRuns{ClockMs: model.now.Milliseconds(), Job: "j"})
 	},
-	func(w *world) { w.m.StopJob(w.now, testEntry, &wire.StopRuns{ClockMs: w.now.Milliseconds(), Job: "j"}) },
 }
 
-// worldSteps is how many events are played in each order.
-const worldSteps = 4
+// modelSteps is how many events are played in each order.
+const modelSteps = 4
 
 // Guards against a start that brings a worker over a capacity that has shrunk, with offers, starts, stops and reports in every order.
-func TestCapacityIsNeverExceededInAnyOrder(t *testing.T) {
+func TestCapacityIsNeverExceededForAnyEventOrder(t *testing.T) {
 	orders := 1
-	for range worldSteps {
-		orders *= len(worldEvents)
+	for range modelSteps {
+		orders *= len(modelEvents)
 	}
 	for order := range orders {
-		w := newWorld(t)
-		for n := order; n > 0; n /= len(worldEvents) {
-			w.now += time.Millisecond
-			worldEvents[n%len(worldEvents)](w)
-			w.settle()
+		model := newCapacityModel(t)
+		for n := order; n > 0; n /= len(modelEvents) {
+			model.now += time.Millisecond
+			modelEvents[n%len(modelEvents)](model)
+			model.checkActions()
 		}
-		if w.broken != "" {
-			t.Fatalf("order %d: %s", order, w.broken)
+		if model.violation != "" {
+			t.Fatalf("order %d: %s", order, model.violation)
 		}
 	}
 }
--- a/internal/runs/fetch_test.go
+++ b/internal/runs/fetch_test.go
@@ -11,40 +11,40 @@
 	"wigeontray/internal/wire"
 )
 
-// sendWithoutText sends tasks whose text is at another guard.
-func (r *rig) sendWithoutText(indexes ...int) {
+// sendTasksWithoutText sends tasks whose text is at another guard.
+func (r *rig) sendTasksWithoutText(indexes ...int) {
 	r.seq++
-	t := &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Source: "guard-2", LeftMs: 5000}
+	frame := &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Source: "guard-2", LeftMs: 5000}
 	for _, i := range indexes {
-		t.Tasks = append(t.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: 3000}})
+		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: 3000}})
 	}
-	r.m.Run(r.now, testEntry, t)
+	r.m.Run(r.now, testEntry, frame)
 }
 
-// fetches counts the texts that are to be fetched.
-func fetches(actions []Action) (n int) {
+// countFetches counts the texts that are to be fetched.
+func countFetches(actions []Action) (count int) {
 	for _, a := range actions {
 		if a.Fetch != nil {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (r *rig) fetched(ok bool) { r.m.Fetched(r.now, testEntry, "job", "text", ok) }
+func (r *rig) answerFetch(ok bool) { r.m.Fetched(r.now, testEntry, "job", "text", ok) }
 
 // Guards against a text fetched once for each task, or room held beyond it.
-func TestTasksBeginOnceTheirTextIsThere(t *testing.T) {
+func TestTasksStartAfterTextIsFetched(t *testing.T) {
 	r := newRig(t)
-	r.sendWithoutText(1, 2, 3)
+	r.sendTasksWithoutText(1, 2, 3)
 	first := r.actions()
-	r.Check(fetches(first), qt.Equals, 1)
-	r.Check(sortOut(first).starts, qt.HasLen, 0)
-	r.Check(sortOut(first).ends, qt.HasLen, 1)
+	r.Check(countFetches(first), qt.Equals, 1)
+	r.Check(groupActions(first).starts, qt.HasLen, 0)
+	r.Check(groupActions(first).ends, qt.HasLen, 1)
 	r.now += 5 * time.Millisecond
-	r.fetched(true)
+	r.answerFetch(true)
 	actions := r.actions()
-	r.Check(sortOut(actions).starts, qt.DeepEquals, []Key{key(1), key(2)})
+	r.Check(groupActions(actions).starts, qt.DeepEquals, []Key{key(1), key(2)})
 	for _, a := range actions {
 		if a.Start != nil {
 			r.Check(a.Start.Text, qt.Equals, "text")
@@ -53,12 +53,12 @@
 }
 
 // Guards against tasks sent again without the text that was missing.
-func TestTasksWhoseTextIsMissingAreGivenBack(t *testing.T) {
+func TestTasksWithMissingTextAreReturned(t *testing.T) {
 	r := newRig(t)
-	r.sendWithoutText(1)
+	r.sendTasksWithoutText(1)
 	r.actions()
-	r.fetched(false)
-	got := sortOut(r.actions())
+	r.answerFetch(false)
+	got := groupActions(r.actions())
 	r.Check(got.starts, qt.HasLen, 0)
 	r.Assert(got.ends, qt.HasLen, 1)
 	r.Check(got.ends[0].NoText, qt.IsTrue)
@@ -66,29 +66,29 @@
 }
 
 // Guards against tasks begun after they were withdrawn while they awaited their text.
-func TestTasksThatAwaitTheirTextAreNotBegunInVain(t *testing.T) {
+func TestTasksWithdrawnDuringFetchAreNotStarted(t *testing.T) {
 	for name, event := range map[string]func(r *rig){
-		"the entry is silent": func(r *rig) { r.pass(testTiming.Permit + 10*time.Millisecond) },
+		"the entry is silent": func(r *rig) { r.advance(testTiming.Permit + 10*time.Millisecond) },
 		"its link ends":       func(r *rig) { r.m.LinkDown(r.now, testEntry) },
 		"it withdraws them": func(r *rig) {
 			r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
 		},
 		"the guard stops": func(r *rig) { r.m.Drain(r.now) },
 		"the worker leaves": func(r *rig) {
-			rep := r.report(testWorker, 9)
+			rep := r.newReport(testWorker, 9)
 			rep.Draining = true
 			r.m.Heard(r.now, rep)
 		},
 		"the worker is gone": func(r *rig) { r.m.Left(r.now, testWorker) },
-		"their time is over": func(r *rig) { r.pass(6 * time.Second) },
+		"their time is over": func(r *rig) { r.advance(6 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.sendWithoutText(1)
+			r.sendTasksWithoutText(1)
 			r.actions()
 			event(r)
-			r.fetched(true)
-			got := sortOut(r.actions())
+			r.answerFetch(true)
+			got := groupActions(r.actions())
 			r.Check(got.starts, qt.HasLen, 0)
 			r.Check(r.m.Running(), qt.Equals, 0)
 			for _, e := range got.ends {
@@ -99,33 +99,33 @@
 }
 
 // Guards against an entry that learns only from ends that its tasks arrive late.
-func TestEntryIsToldAtOnceThatItsTasksComeLate(t *testing.T) {
+func TestEntryIsNotifiedOfLateTasksImmediately(t *testing.T) {
 	r := newRig(t)
-	r.send(r.now, 1)
-	r.Check(loads(r.actions()), qt.HasLen, 1) // the first ones on a link
+	r.sendTasks(r.now, 1)
+	r.Check(sentLoads(r.actions()), qt.HasLen, 1) // the first ones on a link
 	r.now += time.Second
-	r.send(r.now, 2)
-	r.Check(loads(r.actions()), qt.HasLen, 0)
+	r.sendTasks(r.now, 2)
+	r.Check(sentLoads(r.actions()), qt.HasLen, 0)
 	r.now += 300 * time.Millisecond
-	r.send(r.now-200*time.Millisecond, 3)
-	got := loads(r.actions())
+	r.sendTasks(r.now-200*time.Millisecond, 3)
+	got := sentLoads(r.actions())
 	r.Assert(got, qt.HasLen, 1)
 	r.Check(got[0].AgeMs, qt.Equals, int64(200))
 	r.Check(got[0].Seen, qt.Equals, uint64(3))
 }
 
-// loads gives the loads that the entry is told.
-func loads(actions []Action) (list []wire.RunLoad) {
+// sentLoads gives the loads that the entry is told.
+func sentLoads(actions []Action) (loads []wire.RunLoad) {
 	for _, a := range actions {
 		if a.Send == nil {
 			continue
 		}
-		switch f := a.Send.Frame; {
-		case f.GuardBeat != nil:
-			list = append(list, f.GuardBeat.Load)
-		case f.RunsEnded != nil:
-			list = append(list, f.RunsEnded.Load)
+		switch frame := a.Send.Frame; {
+		case frame.GuardBeat != nil:
+			loads = append(loads, frame.GuardBeat.Load)
+		case frame.RunsEnded != nil:
+			loads = append(loads, frame.RunsEnded.Load)
 		}
 	}
-	return list
+	return loads
 }
--- a/internal/runs/hang_test.go
+++ b/internal/runs/hang_test.go
@@ -10,22 +10,22 @@
 // Whatever runs on a worker stands still, and it answers as ever. Each run was given the
 // time in which one that is merely slow would advance, and new ones came all the while:
 // a caller of 200 ms waited for half a second, and of 900 ms for a second and a half.
-func TestWorkerOnWhichNothingAdvancesGivesBackWhatItHas(t *testing.T) {
+func TestRunsOnHungWorkerAreStopped(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(minHangJobs)...)
-	r.list(20*time.Millisecond, 10, keys...)
+	keys := r.startJobs(false, jobNames(minHangJobs)...)
+	r.reportProgress(20*time.Millisecond, 10, keys...)
 	r.Check(r.stops(), qt.HasLen, 0)
-	r.list(minHangAge, 10, keys...)
+	r.reportProgress(minHangAge, 10, keys...)
 	r.Check(r.m.Worker().Slow, qt.IsTrue)
 	r.Check(r.stops(), qt.DeepEquals, keys)
 }
 
 // A run stands still beside one that advances, or the runs of one job alone do. That tells
 // nothing of the worker.
-func TestRunsThatStandStillBesideOthersAreGivenTime(t *testing.T) {
+func TestSingleStalledRunIsNotAHang(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(minHangJobs+1)...)
-	r.list(20*time.Millisecond, 10, keys...)
+	keys := r.startJobs(false, jobNames(minHangJobs+1)...)
+	r.reportProgress(20*time.Millisecond, 10, keys...)
 	r.now += minHangAge
 	var a HoldAnswer
 	for i, k := range keys {
@@ -35,18 +35,18 @@
 		}
 		a.Active = append(a.Active, Active{Key: k, Percent: percent})
 	}
-	r.held(testWorker, a)
+	r.answerHold(testWorker, a)
 	r.Check(r.m.Worker().Slow, qt.IsFalse)
 	r.Check(r.stops(), qt.HasLen, 0)
 }
 
 // A run that has just begun has not advanced yet, which does not make the others hang.
-func TestRunThatHasJustBegunTellsNothing(t *testing.T) {
+func TestNewRunDoesNotCountAsStalled(t *testing.T) {
 	r := newRig(t)
-	keys := r.begin(false, jobNames(minHangJobs)...)
-	r.list(40*time.Millisecond, 30, keys...)
-	r.list(minHangAge-10*time.Millisecond, 60, keys...)
-	r.list(10*time.Millisecond, 60, append(keys, r.begin(false, "new")...)...)
+	keys := r.startJobs(false, jobNames(minHangJobs)...)
+	r.reportProgress(40*time.Millisecond, 30, keys...)
+	r.reportProgress(minHangAge-10*time.Millisecond, 60, keys...)
+	r.reportProgress(10*time.Millisecond, 60, append(keys, r.startJobs(false, "new")...)...)
 	r.Check(r.m.Worker().Slow, qt.IsFalse)
 	r.Check(r.stops(), qt.HasLen, 0)
 }
--- a/internal/runs/timing_test.go
+++ b/internal/runs/timing_test.go
@@ -10,7 +10,7 @@
 // Callers of another deployment send their jobs again sooner than those that the
 // times were first made for. A run that a lost guard left behind must have ended by
 // then all the same; beside it, the job would book two escorts.
-func TestLossEndsBeforeCallersSendAgain(t *testing.T) {
+func TestOrphanedRunsEndBeforeCallersResend(t *testing.T) {
 	c := qt.New(t)
 	for _, resend := range []time.Duration{600, 700, 1000, 1299, 1300, 5000} {
 		resend *= time.Millisecond
