--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,10 +1,10 @@
-// Package policy names the mechanisms of the decisions that can be switched off, so
-// that what each of them is worth can be measured. There is no setting for it: tests
-// hand a Set to the machines, and tools link one in:
+// Package policy lists the scheduling mechanisms that can be disabled for ablation
+// measurements, which show what each mechanism contributes. No setting disables them:
+// tests pass a Set to the state machines, and measuring tools set one at link time:
 //
 //	go build -ldflags "-X wigeontray/internal/policy.linked=whole-starts,offers" ./cmd/...
 //
-// The package imports nothing of the project.
+// The package imports no other package of the project.
 package policy
 
 import (
@@ -13,51 +13,55 @@
 	"strings"
 )
 
-// Mechanism is one mechanism of a decision.
+// Mechanism is a rule of the scheduler that can be disabled on its own.
 type Mechanism uint8
 
-// Mechanisms. Without one, the machines leave its rule out; all constants stay.
+// Mechanisms. Disabling one skips its rule and changes no constant.
 const (
-	// WholeStarts lets a job that others may overtake begin only as a whole.
+	// WholeStarts starts a job that other jobs may overtake only when all its tasks can
+	// start together.
 	WholeStarts Mechanism = iota
-	// BoundedWait refuses a job that has waited for a part of its time.
+	// BoundedWait refuses a job that has to queue for more than a fraction of the time in
+	// which it should finish.
 	BoundedWait
-	// Offers holds room for one waiting entry at a time.
+	// Offers reserves freed capacity for one waiting entry at a time.
 	Offers
-	// UrgentOffers orders offers by the most urgent task that would fit, and lets them
-	// grow and be declined.
+	// UrgentOffers orders offers by the most urgent task that fits, and lets an offer be
+	// extended or declined.
 	UrgentOffers
-	// NearFirst tells the guards of the own failure domain first that tasks wait.
+	// NearFirst announces waiting tasks to the guards of the entry's own failure domain
+	// first.
 	NearFirst
-	// OwnDomain places tasks in the own failure domain first.
+	// OwnDomain prefers workers in the entry's own failure domain.
 	OwnDomain
-	// LearnedTimes corrects the callers' estimates of run times.
+	// LearnedTimes corrects the callers' run time estimates by observed run times.
 	LearnedTimes
-	// QuickShare assumes that a job may end in a part of its expected time.
+	// QuickShare admits a job that would meet its deadline in a fraction of its expected
+	// time.
 	QuickShare
-	// Quarantine shuts out workers that fail or are slow.
+	// Quarantine excludes workers that fail tasks or are slow.
 	Quarantine
-	// Probation lets a worker come back with one task at first.
+	// Probation limits a worker that returns to one task at first.
 	Probation
-	// StallWatch stops runs that stand still.
+	// StallWatch stops runs that make no progress.
 	StallWatch
-	// PaceWatch finds a slow worker by how its runs advance, and moves them.
+	// PaceWatch detects a slow worker by the progress of its runs and moves the runs.
 	PaceWatch
-	// RetrySpread tells refused callers different times to come back at.
+	// RetrySpread gives refused callers different retry times.
 	RetrySpread
-	// StoredReport lets a guard begin with the last report of its worker in the store.
+	// StoredReport lets a guard start from the last report of its worker in the store.
 	StoredReport
-	// ConfigRelay passes a configuration from guards to entries that have an older one.
+	// ConfigRelay forwards a configuration from guards to entries that have an older one.
 	ConfigRelay
-	// StartGrace lets jobs wait for the first workers of an entry that has just begun.
+	// StartGrace queues jobs of a newly started entry until its first workers register.
 	StartGrace
-	// QuickOrders waits for less long for answers of a worker that left one out.
+	// QuickOrders shortens the answer timeouts of a worker that left a request unanswered.
 	QuickOrders
-	// HangWatch gives back at once what a worker has on which nothing advances.
+	// HangWatch immediately returns the runs of a worker on which no run makes progress.
 	HangWatch
-	// CrashLimit fails the job of a task under which workers have crashed.
+	// CrashLimit fails a job if workers crashed while running one of its tasks.
 	CrashLimit
-	// SuspectsApart runs tasks that are suspected of a crash apart from each other.
+	// SuspectsApart places no two tasks that are suspected of a crash on one worker.
 	SuspectsApart
 	mechanismCount
 )
@@ -70,10 +74,10 @@
 	QuickOrders: "quick-orders", HangWatch: "hang-watch", CrashLimit: "crash-limit", SuspectsApart: "suspects-apart",
 }
 
-// String gives the name that Parse reads.
+// String returns the name that Parse accepts.
 func (m Mechanism) String() string { return mechanismNames[m] }
 
-// All lists the mechanisms.
+// All returns every mechanism.
 func All() []Mechanism {
 	mechanisms := make([]Mechanism, mechanismCount)
 	for i := range mechanisms {
@@ -85,7 +89,7 @@
 // Set is a set of mechanisms. The zero value is empty.
 type Set uint32
 
-// Of gives the set of some mechanisms.
+// Of returns the set of the given mechanisms.
 func Of(mechanisms ...Mechanism) Set {
 	var s Set
 	for _, m := range mechanisms {
@@ -94,10 +98,11 @@
 	return s
 }
 
-// Has tells whether a mechanism is in the set.
+// Has reports whether the set contains m.
 func (s Set) Has(m Mechanism) bool { return s&(1<<m) != 0 }
 
-// Parse reads names that are separated by commas.
+// Parse reads a comma-separated list of mechanism names. Empty names are skipped; an
+// unknown name is an error.
 func Parse(list string) (Set, error) {
 	var s Set
 	for _, name := range strings.Split(list, ",") {
@@ -106,18 +111,18 @@
 		}
 		m := slices.Index(mechanismNames[:], name)
 		if m < 0 {
-			return 0, fmt.Errorf("no mechanism is named %q", name)
+			return 0, fmt.Errorf("unknown mechanism %q", name)
 		}
 		s |= 1 << m
 	}
 	return s, nil
 }
 
-// linked is set by the linker.
+// linked is the list that the linker sets with -X.
 var linked string
 
-// Linked gives the mechanisms that this program was linked without. A name that is
-// not known ends the process: its measurement would be of something else.
+// Linked returns the mechanisms that were disabled at link time. It panics on an unknown
+// name, because the program would then measure a configuration other than the intended one.
 func Linked() Set {
 	s, err := Parse(linked)
 	if err != nil {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -19,11 +19,11 @@
 	qt.Check(t, s.Has(Quarantine), qt.IsFalse)
 }
 
-// A name is misspelt in the build of an ablation: its figures would be taken for those
-// of a mechanism that was on all the while.
+// Guards against a misspelt name in an ablation build, whose figures would be attributed
+// to a mechanism that was still enabled.
 func TestUnknownMechanismIsAnError(t *testing.T) {
 	_, err := Parse("offers,ofers")
-	qt.Check(t, err, qt.ErrorMatches, `no mechanism is named "ofers"`)
+	qt.Check(t, err, qt.ErrorMatches, `unknown mechanism "ofers"`)
 }
 
 func TestNoMechanismIsDisabledByDefault(t *testing.T) {
