--- a/internal/runs/api.go
+++ b/internal/runs/api.go
@@ -1,16 +1,17 @@
-// Package runs owns the tasks that run on one worker under a lease: room, starts,
-// ends, stops, and for which entries the guard still works. It is a state machine
-// under an explicit clock, without goroutine, socket or lock. A guard feeds it
-// what happens and carries out the actions that it returns.
+// Package runs manages the task runs on one worker: it allocates the worker's capacity,
+// starts and stops runs, renews the worker's lease, and stops the runs of entries that
+// have gone silent. It is a state machine with an explicit clock and has no goroutines,
+// sockets or locks. A guard passes events to it and carries out the actions that it
+// returns.
 //
-// A task may be run again from the start, but never twice at the same time. The
-// machine's final word on a run, a wire.RunEnd, therefore comes only once the run
-// provably neither is at the worker nor will come there.
+// A task may be run again from the start, but two runs of it must never overlap. The
+// machine therefore reports the end of a run (wire.RunEnd) only when the run is proved
+// to be neither at the worker nor on its way there.
 //
-// Times are durations on the guard's clock, which counts the time in which its
+// All times are durations on the guard's clock, which includes time during which its
 // VM was suspended.
 //
-// The package may import errkind, identity, policy, sched and wire.
+// The package may import only errkind, identity, policy, sched and wire of this project.
 package runs
 
 import (
@@ -26,7 +27,7 @@
 	"wigeontray/internal/wire"
 )
 
-// Key names one run of one task.
+// Key identifies one run of one task.
 type Key struct {
 	Job         string
 	Step, Index int
@@ -37,10 +38,10 @@
 	return cmp.Or(strings.Compare(k.Job, other.Job), k.Step-other.Step, k.Index-other.Index, cmp.Compare(k.Run, other.Run))
 }
 
-// Report is what a worker says of itself.
+// Report is a status report of a worker.
 type Report struct {
-	ID       string // names one life of the worker
-	Seq      int64  // grows with each report of that life
+	ID       string // identifies one instance of the worker; a restart makes a new one
+	Seq      int64  // increases with each report of the instance
 	ClockMs  int64  // the worker's clock, in milliseconds
 	Draining bool
 	Service  string
@@ -48,23 +49,24 @@
 	Rack     string
 	Labels   []string
 	Capacity sched.Room
-	Cold     bool // it is slow for now, after its start or a drain
-	// Recalled tells that an earlier guard was given the report: the capacity may have
-	// shrunk since.
+	Cold     bool // temporarily slow after a start or a drain
+	// Recalled reports whether an earlier guard received and stored the report. The
+	// capacity may have shrunk since.
 	Recalled bool `json:"-"`
 }
 
-// Bounds of a capacity that is believed.
+// Upper limits of a plausible capacity.
 const (
 	maxCPU      = 1 << 30 // thousandths of a core
 	maxMemoryMB = 1 << 30
 	maxGPUs     = 1 << 16
 )
 
-// Check tells why a report names no worker to use, or nil. Another writer may have
-// made it: without a clock, its worker would get a fencing token below those of earlier
-// guards, and a capacity that is not to be believed would free room that is not there.
-// A worker may have no capacity left for a while.
+// Check returns an error if the report does not describe a usable worker. The report may
+// come from a foreign writer: without a clock, the worker would get a fencing token below
+// those of earlier guards, and an implausible capacity would allow more tasks than the
+// worker has room for. A capacity of zero is valid, because a worker may temporarily have
+// none left.
 func (r *Report) Check() error {
 	switch {
 	case r.ID == "":
@@ -84,53 +86,54 @@
 	return nil
 }
 
-// Lease is what every order to the worker carries.
+// Lease is the part that all requests to the worker have in common.
 type Lease struct {
-	Worker  string // the life that is meant; any other refuses
+	Worker  string // ID of the addressed worker instance; any other one refuses
 	Token   int64  // fencing token
-	UntilMs int64  // end of the lease on the worker's clock; 0 leaves it as it is
+	UntilMs int64  // end of the lease on the worker's clock; 0 leaves it unchanged
 }
 
-// Start orders a run. Its answer goes to Machine.Started.
+// Start requests that the worker start a run. Pass the answer to Machine.Started.
 type Start struct {
 	Lease
 	Key      Key
-	Text     string
-	AnswerIn time.Duration // after which it counts as unanswered
+	Text     string        // description of the job's tasks, for the worker
+	AnswerIn time.Duration // timeout
 }
 
-// Fetch gets the text of a job from another guard. Its answer goes to Machine.Fetched.
+// Fetch requests the text of a job from another guard. Pass the answer to
+// Machine.Fetched.
 type Fetch struct {
-	From     identity.Incarnation // the entry whose job it is
+	From     identity.Incarnation // the entry that sent the job
 	Job      string
-	Source   string        // address of the guard
-	AnswerIn time.Duration // after which it counts as not to be had
+	Source   string        // address of the other guard
+	AnswerIn time.Duration // timeout
 }
 
-// Stop orders the end of a run, or that it is never started. Its answer goes to
+// Stop requests that the worker end a run, or never start it. Pass the answer to
 // Machine.Stopped.
 type Stop struct {
 	Lease
 	Key      Key
-	AnswerIn time.Duration // after which it counts as unanswered
+	AnswerIn time.Duration // timeout
 }
 
-// Hold renews the lease and asks what runs and what has ended. Its answer goes
-// to Machine.Held. Only one is under way at a time.
+// Hold is a long poll that renews the lease and requests the lists of active and ended
+// runs. Pass the answer to Machine.Held. At most one Hold is in flight at a time.
 type Hold struct {
 	Lease
-	Ack      int64         // ends up to this number are noted
-	Wait     time.Duration // the worker answers when something ends, or after this time
-	AnswerIn time.Duration // it counts as unanswered after Wait and this time
+	Ack      int64         // acknowledges the ends up to this number
+	Wait     time.Duration // the worker answers when a run ends, at the latest after Wait
+	AnswerIn time.Duration // timeout, counted from the end of Wait
 }
 
-// Send is a frame for an entry.
+// Send is a frame to send to an entry.
 type Send struct {
 	To    identity.Incarnation
 	Frame *wire.Frame
 }
 
-// Action is one thing that the owner of a Machine must do. Exactly one field is
+// Action is a request that the owner of a Machine must carry out. Exactly one field is
 // set.
 type Action struct {
 	Fetch *Fetch
@@ -140,98 +143,99 @@
 	Send  *Send
 }
 
-// Verdict is a worker's answer to an order.
+// Verdict is the result of a request to a worker.
 type Verdict uint8
 
-// Verdicts. All but Done and NoAnswer mean that the order had no effect.
+// Verdicts. All except Done and NoAnswer mean that the request had no effect.
 const (
 	Done        Verdict = iota
-	NoAnswer            // it may have been carried out, or may be later
-	NoRoom              // the worker has no room for the run
-	Outdated            // the worker has seen this run or a later one
-	LeaseOver           // the lease had ended when the order came
+	NoAnswer            // the request may have been carried out, or may still be
+	NoRoom              // the worker has too little free capacity for the run
+	Outdated            // the worker has seen this run or a later one of the task
+	LeaseOver           // the lease had expired when the request arrived
 	FencedOff           // the worker has seen a greater fencing token
-	OtherWorker         // the address belongs to another life of a worker
-	Unhealthy           // the worker takes no orders now
-	Malformed           // the worker does not understand the order
+	OtherWorker         // another worker instance has the address
+	Unhealthy           // the worker accepts no requests at present
+	Malformed           // the worker cannot parse the request
 )
 
-// String gives the word that logs have.
+// String returns the name that logs show.
 func (v Verdict) String() string {
 	return [...]string{"done", "no answer", "no room", "outdated", "lease over", "fenced off", "other worker", "unhealthy", "malformed"}[v]
 }
 
-// StartAnswer answers a Start.
+// StartAnswer is the answer to a Start.
 type StartAnswer struct {
 	Verdict Verdict
-	ClockMs int64 // the worker's clock; 0 if it was not told
+	ClockMs int64 // the worker's clock; 0 if the answer has none
 }
 
-// How tells how a run ended.
+// How is the outcome of a run at the worker.
 type How uint8
 
-// Ways in which a run ends.
+// Outcomes of a run.
 const (
 	EndDone How = iota
 	EndFailed
 	EndStopped
-	EndLapsed // its lease ended
+	EndLapsed // the lease expired
 )
 
-// Ended is an end that a worker lists.
+// Ended is an entry in a worker's list of ended runs.
 type Ended struct {
-	Number int64 // grows by one in each life of the worker
+	Number int64 // counts the ended runs of a worker instance
 	Key    Key
 	How    How
 }
 
-// Active is a run that a worker lists as present.
+// Active is an entry in a worker's list of active runs.
 type Active struct {
 	Key     Key
-	Percent int64 // of its work
+	Percent int64 // progress
 }
 
-// HoldAnswer answers a Hold.
+// HoldAnswer is the answer to a Hold.
 type HoldAnswer struct {
 	Verdict Verdict
-	Gone    bool // with NoAnswer: nothing listens at the worker's address
+	Gone    bool // with NoAnswer: the worker's address refused the connection
 	ClockMs int64
 	Active  []Active
 	Ended   []Ended
 }
 
-// Options of a Machine.
+// Options configures a Machine.
 type Options struct {
-	Timing Timing     // that for the default if left out
-	Off    policy.Set // mechanisms that are switched off
+	Timing Timing     // the zero value selects the timing for DefaultResend
+	Off    policy.Set // disabled mechanisms
 }
 
-// Bounds in time of the machine.
+// Timeouts, intervals and limits of the machine.
 const (
-	// renewInterval is how long a Hold waits for an end. A busy worker answers sooner;
-	// the answer to one that is lost is missed only after this time.
+	// renewInterval is how long a Hold waits for a run to end. A busy worker answers
+	// sooner. A lost answer is not noticed before this time has passed.
 	renewInterval = 60 * time.Millisecond
-	// orderTimeout is when an order counts as unanswered: a worker on the guard's own
-	// VM answers in one or two milliseconds, and the guard's processor pauses
+	// requestTimeout is the timeout of a request to the worker. A worker on the guard's
+	// own VM answers within one or two milliseconds, and the guard's processor may pause
 	// for up to 20 ms.
-	orderTimeout = 40 * time.Millisecond
-	// fetchTimeout is when the text of a job counts as not to be had from another guard:
-	// a connection and an answer between failure domains, and pauses of two processors.
+	requestTimeout = 40 * time.Millisecond
+	// fetchTimeout is the timeout for fetching the text of a job from another guard. It
+	// covers connecting and answering between failure domains, and pauses of both
+	// processors.
 	fetchTimeout = 120 * time.Millisecond
-	// maxStartAttempts is how often a start is sent before it is given up.
+	// maxStartAttempts is how often a start is sent before it is abandoned.
 	maxStartAttempts = 3
-	// MaxStopDelay bounds how long an acknowledged stop takes at the worker, with
-	// margin.
+	// MaxStopDelay is the longest time, including a margin, that the worker takes to end
+	// a run after it has acknowledged the stop.
 	MaxStopDelay = 100 * time.Millisecond
-	// orderRetryDelay is the pause before an order without an answer is repeated.
-	orderRetryDelay = 30 * time.Millisecond
-	// clockSkewMargin is by how much longer than Timing.Lease a lease may last. The
-	// worker's clock may be 2% slow: over the lease, and over the time since its
-	// last report, of which one comes every 1.5 s.
+	// requestRetryDelay is the delay before an unanswered request is sent again.
+	requestRetryDelay = 30 * time.Millisecond
+	// clockSkewMargin is how much longer than Timing.Lease a lease may last on the
+	// guard's clock. The worker's clock may be 2% slow, both during the lease and since
+	// its last report; reports come every 1.5 s.
 	clockSkewMargin = 50 * time.Millisecond
-	// probeInterval is how often a worker that does not answer is asked again.
+	// probeInterval is the interval between Holds to an unreachable worker.
 	probeInterval = 500 * time.Millisecond
-	// maxUnansweredHolds is how many Holds in a row go unanswered before a worker counts
-	// as unreachable, which takes about as long as its lease.
+	// maxUnansweredHolds is the number of consecutive unanswered Holds after which a
+	// worker counts as unreachable. They take about as long as its lease.
 	maxUnansweredHolds = 4
 )
--- a/internal/runs/capacity.go
+++ b/internal/runs/capacity.go
@@ -7,9 +7,9 @@
 	"wigeontray/internal/sched"
 )
 
-// applyCapacity obeys a capacity that has changed while the worker runs. What runs there goes
-// on. Offers were made against the old capacity, and tasks that are not at the worker yet may
-// not fit any more.
+// applyCapacity handles a change of the capacity of a running worker. Its runs continue.
+// Offers are withdrawn, because they were based on the previous capacity. Runs that are not
+// at the worker yet are refused as long as the allocated capacity exceeds the new one.
 func (m *Machine) applyCapacity(now time.Duration, previous sched.Room) {
 	if m.worker.Capacity == previous {
 		return
@@ -24,5 +24,5 @@
 	}
 }
 
-// isOverCapacity tells whether more may be at the worker than it has room for.
+// isOverCapacity reports whether the allocated capacity exceeds that of the worker.
 func (m *Machine) isOverCapacity() bool { return !m.worker.Capacity.Holds(m.allocated) }
--- a/internal/runs/crash.go
+++ b/internal/runs/crash.go
@@ -4,24 +4,26 @@
 	"wigeontray/internal/wire"
 )
 
-// isExitUnannounced tells whether an end of the worker now would be a crash.
+// isExitUnannounced reports whether the worker has not announced that it stops, so that its
+// end now would be a crash.
 func (m *Machine) isExitUnannounced() bool {
 	return m.instance.id != "" && !m.instance.hasLeft && !m.worker.Leaving
 }
 
-// crashBlame is what a crash of the worker says of a run.
+// crashBlame is the degree to which a run is suspected of a crash of the worker.
 type crashBlame uint8
 
 const (
 	blameNone     crashBlame = iota
-	blamePossible            // it may have been there
-	blameCertain             // it was there
+	blamePossible            // may have been at the worker
+	blameCertain             // was at the worker
 )
 
-// assignBlame tells which runs may have caused a crash of the worker: all that the worker may have
-// taken, also those whose start has no answer, as it may have crashed before it could answer, and
-// those that were being stopped. Only a run that was there for certain counts towards the end of
-// its job as failed, and beside one that was suspected of an earlier crash only that one.
+// assignBlame returns the runs that may have caused a crash of the worker: all runs that it may
+// have accepted. They include runs that were being stopped, and runs whose start is unanswered,
+// as the worker may have crashed before it could answer. Only runs that were certainly there
+// (blameCertain) count towards failing their job. If some of the runs are suspected of an earlier
+// crash, only these can be blamed for certain.
 func (m *Machine) assignBlame() map[Key]crashBlame {
 	blamed, hasSuspects := make(map[Key]crashBlame), false
 	for _, r := range m.runs {
@@ -39,17 +41,18 @@
 	return blamed
 }
 
-// wasRunningAtCrash tells whether a run that the worker had taken was there when it crashed. An end
-// before that would have been seen, unless the worker left orders unanswered already; if it did,
-// a run that was far from its end when the worker answered last counts as there.
+// wasRunningAtCrash reports whether a run that the worker had accepted was still there when the
+// worker crashed. An earlier end would have been seen, unless the worker was already leaving
+// requests unanswered. In that case the run counts as present if less than half of its expected
+// time had passed when the worker last answered.
 func (m *Machine) wasRunningAtCrash(r *run) bool {
 	lastAnswerAt := m.instance.lastAnswerAt
 	wasLossy := m.lossySince < lastAnswerAt && lastAnswerAt < m.lossyUntil
 	return !wasLossy || lastAnswerAt < r.answeredAt+r.expectedTime/2
 }
 
-// reportCrash tells each entry of the blamed tasks of the other entries: a caller who is left
-// without an answer sends its job to another one.
+// reportCrash sends each entry the blamed tasks of the other entries, because a caller that gets
+// no answer resends its job to another entry.
 func (m *Machine) reportCrash(blamed map[Key]crashBlame) {
 	for _, recipient := range m.sortedEntries() {
 		var crash wire.WorkerCrash
@@ -69,8 +72,8 @@
 	}
 }
 
-// hasSuspect tells whether a task is here that has run under a crash. Two of them apart, the
-// next crash tells which one is the cause.
+// hasSuspect reports whether the worker has a task that may have run during an earlier crash.
+// Suspects are kept on different workers, so that the next crash identifies the cause.
 func (m *Machine) hasSuspect() bool {
 	for _, r := range m.runs {
 		if r.crashCount > 0 {
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -154,7 +154,7 @@
 	for i := range 2 * maxUnansweredHolds {
 		r.actions()
 		r.answerHold(testWorker, HoldAnswer{Verdict: NoAnswer, Gone: i == 0})
-		r.advance(orderRetryDelay)
+		r.advance(requestRetryDelay)
 	}
 	r.advance(testTiming.Lease + clockSkewMargin)
 	ends := groupActions(r.actions()).ends
--- a/internal/runs/doubt.go
+++ b/internal/runs/doubt.go
@@ -6,24 +6,26 @@
 	"wigeontray/internal/policy"
 )
 
-// A worker that leaves some orders unanswered leaves out Holds as well: the ends of its
-// runs are then seen only when the next Hold is answered, up to renewInterval and orderTimeout
-// later. One notices that jobs of many short tasks are late of which no start went
-// unanswered. After the first order without an answer a guard therefore asks more often and
-// waits less long, for a while; a worker that answers is asked as seldom as before.
+// A worker that leaves some requests unanswered is called lossy. It leaves Holds unanswered as
+// well, so that the end of a run is seen only with the next answered Hold, up to renewInterval
+// plus requestTimeout later. Jobs of many short tasks were late for that reason even if each
+// start had been answered. After the first unanswered request a guard therefore polls the worker
+// more often and with shorter timeouts for lossyPeriod. A worker that answers is polled no more
+// often than before.
 const (
-	// lossyPeriodTimeout is how long after an order without an answer others may lack one.
-	lossyPeriodTimeout = 2 * time.Second
-	// lossyHoldInterval is how long a Hold then waits for an end, a quarter of a short run. With
-	// lossyOrderTimeout it is the time for which ends go unseen if its answer is lost.
+	// lossyPeriod is how long a worker counts as lossy after an unanswered request.
+	lossyPeriod = 2 * time.Second
+	// lossyHoldInterval is how long a Hold to a lossy worker waits for a run to end, a quarter
+	// of a short run. If the answer is lost, ends go unseen for this time plus
+	// lossyRequestTimeout.
 	lossyHoldInterval = 15 * time.Millisecond
-	// lossyOrderTimeout is when an order counts as unanswered then. One that was answered after
-	// all, as the guard's processor paused, is sent again under its number, which does
-	// nothing.
-	lossyOrderTimeout = 15 * time.Millisecond
+	// lossyRequestTimeout is the timeout of a request to a lossy worker. If the answer only
+	// came late because the guard's processor paused, the request is sent again with the same
+	// run number, which has no effect.
+	lossyRequestTimeout = 15 * time.Millisecond
 )
 
-// recordAnswer learns from the answer to an order, or from there being none.
+// recordAnswer marks the worker as lossy if a request was not answered.
 func (m *Machine) recordAnswer(now time.Duration, v Verdict) {
 	if v != NoAnswer || m.disabled.Has(policy.QuickOrders) {
 		return
@@ -31,38 +33,40 @@
 	if !m.isLossy(now) {
 		m.lossySince = now
 	}
-	m.lossyUntil = now + lossyPeriodTimeout
+	m.lossyUntil = now + lossyPeriod
 }
 
-// isLossy tells whether answers of the worker are expected to be missing.
+// isLossy reports whether the worker is expected to leave requests unanswered.
 func (m *Machine) isLossy(now time.Duration) bool { return now < m.lossyUntil }
 
-// A guard or a worker whose processor is short answers late. Taken for lost, its answers leave a
-// sound worker unusable for as long as that lasts.
+// Answers are late if the guard or the worker is short of processor time. Treating late answers
+// as lost would make a healthy worker unusable for as long as the shortage lasts, so the timeouts
+// follow the recent answer delays.
 const (
-	// answerDelayFactor is by how much longer than answers took of late an order may lack one.
+	// answerDelayFactor is the ratio of a timeout to the recent longest answer delay.
 	answerDelayFactor = 2
-	// answerDelayDecay is what is left of the longest delay with each answer.
+	// answerDelayDecay is the factor by which the longest delay decays with each answer.
 	answerDelayDecay = 0.9
-	// maxOrderTimeout bounds the time for an answer. A few of them fit into a lease.
-	maxOrderTimeout = 160 * time.Millisecond
+	// maxRequestTimeout is the upper limit of a timeout. A few of them fit into a lease.
+	maxRequestTimeout = 160 * time.Millisecond
 )
 
-// recordAnswerDelay learns how long the worker took to answer.
+// recordAnswerDelay updates the recent longest answer delay of the worker.
 func (m *Machine) recordAnswerDelay(delay time.Duration) {
 	m.answerDelay = max(delay, time.Duration(answerDelayDecay*float64(m.answerDelay)))
 }
 
-// answerTimeout is when an order that is sent now counts as unanswered.
+// answerTimeout returns the timeout of a request that is sent now.
 func (m *Machine) answerTimeout(now time.Duration) time.Duration {
-	minTimeout := orderTimeout
+	minTimeout := requestTimeout
 	if m.isLossy(now) {
-		minTimeout = lossyOrderTimeout
+		minTimeout = lossyRequestTimeout
 	}
-	return min(maxOrderTimeout, max(minTimeout, answerDelayFactor*m.answerDelay))
+	return min(maxRequestTimeout, max(minTimeout, answerDelayFactor*m.answerDelay))
 }
 
-// holdTimeout is the same for a Hold, after some that had no answer: each may take twice as long.
+// holdTimeout returns the timeout of a Hold that is sent now. It doubles with each consecutive
+// unanswered Hold.
 func (m *Machine) holdTimeout(now time.Duration, unanswered int) time.Duration {
-	return min(maxOrderTimeout, m.answerTimeout(now)<<min(unanswered, maxUnansweredHolds))
+	return min(maxRequestTimeout, m.answerTimeout(now)<<min(unanswered, maxUnansweredHolds))
 }
--- a/internal/runs/drain.go
+++ b/internal/runs/drain.go
@@ -7,9 +7,10 @@
 	"wigeontray/internal/wire"
 )
 
-// SetDrains puts the failure domains that the operators drain in force. While the worker's own
-// is among them nothing is offered or started, whatever entries send that have not heard of it;
-// tasks that are not at the worker yet are given back as not run, and what runs goes on.
+// SetDrains replaces the list of failure domains that the operators drain. While the worker's
+// own domain is listed, no capacity is offered and no task is started, even if an entry that has
+// not received the list yet sends one. Tasks that are not at the worker yet are returned as not
+// run; active runs continue.
 func (m *Machine) SetDrains(now time.Duration, latest *wire.Drains) {
 	wasDrained := m.Drained()
 	m.drains = *latest
@@ -22,7 +23,7 @@
 	}
 }
 
-// Drained tells whether the failure domain of the worker is drained.
+// Drained reports whether the failure domain of the worker is being drained.
 func (m *Machine) Drained() bool { return m.worker.ID != "" && m.drains.Has(m.worker.Domain) }
 
 func (m *Machine) beginDrain(now time.Duration) {
@@ -37,7 +38,7 @@
 	}
 }
 
-// probeNow asks the worker at once whether it may be used.
+// probeNow sends the worker a Hold as soon as possible, whose answer shows whether it is usable.
 func (m *Machine) probeNow(now time.Duration) {
 	m.instance.needsProbe = true
 	m.instance.nextHoldAt = min(m.instance.nextHoldAt, now)
--- a/internal/runs/hang.go
+++ b/internal/runs/hang.go
@@ -8,23 +8,25 @@
 	"wigeontray/internal/wire"
 )
 
-// One run that stands still may be its own fault, and is given minStallTimeout or more. A worker
-// on which runs of several jobs stand still at once, and none advances, hangs: what it has
-// is given back at once, and entries are told, before more is sent there. It looked idle
-// otherwise, and would draw what comes.
+// A single stalled run may be stalled by its own fault, and gets at least minStallTimeout to
+// advance. If runs of several jobs are stalled at once and no run advances, the worker hangs.
+// Its runs are then returned immediately, and the entries are notified before they send more:
+// the worker would otherwise look idle and attract new tasks.
 const (
-	// minHangJobs is of how many jobs runs have to stand still. A worker that is tried again
-	// with a task or two is found out late with more.
+	// minHangJobs is the number of jobs that must have stalled runs. A larger number would
+	// delay the detection on a worker that is being retried with one or two tasks.
 	minHangJobs = 2
-	// minHangAge is for how long at least. A guard sees the runs every 15 to 60 ms.
+	// minHangAge is the minimum time without progress. A guard sees the progress of the runs
+	// every 15 to 60 ms.
 	minHangAge = 50 * time.Millisecond
-	// hangTimeFraction is for how long of a run's expected time at least. A worker shows whole
-	// percents: one that is slow by a factor of eight advances by one in that time.
+	// hangTimeFraction is the minimum time without progress as a fraction of the expected run
+	// time. Workers report whole percents: a worker that is slow by a factor of eight advances
+	// by one percent in that time.
 	hangTimeFraction = 1.0 / 12
 )
 
-// stallState tells whether a run stands still, and whether it has advanced of late. A run that
-// has just begun does neither.
+// stallState reports whether a run is stalled and whether it has advanced recently. Both are
+// false for a run that has just started.
 func (r *run) stallState(now time.Duration) (isStalled, isAdvancing bool) {
 	if r.state != running || !r.isAnswered {
 		return false, false
@@ -36,7 +38,7 @@
 	return false, r.advancedAt > r.answeredAt
 }
 
-// detectHang gives back what stands still on a worker that hangs, and announces it as slow.
+// detectHang stops the stalled runs of a worker that hangs, and announces the worker as slow.
 func (m *Machine) detectHang(now time.Duration) {
 	if m.disabled.Has(policy.HangWatch) {
 		return
--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -59,7 +59,7 @@
 	}
 	switch {
 	case isStopping:
-		return orderRetryDelay
+		return requestRetryDelay
 	case m.isLossy(now):
 		return lossyHoldInterval
 	}
@@ -101,7 +101,7 @@
 		m.candidate = nil
 	default:
 		m.instance.unansweredVerifications++
-		m.instance.nextHoldAt = now + orderRetryDelay
+		m.instance.nextHoldAt = now + requestRetryDelay
 	}
 }
 
@@ -122,7 +122,7 @@
 		// Another guard of this worker took over, or an earlier one had a
 		// greater token.
 		inst.token = max(inst.token, a.ClockMs)
-		inst.nextHoldAt = now + orderRetryDelay
+		inst.nextHoldAt = now + requestRetryDelay
 	default:
 		m.instance.hasRefusedConn = m.instance.hasRefusedConn || a.Gone
 		m.recordUnansweredHold(now)
@@ -132,7 +132,7 @@
 func (m *Machine) recordUnansweredHold(now time.Duration) {
 	inst := &m.instance
 	inst.unansweredHolds++
-	inst.nextHoldAt = now + orderRetryDelay
+	inst.nextHoldAt = now + requestRetryDelay
 	if inst.unansweredHolds < maxUnansweredHolds {
 		inst.needsProbe = true
 		return
--- a/internal/runs/machine.go
+++ b/internal/runs/machine.go
@@ -201,8 +201,8 @@
 	for _, entry := range m.sortedEntries() {
 		ent := m.entries[entry]
 		if ent.isLinked {
-			described := m.worker
-			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry), Worker: &described}})
+			snapshot := m.worker
+			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry), Worker: &snapshot}})
 		}
 	}
 }
--- a/internal/runs/machine_test.go
+++ b/internal/runs/machine_test.go
@@ -206,8 +206,8 @@
 	r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
 	r.Assert(groupActions(r.actions()).stops, qt.HasLen, 1)
 	r.m.Stopped(r.now, key(0), NoAnswer, 0)
-	r.Assert(r.m.NextTick() <= r.now+orderRetryDelay, qt.IsTrue)
-	r.advance(orderRetryDelay)
+	r.Assert(r.m.NextTick() <= r.now+requestRetryDelay, qt.IsTrue)
+	r.advance(requestRetryDelay)
 	r.Assert(groupActions(r.actions()).stops, qt.HasLen, 1)
 }
 
@@ -264,7 +264,7 @@
 	rep.Capacity = sched.Room{CPU: 4000}
 	r.m.Heard(r.now, rep)
 	r.answerHold(testWorker, HoldAnswer{Verdict: NoAnswer})
-	r.advance(orderRetryDelay)
+	r.advance(requestRetryDelay)
 	r.Assert(r.nextHold().Worker, qt.Equals, "worker-2")
 	r.answerHold("worker-2", HoldAnswer{})
 	got := groupActions(r.actions())
@@ -317,9 +317,9 @@
 	sent := r.now
 	var ends []wire.RunEnd
 	for len(ends) == 0 && r.now < sent+2*time.Second {
-		r.now += renewInterval + orderTimeout
+		r.now += renewInterval + requestTimeout
 		r.answerHold(testWorker, HoldAnswer{Verdict: NoAnswer})
-		r.now += orderRetryDelay
+		r.now += requestRetryDelay
 		r.m.Tick(r.now)
 		got := groupActions(r.actions())
 		for _, h := range got.holds {
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -281,7 +281,7 @@
 	case OtherWorker:
 		m.endRun(now, r, r.endAfterStop)
 	default:
-		r.nextStopAt = now + orderRetryDelay
+		r.nextStopAt = now + requestRetryDelay
 	}
 }
 
--- a/internal/runs/timing_test.go
+++ b/internal/runs/timing_test.go
@@ -18,7 +18,7 @@
 		c.Check(timing.Loss() < resend, qt.IsTrue, qt.Commentf("%v: %+v", resend, timing))
 		c.Check(timing.Permit > 2*timing.Beat, qt.IsTrue)
 		c.Check(timing.Stall() < timing.Permit, qt.IsTrue)
-		c.Check(timing.Lease > 2*renewInterval+orderTimeout, qt.IsTrue, qt.Commentf("%v: %+v", resend, timing))
+		c.Check(timing.Lease > 2*renewInterval+requestTimeout, qt.IsTrue, qt.Commentf("%v: %+v", resend, timing))
 	}
 	c.Check(TimingFor(time.Millisecond), qt.Equals, TimingFor(LeastResend))
 	c.Check(TimingFor(DefaultResend), qt.Equals, Timing{Lease: 500 * time.Millisecond, Permit: 600 * time.Millisecond, Beat: 200 * time.Millisecond})
