--- a/internal/runs/crash.go
+++ b/internal/runs/crash.go
@@ -48,7 +48,7 @@
 func (m *Machine) wasRunningAtCrash(r *run) bool {
 	lastAnswerAt := m.instance.lastAnswerAt
 	wasLossy := m.lossySince < lastAnswerAt && lastAnswerAt < m.lossyUntil
-	return !wasLossy || lastAnswerAt < r.answeredAt+r.expectedTime/2
+	return !wasLossy || lastAnswerAt < r.acceptedAt+r.expectedTime/2
 }
 
 // reportCrash sends each entry the blamed tasks of the other entries, because a caller that gets
--- a/internal/runs/hang.go
+++ b/internal/runs/hang.go
@@ -28,14 +28,14 @@
 // stallState reports whether a run is stalled and whether it has advanced recently. Both are
 // false for a run that has just started.
 func (r *run) stallState(now time.Duration) (isStalled, isAdvancing bool) {
-	if r.state != running || !r.isAnswered {
+	if r.state != running || !r.isAccepted {
 		return false, false
 	}
 	minStallAge := max(minHangAge, time.Duration(hangTimeFraction*float64(r.expectedTime)))
 	if now-r.advancedAt >= minStallAge {
 		return true, false
 	}
-	return false, r.advancedAt > r.answeredAt
+	return false, r.advancedAt > r.acceptedAt
 }
 
 // detectHang stops the stalled runs of a worker that hangs, and announces the worker as slow.
--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -8,8 +8,8 @@
 	"wigeontray/internal/wire"
 )
 
-// sendHoldIfDue sends a Hold if one is due. While anything runs there is always one
-// under way.
+// sendHoldIfDue sends a Hold if one is due. While the worker has runs, one is always in
+// flight or scheduled.
 func (m *Machine) sendHoldIfDue(now time.Duration) {
 	switch {
 	case m.instance.hasHoldInFlight || now < m.instance.nextHoldAt || !m.needsHold():
@@ -20,7 +20,7 @@
 	}
 }
 
-// needsHold tells whether the worker has to be asked. An idle one is not.
+// needsHold reports whether the worker must be polled. An idle worker is not.
 func (m *Machine) needsHold() bool {
 	inst := &m.instance
 	if m.candidate != nil {
@@ -34,10 +34,11 @@
 	h := &Hold{Lease: m.newLease(now), Ack: inst.endCursor, AnswerIn: m.holdTimeout(now, inst.unansweredHolds)}
 	switch {
 	case inst.hasLeft:
-		h.UntilMs, h.Wait = 0, m.holdWait(now) // it ends
+		h.UntilMs, h.Wait = 0, m.holdWait(now) // do not renew: the worker is stopping
 	case inst.unansweredHolds > 0:
-		// Renewed blindly, the lease of a worker that hears and cannot be heard
-		// would never end, and its tasks could not be given to another.
+		// The worker may receive requests while its answers are lost. If its lease
+		// were renewed, it would never expire, and its tasks could not be moved to
+		// another worker.
 		h.UntilMs = 0
 	case len(m.runs) > 0:
 		h.Wait = m.holdWait(now)
@@ -47,8 +48,8 @@
 	m.actions = append(m.actions, Action{Hold: h})
 }
 
-// holdWait is how long a Hold may wait. While a stop is in doubt or a run is missed the
-// lists are wanted at once.
+// holdWait returns how long the worker may delay the answer to a Hold: not at all if a run
+// is missing from its lists, and only briefly while a run is being stopped.
 func (m *Machine) holdWait(now time.Duration) time.Duration {
 	isStopping := false
 	for _, r := range m.runs {
@@ -66,8 +67,9 @@
 	return renewInterval
 }
 
-// verifyCandidate asks the worker whether it is the life that has reported, under a token
-// above every earlier one: the worker's own clock, which only grows within a life.
+// verifyCandidate sends a Hold that only the reported worker instance accepts. Its fencing
+// token is the clock of the worker, which exceeds every earlier token because the clock only
+// increases within an instance.
 func (m *Machine) verifyCandidate(now time.Duration) {
 	inst := &m.instance
 	inst.token = max(m.candidate.ClockMs, 1)
@@ -76,7 +78,7 @@
 	m.actions = append(m.actions, Action{Hold: h})
 }
 
-// Held takes the answer to a Hold that was sent for the given life.
+// Held handles the answer to a Hold that was sent to the given worker instance.
 func (m *Machine) Held(now time.Duration, worker string, a *HoldAnswer) {
 	m.instance.hasHoldInFlight = false
 	m.recordAnswer(now, a.Verdict)
@@ -119,8 +121,8 @@
 		m.endInstance(now)
 		m.announceWorker(now)
 	case FencedOff:
-		// Another guard of this worker took over, or an earlier one had a
-		// greater token.
+		// Another guard took over the worker, or an earlier guard had a greater
+		// token.
 		inst.token = max(inst.token, a.ClockMs)
 		inst.nextHoldAt = now + requestRetryDelay
 	default:
@@ -142,11 +144,11 @@
 	inst.needsProbe = true
 }
 
-// settleEndedRuns settles the runs whose end is listed.
+// settleEndedRuns ends the runs that the worker lists as ended.
 func (m *Machine) settleEndedRuns(now time.Duration, ends []Ended) {
 	for _, e := range ends {
 		if e.Number <= m.instance.endCursor {
-			continue // listed again, as its acknowledgement was not there yet
+			continue // listed again because the acknowledgement had not arrived
 		}
 		m.instance.endCursor = e.Number
 		if r := m.runs[e.Key]; r != nil {
@@ -168,10 +170,11 @@
 	return wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes}
 }
 
-// reconcile compares the books with what the worker lists. A run that was there
-// before the Hold was sent, and is neither listed as present nor as ended, is
-// gone; so is one whose stop was confirmed before. A worker that crashed while it was asked
-// may have answered in its next life, so that a run that is missed is looked for once more.
+// reconcile compares the recorded runs with those that the worker lists as active. A run
+// that started before the Hold was sent and is listed neither as active nor as ended is
+// lost; a run whose stop was confirmed before the Hold was sent has ended. If the worker
+// crashed during a Hold, its next instance may have answered. A missing run therefore counts
+// as lost only if it is missing from the answer to another Hold as well.
 func (m *Machine) reconcile(now time.Duration, active []Active) {
 	listed := make(map[Key]bool, len(active))
 	for _, a := range active {
@@ -188,7 +191,7 @@
 			continue
 		}
 		switch {
-		case r.state == running && r.answeredAt < sentAt && r.missingSince == 0:
+		case r.state == running && r.acceptedAt < sentAt && r.missingSince == 0:
 			r.missingSince, m.instance.nextHoldAt = now, now
 		case r.state == running && r.missingSince > 0 && r.missingSince <= sentAt:
 			m.endRun(now, r, wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes})
@@ -198,17 +201,18 @@
 	}
 }
 
-// Bounds of the time for which a run may stand still. A worker shows whole
-// percents: one that is slow by a factor of eight advances by one in a twelfth of
-// the expected time.
+// Limits of the time that a run may make no progress, which is otherwise its expected run
+// time. Workers report whole percents: a worker that is slow by a factor of eight advances
+// by one percent in a twelfth of the expected time.
 const (
 	minStallTimeout = 150 * time.Millisecond
 	maxStallTimeout = 600 * time.Millisecond
 )
 
-// trackProgress stops a run that stands still. Its worker counts as busy with it for as
-// long as the caller waits, which may be ten times its length; started elsewhere,
-// the task may still end in time, and the entry learns which worker hangs.
+// trackProgress records the progress of a run and stops the run if it is stalled. A stalled
+// run would occupy its worker for as long as the caller waits, which may be ten times the
+// run time. On another worker the task may still finish in time, and the entry is told which
+// worker hangs.
 func (m *Machine) trackProgress(now time.Duration, a Active) {
 	r := m.runs[a.Key]
 	if r == nil || r.state != running {
--- a/internal/runs/machine.go
+++ b/internal/runs/machine.go
@@ -15,10 +15,10 @@
 type state uint8
 
 const (
-	starting     state = iota // ordered, not answered
-	running                   // the worker has it
-	stopping                  // its end is ordered or wanted
-	awaitingText              // the text of its job is not there yet
+	starting     state = iota // start requested, not answered
+	running                   // accepted by the worker
+	stopping                  // stop due or requested
+	awaitingText              // the text of its job is being fetched
 )
 
 // run is a run that may be at the worker.
@@ -28,63 +28,63 @@
 	need            sched.Room
 	text            string
 	state           state
-	deadline        time.Duration // when it is of no use any more
-	orderedAt       time.Duration // when its start was first sent
-	startAttempts   int           // starts sent
-	lastSentAt      time.Duration // when the last one was
-	isAnswered      bool          // its start was answered
-	answeredAt      time.Duration // when its start was answered
-	missingSince    time.Duration // when the worker first listed it neither as present nor as ended; 0 if it did not
-	expectedTime    time.Duration // how long it should run; 0 if that is not known
-	hasMoved        bool          // it may not be given back as slow
-	crashCount      int           // of workers under the task, as far as its entry knows
-	percent         int64         // of its work, when it was last seen to advance
-	advancedAt      time.Duration // and when that was
-	endAfterStop    wire.RunEnd   // what the entry is told when it has been stopped
-	hasStopInFlight bool          // a stop is under way
-	nextStopAt      time.Duration // when the next stop is due if none is under way
-	stopConfirmedAt time.Duration // when a stop was confirmed; 0 if none was
-}
-
-// entryState is what the machine knows of one entry.
+	deadline        time.Duration // when the run is stopped because its result is no longer needed
+	requestedAt     time.Duration // when the start was first sent
+	startAttempts   int           // number of starts sent
+	lastSentAt      time.Duration // when the last start was sent
+	isAccepted      bool          // the worker has confirmed the start
+	acceptedAt      time.Duration // when the worker confirmed the start
+	missingSince    time.Duration // when a Hold answer first listed the run neither as active nor as ended; 0 if none did
+	expectedTime    time.Duration // expected run time; 0 if unknown
+	hasMoved        bool          // already moved off a slow worker, must not move again
+	crashCount      int           // worker crashes during runs of the task that its entry has recorded
+	percent         int64         // progress in the newest list
+	advancedAt      time.Duration // when percent last changed
+	endAfterStop    wire.RunEnd   // reported to the entry once the stop has taken effect
+	hasStopInFlight bool          // a stop request is unanswered
+	nextStopAt      time.Duration // when the next stop request is due if none is in flight
+	stopConfirmedAt time.Duration // when the worker confirmed a stop; 0 if it has not
+}
+
+// entryState is the state kept for one entry.
 type entryState struct {
 	isLinked      bool
-	latestClock   time.Duration  // the guard's clock in the entry's newest word
+	latestClock   time.Duration  // the latest guard clock that a frame of the entry carried
 	lastSeq       uint64         // Seq of its last RunTasks
-	tasksAge      time.Duration  // how old that was when it came
-	needsLoad     bool           // the entry is to be told that age at once
-	loadSentAt    time.Duration  // when it was last sent a load
-	demand        wire.RunDemand // of its tasks without room
+	tasksAge      time.Duration  // age of that frame on arrival
+	needsLoad     bool           // tasksAge must be sent to the entry without delay
+	loadSentAt    time.Duration  // when a load was last sent to the entry
+	demand        wire.RunDemand // of the tasks for which the entry has found no room
 	offer         offer
-	unusedOffers  int    // offers in a row that the entry did not answer, up to maxUnusedOffers
-	lastOfferTurn uint64 // when it was last made an offer
-	runs          int
+	unusedOffers  int    // consecutive offers that expired unanswered, at most maxUnusedOffers
+	lastOfferTurn uint64 // Machine.offerTurns at the last offer
+	runs          int    // number of its runs in Machine.runs
 }
 
-// Machine is the state of one guard and its worker.
+// Machine is the state machine of one guard and its worker.
 type Machine struct {
 	timing    Timing
 	disabled  policy.Set
 	entries   map[identity.Incarnation]*entryState
 	runs      map[Key]*run
-	allocated sched.Room
+	allocated sched.Room // total need of runs
 
 	worker     wire.RunWorker // as announced
 	instance   instance
-	candidate  *Report // another life that has reported and is to be verified
-	isLeaving  bool    // the guard stops
+	candidate  *Report // report of another worker instance, to be verified
+	isLeaving  bool    // the guard is draining
 	drains     wire.Drains
 	paceWindow paceWindow
-	// Answers are expected to be missing from lossySince until doubtful.
+	// The worker counts as lossy from lossySince until lossyUntil.
 	lossySince, lossyUntil time.Duration
-	answerDelay            time.Duration // of the worker's answers, the longest of late
+	answerDelay            time.Duration // longest recent delay of an answer, decaying
 
-	pendingEnds map[identity.Incarnation][]wire.RunEnd // to be sent
-	offerTurns  uint64                                 // offers made so far
+	pendingEnds map[identity.Incarnation][]wire.RunEnd // not sent yet
+	offerTurns  uint64                                 // number of offers made
 	actions     []Action
 }
 
-// New returns the machine of a guard whose worker has not reported yet.
+// New returns a Machine whose worker has not reported yet.
 func New(opt Options) *Machine {
 	return &Machine{
 		timing:      opt.Timing.OrDefault(),
@@ -95,7 +95,8 @@
 	}
 }
 
-// Actions returns the actions since the last call, for the caller to keep.
+// Actions returns the actions that have accumulated since the last call. The caller owns
+// the slice.
 func (m *Machine) Actions(now time.Duration) []Action {
 	m.flush(now)
 	m.sendHoldIfDue(now)
@@ -104,10 +105,10 @@
 	return out
 }
 
-// Worker describes the worker as it is announced.
+// Worker returns the description of the worker that entries receive.
 func (m *Machine) Worker() wire.RunWorker { return m.worker }
 
-// Load is the state as one entry is told it.
+// Load returns the guard's load as it is sent to the given entry.
 func (m *Machine) Load(now time.Duration, entry identity.Incarnation) wire.RunLoad {
 	ent := m.entries[entry]
 	if ent == nil {
@@ -119,10 +120,12 @@
 	}
 }
 
-// Running tells how many runs may be at the worker.
+// Running returns the number of runs that may be at the worker, including those that await
+// their text.
 func (m *Machine) Running() int { return len(m.runs) }
 
-// Settled tells whether nothing runs and the worker knows that each end is noted.
+// Settled reports whether there are no runs and the worker has received an acknowledgement
+// of every end.
 func (m *Machine) Settled() bool {
 	return len(m.runs) == 0 && m.instance.endCursor == m.instance.ackedCursor
 }
@@ -134,14 +137,14 @@
 	return m.worker.Capacity.Minus(m.allocated)
 }
 
-// addRun counts a run in.
+// addRun records a run and allocates its capacity.
 func (m *Machine) addRun(r *run) {
 	m.runs[r.key] = r
 	m.allocated = m.allocated.Plus(r.need)
 	m.entries[r.entry].runs++
 }
 
-// endRun takes a run off the books and tells its entry.
+// endRun removes a run, frees its capacity and queues its end for the entry.
 func (m *Machine) endRun(now time.Duration, r *run, end wire.RunEnd) {
 	delete(m.runs, r.key)
 	m.allocated = m.allocated.Minus(r.need)
@@ -153,13 +156,13 @@
 	}
 	m.removeJobPace(r.key.Job)
 	if end.Ran == errkind.RanYes {
-		end.RunMs = (now - r.orderedAt).Milliseconds()
+		end.RunMs = (now - r.requestedAt).Milliseconds()
 	}
 	m.queueEnd(r.entry, r.key, end)
 	m.removeIdleEntry(r.entry)
 }
 
-// removeIdleEntry drops an entry that has neither link nor runs.
+// removeIdleEntry deletes the state of an entry that has neither a link nor runs.
 func (m *Machine) removeIdleEntry(entry identity.Incarnation) {
 	if ent := m.entries[entry]; ent != nil && !ent.isLinked && ent.runs == 0 {
 		delete(m.entries, entry)
@@ -173,8 +176,8 @@
 	}
 }
 
-// flush offers what is free to entries that wait for room, and sends the ends, one
-// frame an entry.
+// flush offers free capacity to waiting entries and sends the queued ends, in one frame per
+// entry.
 func (m *Machine) flush(now time.Duration) {
 	offered := m.makeOffers(now)
 	for _, entry := range m.sortedEntries() {
@@ -196,7 +199,7 @@
 	m.actions = append(m.actions, Action{Send: &Send{To: to, Frame: f}})
 }
 
-// announceWorker tells all entries of a change of the worker.
+// announceWorker sends the description of the worker to all linked entries.
 func (m *Machine) announceWorker(now time.Duration) {
 	for _, entry := range m.sortedEntries() {
 		ent := m.entries[entry]
@@ -207,7 +210,8 @@
 	}
 }
 
-// setUsable notes whether new tasks are taken, and announces a change.
+// setUsable sets whether the worker accepts new tasks, and announces a change. A worker that
+// is leaving or drained, or whose guard is draining, stays unusable.
 func (m *Machine) setUsable(now time.Duration, isUsable bool) {
 	isUsable = isUsable && !m.isLeaving && !m.worker.Leaving && !m.Drained()
 	if m.worker.Usable == isUsable {
@@ -217,7 +221,7 @@
 	m.announceWorker(now)
 }
 
-// Drain begins a planned stop of the guard: what runs may end, nothing is started.
+// Drain begins a planned stop of the guard: active runs may finish, new tasks are refused.
 func (m *Machine) Drain(now time.Duration) {
 	if m.isLeaving {
 		return
@@ -227,17 +231,16 @@
 	m.announceWorker(now)
 }
 
-// sortedRuns gives the runs in a fixed order, so that the same events lead to the
-// same actions each time.
+// sortedRuns returns the runs in key order, so that equal events lead to equal actions.
 func (m *Machine) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(m.runs), func(a, b *run) int { return a.key.compare(b.key) })
 }
 
-// sortedEntries gives the entries in a fixed order.
+// sortedEntries returns the names of the entries in order.
 func (m *Machine) sortedEntries() []identity.Incarnation { return slices.Sorted(maps.Keys(m.entries)) }
 
-// endNotRun is the end of a run that the worker never began.
+// endNotRun returns the end of a run that never started.
 func endNotRun(kind errkind.Kind) wire.RunEnd { return wire.RunEnd{Kind: kind, Ran: errkind.RanNo} }
 
-// endWithdrawn is the end of a run that was stopped and may have begun.
+// endWithdrawn returns the end of a run that was stopped and may have started.
 func endWithdrawn(kind errkind.Kind) wire.RunEnd { return wire.RunEnd{Kind: kind} }
--- a/internal/runs/pace.go
+++ b/internal/runs/pace.go
@@ -34,7 +34,7 @@
 // shown percent allows; false if it cannot be told yet. A run that shows no progress at
 // all is left to watch.
 func (r *run) pace(now time.Duration) (float64, bool) {
-	age := now - r.answeredAt
+	age := now - r.acceptedAt
 	if r.state != running || r.expectedTime <= 0 || r.percent <= 0 || age < minPaceAge {
 		return 0, false
 	}
@@ -116,8 +116,8 @@
 
 // recordFinishedPace judges a job by a run that was done before it could be judged.
 func (m *Machine) recordFinishedPace(now time.Duration, r *run) {
-	if r.expectedTime > 0 && r.isAnswered {
-		m.paceWindow.recordJob(r.key.Job, float64(r.expectedTime)/float64(max(now-r.answeredAt, time.Millisecond)))
+	if r.expectedTime > 0 && r.isAccepted {
+		m.paceWindow.recordJob(r.key.Job, float64(r.expectedTime)/float64(max(now-r.acceptedAt, time.Millisecond)))
 	}
 }
 
@@ -130,7 +130,7 @@
 			continue
 		}
 		doneFraction := float64(r.percent+1) / 100
-		remaining := time.Duration(float64(now-r.answeredAt) / doneFraction * (1 - doneFraction))
+		remaining := time.Duration(float64(now-r.acceptedAt) / doneFraction * (1 - doneFraction))
 		if remaining > MaxStopDelay+time.Duration(moveTimeFactor*float64(r.expectedTime)) {
 			m.stopRun(now, r, wire.RunEnd{Kind: errkind.Stalled, Ran: errkind.RanYes})
 		}
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -105,7 +105,7 @@
 		return nil
 	}
 	timeLeft := milliseconds(frame.LeftMs)
-	r := &run{key: k, entry: from, need: task.Need, text: frame.Text, deadline: now + timeLeft, orderedAt: now, expectedTime: milliseconds(task.ExpectMs), hasMoved: task.Moved, crashCount: task.Crashes}
+	r := &run{key: k, entry: from, need: task.Need, text: frame.Text, deadline: now + timeLeft, requestedAt: now, expectedTime: milliseconds(task.ExpectMs), hasMoved: task.Moved, crashCount: task.Crashes}
 	m.addRun(r)
 	if frame.Source != "" {
 		r.state = awaitingText
@@ -132,7 +132,7 @@
 		case m.isOverCapacity():
 			m.endRun(now, r, endNotRun(errkind.Busy))
 		default:
-			r.state, r.text, r.orderedAt = starting, text, now
+			r.state, r.text, r.requestedAt = starting, text, now
 			m.sendStart(now, r)
 		}
 	}
@@ -214,7 +214,7 @@
 	m.updateClockOffset(now, a.ClockMs)
 	m.recordAnswer(now, a.Verdict)
 	r := m.runs[k]
-	if r == nil || r.isAnswered {
+	if r == nil || r.isAccepted {
 		return
 	}
 	if a.Verdict != NoAnswer {
@@ -230,7 +230,7 @@
 	if a.Verdict == Done || a.Verdict == Outdated && r.startAttempts > 1 {
 		// Outdated by an earlier copy of the same start: the lists tell how its run
 		// does or has ended.
-		r.isAnswered, r.answeredAt, r.advancedAt = true, now, now
+		r.isAccepted, r.acceptedAt, r.advancedAt = true, now, now
 		if r.state == starting {
 			r.state = running
 		}
