--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -26,7 +26,7 @@
 	if m.candidate != nil {
 		return true
 	}
-	return inst.id != "" && (len(m.runs) > 0 || inst.hasStrays || inst.needsProbe || inst.endCursor > inst.ackedCursor)
+	return inst.id != "" && (len(m.runs) > 0 || inst.hasOrphans || inst.needsProbe || inst.endCursor > inst.ackedCursor)
 }
 
 func (m *Machine) sendHold(now time.Duration) {
@@ -115,7 +115,7 @@
 		inst.unansweredHolds, inst.hasRefusedConn, inst.lastAnswerAt, inst.ackedCursor = 0, false, now, max(inst.ackedCursor, inst.sentAck)
 		m.settleEndedRuns(now, a.Ended)
 		m.reconcile(now, a.Active)
-		m.setUsable(now, !inst.hasStrays)
+		m.setUsable(now, !inst.hasOrphans)
 		m.endDepartedInstance(now)
 	case OtherWorker:
 		m.endInstance(now)
@@ -183,7 +183,7 @@
 	}
 	m.detectSlowWorker(now)
 	m.detectHang(now)
-	m.stopStrays(now, active)
+	m.stopOrphans(now, active)
 	sentAt := m.instance.holdSentAt
 	for _, r := range m.sortedRuns() {
 		if listed[r.key] {
--- a/internal/runs/offer.go
+++ b/internal/runs/offer.go
@@ -7,35 +7,35 @@
 	"wigeontray/internal/sched"
 )
 
-// While entries wait for room, what becomes free is offered to one of them at a
-// time. Told to all, each would send a task for the same room, and all but one
-// would be refused: at a full fleet a task is sent dozens of times then, and its job
-// is late for that alone.
+// While entries wait for capacity, freed capacity is offered to one entry at a time. If it
+// were announced to all, each would send a task for it and all but one task would be refused:
+// on a full fleet a task was sent dozens of times, which alone made its job late.
 //
-// The most urgent task that fits goes first, whichever entry has it.
+// The entry with the most urgent task that fits is served first.
 
-// An entry that did not use an offer is passed over for offerBackoffDelay, and each further time
-// in a row for twice as long, up to maxUnusedOffers times (320 ms), until it is heard from. One
-// that has found room elsewhere says so at once; one that is frozen says nothing, and with
-// a short pause alone it would hold most of what becomes free until it wakes.
+// After an entry lets an offer expire it gets no other one for offerBackoffDelay. The delay
+// doubles with each consecutive expired offer, up to maxUnusedOffers times (320 ms), until the
+// entry sends a frame. An entry that has found capacity elsewhere declines at once. A frozen one
+// sends nothing, and with a short constant delay it would reserve most of the freed capacity
+// until it resumes.
 const (
 	offerBackoffDelay = 5 * time.Millisecond
 	maxUnusedOffers   = 6
 )
 
-// offerTimeout is how long room is held for an entry that was offered it: two round
-// trips between failure domains, and a pause of its processor.
+// offerTimeout is how long offered capacity stays reserved for an entry: two round trips
+// between failure domains and a pause of the entry's processor.
 const offerTimeout = 20 * time.Millisecond
 
-// offer is room that is held for one entry.
+// offer is capacity that is reserved for one entry.
 type offer struct {
 	room      sched.Room
-	expiresAt time.Duration // 0 if none is held
-	notBefore time.Duration // no other one before
+	expiresAt time.Duration // end of the reservation; 0 if there is none
+	notBefore time.Duration // earliest time of the next offer; 0 for any time
 }
 
-// freeRoomFor is what an entry may use: all that is free but what is offered to
-// others.
+// freeRoomFor returns the capacity that an entry may use: all free capacity except what is
+// offered to other entries. A nil entry excludes all offers.
 func (m *Machine) freeRoomFor(ent *entryState) sched.Room {
 	freeRoom := m.freeRoom()
 	for _, other := range m.entries {
@@ -46,8 +46,8 @@
 	return freeRoom
 }
 
-// makeOffers offers free room to entries that wait, the most urgent first and
-// those of one urgency in turn, and gives those that were made an offer.
+// makeOffers offers free capacity to waiting entries, the most urgent first and in turn among
+// equally urgent ones. It returns the entries that received an offer.
 func (m *Machine) makeOffers(now time.Duration) map[*entryState]bool {
 	if m.disabled.Has(policy.Offers) {
 		return nil
@@ -69,7 +69,8 @@
 	}
 }
 
-// extendedBy is the offer with more room. It ends when the first part of it does.
+// extendedBy returns the offer enlarged by more. The expiry of an existing offer does not
+// change.
 func (o offer) extendedBy(now time.Duration, more sched.Room) offer {
 	if o.expiresAt == 0 {
 		return offer{room: more, expiresAt: now + offerTimeout}
@@ -78,7 +79,7 @@
 	return o
 }
 
-// nextEntryToOffer is the entry that comes next and could use the room, or nil.
+// nextEntryToOffer returns the next entry that can use the free capacity, or nil.
 func (m *Machine) nextEntryToOffer(now time.Duration, free sched.Room) *entryState {
 	var best *entryState
 	for _, entry := range m.sortedEntries() {
@@ -93,9 +94,10 @@
 	return best
 }
 
-// canOffer tells whether an entry may be offered room, or more of it than it has been:
-// if what ends while its answer is on the way went to others, these would begin what is
-// less urgent. One whose frames are held up on their way could not use it in time.
+// canOffer reports whether an entry may be offered capacity, or more in addition to a pending
+// offer. Capacity that becomes free while the answer to an offer is in transit would otherwise
+// go to other entries, which would start less urgent tasks. An entry whose frames arrive late
+// gets no offers, as it could not use them in time.
 func (m *Machine) canOffer(now time.Duration, ent *entryState) bool {
 	if !ent.isLinked || now < ent.offer.notBefore || ent.demand.CPU == 0 || ent.tasksAge > offerTimeout {
 		return false
@@ -103,9 +105,10 @@
 	return ent.offer.expiresAt == 0 || ent.offer.room.CPU < ent.demand.CPU && !m.disabled.Has(policy.UrgentOffers)
 }
 
-// isServedBefore orders entries by the most urgent of their tasks, and those of one urgency
-// by turn. An entry whose most urgent task does not fit into the room comes after those
-// whose fits: it would use it for something that is less urgent.
+// isServedBefore reports whether ent is offered capacity before other. Entries are ordered by
+// their most urgent task, and equally urgent ones by turn. An entry whose most urgent task does
+// not fit into the free capacity comes after those whose task fits, because it would use the
+// capacity for a less urgent task.
 func (m *Machine) isServedBefore(ent, other *entryState, free sched.Room) bool {
 	entFits, otherFits := free.CPU >= ent.demand.UrgentCPU, free.CPU >= other.demand.UrgentCPU
 	if entFits != otherFits && !m.disabled.Has(policy.UrgentOffers) {
@@ -117,7 +120,7 @@
 	return ent.lastOfferTurn < other.lastOfferTurn
 }
 
-// expireOffers takes back what was not used in time.
+// expireOffers withdraws offers that were not used in time.
 func (m *Machine) expireOffers(now time.Duration) {
 	for _, ent := range m.entries {
 		if ent.offer.expiresAt > 0 && now >= ent.offer.expiresAt {
--- a/internal/runs/pace.go
+++ b/internal/runs/pace.go
@@ -8,31 +8,32 @@
 	"wigeontray/internal/wire"
 )
 
-// A worker that turns slow shows it in how its runs advance, long before they end. Learnt
-// from their ends alone, it is noticed after a dozen of them, each of which takes several
-// times as long as usual.
+// A worker that becomes slow is recognizable by the progress of its runs long before they end.
+// Judged by finished runs alone, it would be noticed only after a dozen of them, each taking
+// several times as long as usual.
 
-// Bounds of the judgement. The run times of good workers spread by about 0.4 around what
-// is expected, and an estimate may be off by half.
+// Limits for judging the speed of a worker. The run times of normal workers vary by about 0.4
+// around the expected time, and an estimate may be off by half.
 const (
-	// minGoodPace is the part of the expected speed below which a run counts as slow.
+	// minGoodPace is the fraction of the expected speed below which a run counts as slow.
 	minGoodPace = 0.4
-	// minPaceAge is the age from which on a run is judged: a worker shows whole percents.
+	// minPaceAge is the minimum age of a run that is judged. The progress of younger runs is
+	// too imprecise, because workers report whole percents.
 	minPaceAge = 40 * time.Millisecond
-	// paceWindowJobs is how many of the newest jobs are looked at, and minSlowJobs how many of them
-	// have to be slow, and maxSlowJobsToRecover at most for the worker to be good again. Tasks of one
-	// job count once: its caller's estimate is off for all of them.
+	// Of the paceWindowJobs newest jobs, at least minSlowJobs must be slow for the worker to
+	// count as slow, and at most maxSlowJobsToRecover for it to count as normal again. The
+	// tasks of a job count once, because its caller's estimate is off for all of them.
 	paceWindowJobs       = 5
 	minSlowJobs          = 4
 	maxSlowJobsToRecover = 1
-	// moveTimeFactor is by how much the expected time elsewhere has to fall short of the
-	// rest of a slow run, beside the time of its stop.
+	// moveTimeFactor is the minimum ratio of the remaining time of a slow run, less the time
+	// to stop it, to the expected run time on another worker for the run to be moved.
 	moveTimeFactor = 1.5
 )
 
-// pace is the speed of a run so far, as a part of what is expected, at the most that the
-// shown percent allows; false if it cannot be told yet. A run that shows no progress at
-// all is left to watch.
+// pace returns the speed of a run so far as a fraction of the expected speed, and whether it
+// can be determined yet. The result is the highest speed that the reported whole percent
+// allows. A run without any progress is left to trackProgress.
 func (r *run) pace(now time.Duration) (float64, bool) {
 	age := now - r.acceptedAt
 	if r.state != running || r.expectedTime <= 0 || r.percent <= 0 || age < minPaceAge {
@@ -42,28 +43,28 @@
 	return doneTime / float64(age), true
 }
 
-// paceWindow is what the newest jobs tell of the worker's speed.
+// paceWindow records whether the newest jobs were slow on the worker.
 type paceWindow struct {
-	judgedJobs map[string]bool // jobs with runs here that have been judged
-	slow       []bool          // of the newest jobs, the oldest first
+	recordedJobs map[string]bool // recorded jobs that still have runs at the worker
+	slow         []bool          // one element per job, the oldest first
 }
 
-// recordJob notes the speed that a job showed, once for each job.
+// recordJob records the pace of a job. Only the first call for a job has an effect.
 func (w *paceWindow) recordJob(job string, pace float64) {
-	if w.judgedJobs[job] {
+	if w.recordedJobs[job] {
 		return
 	}
-	if w.judgedJobs == nil {
-		w.judgedJobs = make(map[string]bool)
+	if w.recordedJobs == nil {
+		w.recordedJobs = make(map[string]bool)
 	}
-	w.judgedJobs[job] = true
+	w.recordedJobs[job] = true
 	if len(w.slow) == paceWindowJobs {
 		w.slow = w.slow[1:]
 	}
 	w.slow = append(w.slow, pace < minGoodPace)
 }
 
-// slowJobCount counts the slow ones of the newest jobs.
+// slowJobCount returns the number of slow jobs in the window.
 func (w *paceWindow) slowJobCount() int {
 	count := 0
 	for _, slow := range w.slow {
@@ -74,9 +75,9 @@
 	return count
 }
 
-// detectSlowWorker judges the worker's speed by the runs that were just listed, announces a
-// change, and gives back the runs that would end sooner elsewhere. With nothing left to
-// judge, the worker counts as good: entries try it with a task each.
+// detectSlowWorker updates whether the worker is slow from the runs that it has just listed,
+// announces a change, and stops the runs that would finish sooner elsewhere. A worker without
+// runs counts as normal, so that each entry tries it again with a task.
 func (m *Machine) detectSlowWorker(now time.Duration) {
 	if m.disabled.Has(policy.PaceWatch) {
 		return
@@ -104,25 +105,26 @@
 	}
 }
 
-// removeJobPace drops what is kept of a job without runs here.
+// removeJobPace removes a job that has no runs left from the recorded jobs.
 func (m *Machine) removeJobPace(job string) {
 	for k := range m.runs {
 		if k.Job == job {
 			return
 		}
 	}
-	delete(m.paceWindow.judgedJobs, job)
+	delete(m.paceWindow.recordedJobs, job)
 }
 
-// recordFinishedPace judges a job by a run that was done before it could be judged.
+// recordFinishedPace records the pace of a finished run. It covers jobs whose runs finish
+// before their progress can be judged.
 func (m *Machine) recordFinishedPace(now time.Duration, r *run) {
 	if r.expectedTime > 0 && r.isAccepted {
 		m.paceWindow.recordJob(r.key.Job, float64(r.expectedTime)/float64(max(now-r.acceptedAt, time.Millisecond)))
 	}
 }
 
-// moveSlowRuns stops the runs that would end sooner if they were begun again elsewhere, each
-// task once: a task that is slow everywhere must not move for ever.
+// moveSlowRuns stops the runs that would finish sooner if they were restarted elsewhere. A task
+// is moved only once, because one that is slow on every worker would otherwise never finish.
 func (m *Machine) moveSlowRuns(now time.Duration) {
 	for _, r := range m.sortedRuns() {
 		speed, ok := r.pace(now)
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -9,7 +9,7 @@
 	"wigeontray/internal/wire"
 )
 
-// LinkUp notes that an entry's link is ready.
+// LinkUp handles a new link to an entry.
 func (m *Machine) LinkUp(now time.Duration, entry identity.Incarnation) {
 	ent := m.entries[entry]
 	if ent == nil {
@@ -20,8 +20,8 @@
 	ent.latestClock, ent.tasksAge = now, 0
 }
 
-// LinkDown notes that an entry's link was lost. Its runs are stopped: the entry
-// may be gone, and its callers then send their jobs to another one.
+// LinkDown handles the loss of the link to an entry. Its runs are stopped, because the entry
+// may have failed, in which case its callers resend their jobs to another one.
 func (m *Machine) LinkDown(now time.Duration, entry identity.Incarnation) {
 	ent := m.entries[entry]
 	if ent == nil {
@@ -32,7 +32,8 @@
 	m.removeIdleEntry(entry)
 }
 
-// Run takes tasks from an entry. What does not fit is refused at once.
+// Run handles a frame with tasks from an entry. Tasks that do not fit into the free capacity
+// are refused at once.
 func (m *Machine) Run(now time.Duration, from identity.Incarnation, frame *wire.RunTasks) {
 	ent := m.entries[from]
 	if ent == nil || !ent.isLinked {
@@ -50,14 +51,14 @@
 	}
 }
 
-// lateTasksAge is the age from which on an entry is told at once how old its tasks were when
-// they came, as it is after its first ones: it may be sending more than its link carries, and
-// would learn that only from the end of a run.
+// lateTasksAge is the age on arrival above which the age of a frame with tasks is sent to its
+// entry at once, as it is for the first frame on a link. The entry may be sending more than its
+// link can carry, and would otherwise be informed only at the end of a run.
 const lateTasksAge = 30 * time.Millisecond
 
-// refusalKind tells why none of the tasks may start, or None. A frame that was held
-// up on its way is refused by its age: its job may have been sent again and run
-// elsewhere meanwhile.
+// refusalKind returns the reason why no task of the frame may start, or None. A frame that was
+// delayed for longer than Timing.Permit is refused, because its job may have been resent and be
+// running elsewhere.
 func (m *Machine) refusalKind(now time.Duration, ent *entryState, frame *wire.RunTasks) errkind.Kind {
 	ent.observeClock(frame.ClockMs)
 	ent.tasksAge = max(0, now-milliseconds(frame.ClockMs))
@@ -68,12 +69,12 @@
 	case frame.LeftMs <= 0:
 		return errkind.DeadlineExpired
 	case m.instance.isRecalled && !frame.SelfLimiting:
-		return errkind.Busy // its capacity is not known for sure
+		return errkind.Busy // the stored capacity may be out of date
 	}
 	return m.unavailableKind()
 }
 
-// unavailableKind tells why the worker takes no new run, or None.
+// unavailableKind returns the reason why the worker accepts no new runs, or None.
 func (m *Machine) unavailableKind() errkind.Kind {
 	switch {
 	case m.worker.Leaving || m.Drained():
@@ -115,8 +116,8 @@
 	return r
 }
 
-// Fetched takes the text of an entry's job, or that it was not to be had. The room of the
-// runs that await it was held meanwhile.
+// Fetched handles the answer to a Fetch: the text of an entry's job, or ok == false if it could
+// not be fetched. The runs that await the text have kept their capacity allocated.
 func (m *Machine) Fetched(now time.Duration, from identity.Incarnation, job, text string, ok bool) {
 	for _, r := range m.sortedRuns() {
 		if r.state != awaitingText || r.entry != from || r.key.Job != job {
@@ -145,7 +146,7 @@
 	m.actions = append(m.actions, Action{Start: &Start{Lease: m.newLease(now), Key: r.key, Text: r.text, AnswerIn: m.answerTimeout(now)}})
 }
 
-// hasOtherRun tells whether another run of the same task may be at this worker.
+// hasOtherRun reports whether another run of the same task may be at this worker.
 func (m *Machine) hasOtherRun(k Key) bool {
 	for other := range m.runs {
 		if other.Job == k.Job && other.Step == k.Step && other.Index == k.Index {
@@ -155,7 +156,7 @@
 	return false
 }
 
-// StopJob ends all runs of a job for the entry.
+// StopJob stops all runs of a job of the entry.
 func (m *Machine) StopJob(now time.Duration, from identity.Incarnation, frame *wire.StopRuns) {
 	if ent := m.entries[from]; ent != nil {
 		ent.observeClock(frame.ClockMs)
@@ -167,13 +168,13 @@
 	}
 }
 
-// Beat notes that an entry lives.
+// Beat handles a heartbeat from an entry.
 func (m *Machine) Beat(_ time.Duration, from identity.Incarnation, beat *wire.EntryBeat) {
 	if ent := m.entries[from]; ent != nil {
 		ent.observeClock(beat.ClockMs)
 		ent.demand, ent.unusedOffers = beat.Demand, 0
 		if ent.offer.room.CPU < max(1, beat.Demand.LeastCPU) || beat.Demand.CPU == 0 {
-			ent.offer = offer{} // it has no use for it
+			ent.offer = offer{} // the entry declines the offer
 		}
 	}
 }
@@ -186,7 +187,8 @@
 	}
 }
 
-// stopRun ends a run. why is told once it is gone.
+// stopRun stops a run. endAfterStop is reported to its entry once the stop has taken effect. A
+// run that still awaits its text ends at once as not run.
 func (m *Machine) stopRun(now time.Duration, r *run, endAfterStop wire.RunEnd) {
 	switch r.state {
 	case stopping:
@@ -209,7 +211,7 @@
 	m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: r.key, AnswerIn: m.answerTimeout(now)}})
 }
 
-// Started takes the answer to a Start.
+// Started handles the answer to a Start.
 func (m *Machine) Started(now time.Duration, k Key, a StartAnswer) {
 	m.updateClockOffset(now, a.ClockMs)
 	m.recordAnswer(now, a.Verdict)
@@ -221,15 +223,15 @@
 		m.recordAnswerDelay(now - r.lastSentAt)
 	}
 	if a.Verdict == NoAnswer && r.state == starting && r.startAttempts < maxStartAttempts && !m.Drained() && !m.isOverCapacity() {
-		// The worker takes a run that is there already, or has been, for the same
-		// one: sent again, it starts now or is found running. A copy that is
-		// carried out seconds later is refused by its number or its lease.
+		// Starts are idempotent: the worker recognizes a run that it already has or
+		// had. A retry either starts the run or finds it running. A copy that is
+		// processed seconds later is refused because of its run number or its lease.
 		m.sendStart(now, r)
 		return
 	}
 	if a.Verdict == Done || a.Verdict == Outdated && r.startAttempts > 1 {
-		// Outdated by an earlier copy of the same start: the lists tell how its run
-		// does or has ended.
+		// Outdated after a retry means that an earlier copy of the start was carried
+		// out. The answers to Holds show the state or the outcome of the run.
 		r.isAccepted, r.acceptedAt, r.advancedAt = true, now, now
 		if r.state == starting {
 			r.state = running
@@ -237,16 +239,16 @@
 		return
 	}
 	if a.Verdict == NoAnswer || r.startAttempts > 1 {
-		// It, or an earlier copy that got no answer, may be at the worker or come
-		// later. Stopped under the same number, it can do neither, and the task may
-		// run elsewhere.
+		// The start, or an earlier unanswered copy of it, may have been carried out or
+		// may still be. A stop with the same run number ends the run and prevents a
+		// later start, so that the task may then run elsewhere.
 		m.stopRun(now, r, endWithdrawn(errkind.NotRun))
 		return
 	}
 	m.handleRefusal(now, r, a.Verdict)
 }
 
-// handleRefusal ends a run that the worker did not take.
+// handleRefusal ends a run that the worker has refused.
 func (m *Machine) handleRefusal(now time.Duration, r *run, v Verdict) {
 	end := endNotRun(errkind.Busy)
 	switch v {
@@ -266,7 +268,7 @@
 	m.endRun(now, r, end)
 }
 
-// Stopped takes the answer to a Stop: whether the worker confirmed it.
+// Stopped handles the answer to a Stop.
 func (m *Machine) Stopped(now time.Duration, k Key, v Verdict, clockMs int64) {
 	m.updateClockOffset(now, clockMs)
 	m.recordAnswer(now, v)
--- a/internal/runs/tick.go
+++ b/internal/runs/tick.go
@@ -7,8 +7,9 @@
 	"wigeontray/internal/wire"
 )
 
-// Tick does what is due: runs that are of no use any more, permits that have
-// ended, leases that have run out, beats and Holds.
+// Tick performs all actions that are due: it stops runs that have passed their deadline and
+// runs of entries that have gone silent, ends runs whose lease has expired, withdraws expired
+// offers, and sends heartbeats and Holds.
 func (m *Machine) Tick(now time.Duration) {
 	m.tickRuns(now)
 	m.tickEntries(now)
@@ -31,8 +32,8 @@
 	m.endDepartedInstance(now)
 }
 
-// endAllRuns settles all runs: those of a worker that has not answered for the time of
-// its lease, or whose life is over. They have ended, whether it lives or not.
+// endAllRuns ends all runs. It is called when the lease of an unreachable worker has expired or
+// the worker instance has ended; in both cases no run can still be active.
 func (m *Machine) endAllRuns(now time.Duration, hasCrashed bool) {
 	var blamed map[Key]crashBlame
 	if hasCrashed {
@@ -67,7 +68,7 @@
 	}
 }
 
-// NextTick tells when Tick is next due; 0 for never.
+// NextTick returns the time at which Tick is next due, or 0 if nothing is scheduled.
 func (m *Machine) NextTick() time.Duration {
 	var next time.Duration
 	consider := func(t time.Duration) {
--- a/internal/runs/timing.go
+++ b/internal/runs/timing.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Timing is the bounds in time that all entries and guards of a fleet share. What runs
-// for an entry or a guard that is lost has ended within Loss, before its callers send
-// their jobs again to another entry.
+// Timing holds the durations that all entries and guards of a fleet share. The runs of a lost
+// entry or guard have ended within Loss, before callers resend their jobs to another entry.
 type Timing struct {
-	// Lease is how long the worker goes on without word from the guard. A shorter one
-	// frees the tasks of a lost guard sooner; it must outlast two renewals and a pause
-	// of the guard's processor of about 100 ms.
+	// Lease is how long the worker continues its runs without a renewal by the guard. A
+	// shorter lease frees the tasks of a lost guard sooner. It must be longer than two
+	// renewals plus a pause of the guard's processor of about 100 ms.
 	Lease time.Duration
-	// Permit is how old the newest word of an entry may be while the guard works for
-	// it. It outlasts two beats of the entry.
+	// Permit is the maximum age of the newest frame from an entry for which the guard
+	// executes tasks. It is longer than two heartbeats of the entry.
 	Permit time.Duration
-	// Beat is how often each end of a link with tasks is heard from.
+	// Beat is the heartbeat interval of both ends of a link with tasks.
 	Beat time.Duration
 }
 
-// DefaultResend is when callers without an answer send a job again, where the settings
-// do not say so.
+// DefaultResend is the delay after which callers resend an unanswered job, unless the
+// settings give another one.
 const DefaultResend = 1300 * time.Millisecond
 
-// LeastResend is the shortest such time for which the promise of Loss can be kept: a lease
-// has to outlast two renewals. For callers that are still more hasty the times are those
-// for LeastResend, and a job of a lost process may run beside its second run for the rest.
+// LeastResend is the shortest resend delay for which runs can be guaranteed to end within
+// Loss, because a lease must be longer than two renewals. Callers that resend sooner get the
+// timing for LeastResend: the run of a lost process may then overlap with the run of the
+// resent job for the rest of Loss.
 const LeastResend = 600 * time.Millisecond
 
-// lossMargin is by how much Loss lies below the callers' time.
+// lossMargin is the difference between the resend delay and Loss.
 const lossMargin = 50 * time.Millisecond
 
-// TimingFor gives the timing for callers that send a job again after resend. Callers
-// that wait longer than the default change nothing: a loss is better noticed soon. For
-// more hasty ones all times shrink alike, as a job that comes again while its first
-// run lasts would run twice at once.
+// TimingFor returns the timing for callers that resend a job after resendDelay. A delay above
+// DefaultResend changes nothing, because a loss is better detected early. For a shorter delay
+// all durations shrink in proportion, because a job that is resent during its first run would
+// run twice at the same time.
 func TimingFor(resendDelay time.Duration) Timing {
 	available := min(max(resendDelay, LeastResend), DefaultResend) - lossMargin - clockSkewMargin - MaxStopDelay
 	permit := available * 6 / 11
 	return Timing{Lease: available - permit, Permit: permit, Beat: permit / 3}
 }
 
-// OrDefault gives the timing for the default where none is set.
+// OrDefault returns t, or the timing for DefaultResend if t is the zero value.
 func (t Timing) OrDefault() Timing {
 	if t == (Timing{}) {
 		return TimingFor(DefaultResend)
@@ -47,12 +47,12 @@
 	return t
 }
 
-// Loss is how long after the loss of a guard its runs may go on: a guard that is cut
-// off from an entry stops them when the permit ends; one that is gone lets the lease
-// run out.
+// Loss is the longest time for which runs may continue after their guard was lost. A guard that
+// is cut off from an entry stops the runs after Permit; if the guard has failed, the lease
+// expires.
 func (t Timing) Loss() time.Duration { return t.Permit + t.Lease + clockSkewMargin + MaxStopDelay }
 
-// Stall is the pause after which an entry takes itself for having been frozen: its
-// callers may have left and sent their jobs elsewhere meanwhile. It lies below Permit;
-// a busy processor pauses for less.
+// Stall is the pause after which an entry assumes that its process was frozen, so that callers
+// may have disconnected and resent their jobs elsewhere. It is shorter than Permit and longer
+// than the pauses of a busy processor.
 func (t Timing) Stall() time.Duration { return t.Permit * 5 / 6 }
--- a/internal/runs/worker.go
+++ b/internal/runs/worker.go
@@ -7,36 +7,38 @@
 	"wigeontray/internal/wire"
 )
 
-// instance is what is known of the present life of the worker.
+// instance is the state kept for the present worker instance, which lasts until the worker
+// stops or restarts.
 type instance struct {
 	id             string
-	seq            int64         // of its newest report
-	token          int64         // fencing token of this guard there
-	clockOffset    time.Duration // the worker's clock less the guard's, at least
-	hasClockOffset bool          // offset is known
-	endCursor      int64         // ends up to this number were taken
-	ackedCursor    int64         // ends up to this number were acknowledged
-	leaseEnd       time.Duration // when what runs there has ended without another order
-	hasStrays      bool          // runs of an earlier guard may be there
-	hasLeft        bool          // it has announced its end, and may run on for a moment
-	isRecalled     bool          // it has not reported to this guard yet
-	hasRefusedConn bool          // nothing has listened at its address since it answered last
+	seq            int64         // Seq of its newest report
+	token          int64         // fencing token of this guard at the worker
+	clockOffset    time.Duration // lower bound of the worker's clock minus the guard's
+	hasClockOffset bool          // clockOffset is set
+	endCursor      int64         // number of the last end that was processed
+	ackedCursor    int64         // number of the last end whose acknowledgement the worker has received
+	leaseEnd       time.Duration // when the lease has certainly expired unless it is renewed
+	hasOrphans     bool          // runs of an earlier guard may be at the worker
+	hasLeft        bool          // has announced its end; runs may continue briefly
+	isRecalled     bool          // has not reported to this guard yet, see Report.Recalled
+	hasRefusedConn bool          // its address has refused a connection since the last answer
 
-	hasHoldInFlight bool // a Hold is under way
+	hasHoldInFlight bool // a Hold is unanswered
 	holdSentAt      time.Duration
-	holdWait        time.Duration // for which it may wait at the worker
-	// unverified is how many Holds in a row to verify a new life had no answer.
+	holdWait        time.Duration // Wait of the last Hold
+	// unansweredVerifications is the number of consecutive unanswered Holds that were sent to
+	// verify a candidate.
 	unansweredVerifications int
-	nextHoldAt              time.Duration // not before this time
-	unansweredHolds         int           // Holds in a row without an answer
-	lastAnswerAt            time.Duration // when the newest Hold was answered
-	needsProbe              bool          // ask even though nothing runs
-	sentAck                 int64         // Ack of the Hold that is under way
+	nextHoldAt              time.Duration // earliest time of the next Hold
+	unansweredHolds         int           // consecutive unanswered Holds
+	lastAnswerAt            time.Duration // when a Hold was last answered
+	needsProbe              bool          // send a Hold even if there are no runs
+	sentAck                 int64         // Ack of the last Hold
 }
 
-// Heard takes a worker's report. A report of another life than the present one
-// is verified with the worker first: one that was held up on its way may come
-// after its sender has crashed and a successor has registered.
+// Heard handles a report of a worker. A report of an instance other than the present one is
+// verified with the worker first, because a delayed report may arrive after its sender has
+// crashed and a new instance has registered.
 func (m *Machine) Heard(now time.Duration, report *Report) {
 	if report.ID == "" {
 		return
@@ -72,18 +74,17 @@
 	}
 }
 
-// applyReport takes over what may change in one life.
+// applyReport copies the attributes that may change during the lifetime of an instance.
 func (m *Machine) applyReport(report *Report) {
 	m.worker.Service, m.worker.Domain = report.Service, report.Domain
 	m.worker.Rack, m.worker.Labels = report.Rack, report.Labels
 	m.worker.Capacity, m.worker.Cold = report.Capacity, report.Cold
 }
 
-// Left notes that a worker ends, as it has just announced. What runs there may go on
-// for as long as the worker takes to end: a task that was started elsewhere at once
-// ran twice for that time. Its lease is not renewed any more, and its runs are given
-// back when the worker lists them as ended, a successor answers at its address, or the
-// lease is over.
+// Left handles the announcement of a worker that it is terminating. Its runs may continue
+// until it has terminated; when tasks were restarted elsewhere at once, they ran twice during
+// that time. The lease is therefore no longer renewed, and the runs end when the worker lists
+// them as ended, a new instance answers at its address, or the lease has expired.
 func (m *Machine) Left(now time.Duration, id string) {
 	if m.candidate != nil && m.candidate.ID == id {
 		m.candidate = nil
@@ -100,7 +101,8 @@
 	m.endDepartedInstance(now)
 }
 
-// endDepartedInstance ends the life of a worker that has left once nothing of it can run.
+// endDepartedInstance removes a worker instance that has announced its end, once none of its
+// runs can be active.
 func (m *Machine) endDepartedInstance(now time.Duration) {
 	if !m.instance.hasLeft || len(m.runs) > 0 && now < m.instance.leaseEnd {
 		return
@@ -109,21 +111,23 @@
 	m.announceWorker(now)
 }
 
-// endInstance ends the books of a life that is over: nothing of it runs any more.
+// endInstance ends all runs of the present instance and clears its state. The caller has
+// made sure that the instance runs nothing any more.
 func (m *Machine) endInstance(now time.Duration) {
 	m.endAllRuns(now, m.isExitUnannounced())
 	m.instance = instance{}
 	m.worker = wire.RunWorker{Leaving: m.isLeaving}
 }
 
-// recordLostControl notes that the worker obeys somebody else or is another one. Its next
-// report brings it back.
+// recordLostControl marks the worker as unusable because another guard controls it or it is
+// another instance. A later answer to a Hold or the report of the new instance makes it usable
+// again.
 func (m *Machine) recordLostControl(now time.Duration) {
 	m.setUsable(now, false)
 	m.instance.needsProbe = true
 }
 
-// adoptCandidate begins the life that has answered a verifying Hold.
+// adoptCandidate makes the candidate the present instance after it has answered a Hold.
 func (m *Machine) adoptCandidate(now time.Duration, a *HoldAnswer) {
 	report, token := m.candidate, m.instance.token
 	m.candidate = nil
@@ -135,31 +139,31 @@
 	for _, e := range a.Ended {
 		m.instance.endCursor = max(m.instance.endCursor, e.Number)
 	}
-	m.stopStrays(now, a.Active)
-	m.instance.needsProbe = m.instance.hasStrays
-	m.worker.Usable = !m.instance.hasStrays && !m.worker.Leaving && !m.Drained()
+	m.stopOrphans(now, a.Active)
+	m.instance.needsProbe = m.instance.hasOrphans
+	m.worker.Usable = !m.instance.hasOrphans && !m.worker.Leaving && !m.Drained()
 	m.announceWorker(now)
 }
 
-// stopStrays ends runs that this guard did not start: an earlier guard did, and
-// its entries take them for ended once the lease time has passed.
-func (m *Machine) stopStrays(now time.Duration, active []Active) {
-	m.instance.hasStrays = false
+// stopOrphans stops active runs that this guard did not start. An earlier guard started them,
+// and its entries treat them as ended once the lease has expired.
+func (m *Machine) stopOrphans(now time.Duration, active []Active) {
+	m.instance.hasOrphans = false
 	for _, a := range active {
 		if m.runs[a.Key] != nil {
 			continue
 		}
-		m.instance.hasStrays = true
+		m.instance.hasOrphans = true
 		lease := m.newLease(now)
 		lease.UntilMs = 0
 		m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: a.Key, AnswerIn: m.answerTimeout(now)}})
 	}
 }
 
-// updateClockOffset learns the worker's clock from an answer or a report. What it says was
-// on its way for a while, so that the estimate is not ahead of the worker when it
-// comes. Only the newest word counts: a clock that is 2% slow falls behind an older
-// one, and a lease computed from that would end later than this guard believes.
+// updateClockOffset computes the offset of the worker's clock from an answer or a report.
+// Because of the transit time, the estimate is never ahead of the worker's clock. Only the
+// newest reading is used: a clock that is 2% slow falls behind an estimate from an older
+// reading, and a lease computed from that estimate would end later than the guard assumes.
 func (m *Machine) updateClockOffset(now time.Duration, clockMs int64) {
 	if clockMs == 0 {
 		return
@@ -168,7 +172,7 @@
 	m.instance.hasClockOffset = true
 }
 
-// newLease gives what an order sent now carries.
+// newLease returns the lease of a request that is sent now.
 func (m *Machine) newLease(now time.Duration) Lease {
 	lease := Lease{Worker: m.instance.id, Token: m.instance.token}
 	if m.instance.hasClockOffset {
@@ -177,7 +181,7 @@
 	return lease
 }
 
-// extendLease notes that an order with a lease goes out now.
+// extendLease moves the latest end of the lease, as a request that renews it is sent now.
 func (m *Machine) extendLease(now time.Duration) {
 	m.instance.leaseEnd = max(m.instance.leaseEnd, now+m.timing.Lease+clockSkewMargin)
 }
