--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -93,6 +93,8 @@
 	m.sendHoldIfDue(now)
 }
 
+// handleCandidateAnswer handles the answer to a Hold that verifies the candidate. If the candidate
+// has seen a greater fencing token, the next Hold uses its current clock as the token.
 func (m *Machine) handleCandidateAnswer(now time.Duration, a *HoldAnswer) {
 	switch a.Verdict {
 	case Done:
@@ -157,6 +159,7 @@
 	}
 }
 
+// runEndFor returns the end to report for a run that ended at the worker with the given outcome.
 func runEndFor(r *run, how How) wire.RunEnd {
 	switch how {
 	case EndDone:
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -85,10 +85,14 @@
 	return errkind.None
 }
 
+// observeClock records the guard's clock that a frame of the entry carried.
 func (ent *entryState) observeClock(clockMs int64) {
 	ent.latestClock = max(ent.latestClock, milliseconds(clockMs))
 }
 
+// acceptTask records a run of the task and requests its start, or refuses the task. kind is the
+// reason why the whole frame is refused, or None. The result is nil if the task was refused or
+// the run exists already.
 func (m *Machine) acceptTask(now time.Duration, from identity.Incarnation, frame *wire.RunTasks, task *wire.RunTask, kind errkind.Kind) *run {
 	k := Key{Job: frame.Job, Step: task.Step, Index: task.Index, Run: task.Run}
 	if m.runs[k] != nil {
@@ -201,6 +205,7 @@
 	m.sendStopIfDue(now, r)
 }
 
+// sendStopIfDue requests the stop of a run, unless a request is in flight or has been confirmed.
 func (m *Machine) sendStopIfDue(now time.Duration, r *run) {
 	if r.hasStopInFlight || r.stopConfirmedAt > 0 || now < r.nextStopAt {
 		return
