--- a/internal/runs/capacity_test.go
+++ b/internal/runs/capacity_test.go
@@ -12,7 +12,7 @@
 	"wigeontray/internal/wire"
 )
 
-// Guards against capacity that has grown and stays unused until the next end of a run, and against entries that go by the old one.
+// Guards against grown capacity that stays unused until the next run ends, and against entries that place tasks by the old capacity.
 func TestCapacityChangeIsAnnouncedImmediately(t *testing.T) {
 	model := newCapacityModel(t)
 	model.sendDemand(otherEntry, wire.RunDemand{CPU: 4 * taskCPU, LeastCPU: taskCPU, UrgentCPU: taskCPU})
@@ -36,7 +36,7 @@
 	model.Check(offered >= 4*taskCPU, qt.IsTrue, qt.Commentf("%d", offered))
 }
 
-// Guards against reports that would free room which is not there.
+// Guards against reports that would allow more tasks than the worker has room for.
 func TestImplausibleCapacityIsRejected(t *testing.T) {
 	valid := (&rig{}).newReport(testWorker, 1)
 	valid.Domain = "z1"
@@ -52,7 +52,7 @@
 	qt.Check(t, empty.Check(), qt.IsNil)
 }
 
-// Guards against a guard that has just started and goes by a capacity that has shrunk since its predecessor was told of it.
+// Guards against a restarted guard that uses a stored capacity although the worker's capacity has shrunk since.
 func TestRecalledCapacityIsNotTrusted(t *testing.T) {
 	r := &rig{C: qt.New(t), m: New(Options{}), now: time.Minute}
 	r.m.LinkUp(r.now, testEntry)
@@ -68,7 +68,7 @@
 	r.Check(got.starts, qt.HasLen, 0)
 	r.Assert(got.ends, qt.HasLen, 1)
 	r.Check(got.ends[0].Kind, qt.Equals, errkind.Busy)
-	// A worker that refuses what does not fit needs no such care.
+	// A worker that itself refuses tasks that do not fit gets them all the same.
 	r.seq++
 	r.m.Run(r.now, testEntry, &wire.RunTasks{
 		Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Text: "text", LeftMs: 5000, SelfLimiting: true,
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -11,7 +11,7 @@
 	"wigeontray/internal/wire"
 )
 
-// Guards against a crash of the worker that is not told as one, and against innocent tasks that are blamed beside one that is suspected already.
+// Guards against a crash of the worker that is not reported as one, and against blaming other tasks for it if one is suspected of an earlier crash.
 func TestCrashIsBlamedOnSuspectsFirst(t *testing.T) {
 	crashed := func(hasSuspect bool) []bool {
 		r := newRig(t)
@@ -24,9 +24,9 @@
 		r.m.Run(r.now, testEntry, &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", LeftMs: 5000, Tasks: tasks})
 		r.answerStart(key(1), Done)
 		r.answerStart(key(2), Done)
-		r.sendTasks(r.now, 3) // its start may come after the crash
+		r.sendTasks(r.now, 3) // its start is unanswered and may arrive after the crash
 		r.actions()
-		r.m.Heard(r.now, r.newReport("worker-2", 1)) // another life has begun
+		r.m.Heard(r.now, r.newReport("worker-2", 1)) // a new instance has registered
 		r.answerHold(testWorker, HoldAnswer{Verdict: OtherWorker})
 		var crashedFlags []bool
 		reportedTasks := 0
@@ -49,7 +49,7 @@
 	qt.Check(t, crashed(true), qt.DeepEquals, []bool{false, true, false})
 }
 
-// Guards against two suspects at one worker, whose next crash would blame both.
+// Guards against two suspects on one worker, whose next crash would be blamed on both.
 func TestSuspectsDoNotShareAWorker(t *testing.T) {
 	r := newRig(t)
 	r.seq++
@@ -63,7 +63,7 @@
 	r.Check(got.ends[0].Kind, qt.Equals, errkind.Busy)
 }
 
-// newCrashRig has one task that may be suspected, and another beside it, at a worker that crashes.
+// newCrashRig returns a rig with two tasks. Task 1 has run during crashCount earlier crashes and its start is unanswered; task 2 is running.
 func newCrashRig(t *testing.T, crashCount int) *rig {
 	r := newRig(t)
 	r.seq++
@@ -75,13 +75,13 @@
 	return r
 }
 
-// crashWorker lets another life of the worker answer, and gives the ends of the runs.
+// crashWorker answers as a new instance of the worker and returns the ends of the runs.
 func (r *rig) crashWorker() []wire.RunEnd {
 	r.answerHold(testWorker, HoldAnswer{Verdict: OtherWorker})
 	return groupActions(r.actions()).ends
 }
 
-// Guards against a suspect whose start has no answer being passed over, and the task beside it blamed in its place.
+// Guards against ignoring a suspect whose start is unanswered and blaming another task on the worker for the crash.
 func TestUnansweredStartIsSuspectedOfACrash(t *testing.T) {
 	for crashCount, isOtherBlamed := range []bool{true, false} {
 		ends := newCrashRig(t, crashCount).crashWorker()
@@ -93,12 +93,12 @@
 	}
 }
 
-// Guards against a job that is told to have failed by a crash after the end of its run, which the worker did not answer.
+// Guards against failing a job for a crash that happened after its run had ended, when the answer that listed the end was lost.
 func TestRunThatMayHaveEndedIsOnlySuspected(t *testing.T) {
 	r := newCrashRig(t, 0)
 	r.answerStart(key(1), Done)
 	crashed := func(after time.Duration) []wire.RunEnd {
-		r.m.Stopped(r.now, key(9), NoAnswer, 0) // answers are missing from now on
+		r.m.Stopped(r.now, key(9), NoAnswer, 0) // the worker is lossy from now on
 		r.now += after
 		r.answerHold(testWorker, HoldAnswer{Active: []Active{{Key: key(1)}, {Key: key(2)}}})
 		r.now += 10 * time.Millisecond
@@ -110,12 +110,12 @@
 	}
 	r = newCrashRig(t, 0)
 	r.answerStart(key(1), Done)
-	for _, e := range crashed(20 * time.Millisecond) { // far from its end
+	for _, e := range crashed(20 * time.Millisecond) { // less than half of the expected time
 		r.Check(e.Crashed, qt.IsTrue)
 	}
 }
 
-// Guards against a crash during a Hold that the next life of the worker answers: its runs were given back as lost, with nobody to blame.
+// Guards against a crash during a Hold that the next instance of the worker answers: the runs were reported as lost without a suspect.
 func TestCrashDuringHoldIsDetected(t *testing.T) {
 	newRigWithMissingRun := func() *rig {
 		r := newRig(t)
@@ -138,14 +138,14 @@
 	qt.Check(t, ends[0].Crashed, qt.IsTrue)
 
 	r := newRigWithMissingRun()
-	r.answerHold(testWorker, HoldAnswer{}) // the same life, which does not have the run
+	r.answerHold(testWorker, HoldAnswer{}) // from the same instance, without the run
 	ends = groupActions(r.actions()).ends
 	r.Assert(ends, qt.HasLen, 1)
 	r.Check(ends[0].Crashed, qt.IsFalse)
 	r.Check(ends[0].Kind, qt.Equals, errkind.WorkerLost)
 }
 
-// Guards against a crash that is taken for a silence, as the last of the unanswered orders was left out and not refused.
+// Guards against a crash that is treated as a timeout because the last of the unanswered requests timed out and only an earlier one was refused.
 func TestRefusedConnectionMakesLaterTimeoutACrash(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 1)
@@ -162,7 +162,7 @@
 	r.Check(ends[0].Crashed, qt.IsTrue)
 }
 
-// Guards against a crash that counts against a run which had been stopped before.
+// Guards against blaming a crash for certain on a run that was being stopped.
 func TestStoppingRunIsOnlySuspected(t *testing.T) {
 	r := newCrashRig(t, 0)
 	r.answerStart(key(1), Done)
--- a/internal/runs/drain_test.go
+++ b/internal/runs/drain_test.go
@@ -10,7 +10,7 @@
 	"wigeontray/internal/wire"
 )
 
-// newDomainRig is a rig whose worker is in the failure domain "z1".
+// newDomainRig returns a rig whose worker is in the failure domain "z1".
 func newDomainRig(t *testing.T) *rig {
 	r := newRig(t)
 	rep := r.newReport(testWorker, 2)
@@ -24,7 +24,7 @@
 	r.m.SetDrains(r.now, &wire.Drains{Revision: revision, Domains: domains})
 }
 
-// Guards against starts and offers in a drained failure domain, and against the end of what runs there.
+// Guards against starts and offers in a drained failure domain, and against stopping its active runs.
 func TestDrainedWorkerRefusesTasksAndFinishesRuns(t *testing.T) {
 	r := newDomainRig(t)
 	r.sendTasks(r.now, 1)
@@ -42,7 +42,7 @@
 	r.Assert(got.ends, qt.HasLen, 1)
 	r.Check(got.ends[0].Kind, qt.Equals, errkind.Draining)
 	r.Check(got.ends[0].Ran, qt.Equals, errkind.RanNo)
-	// The answers of a sound worker do not bring it back, the operators do.
+	// Answers of the healthy worker do not make it usable again; the end of the drain does.
 	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(1)}}})
 	r.Check(r.m.Worker().Usable, qt.IsFalse)
 	r.Check(groupActions(r.actions()).ends, qt.HasLen, 1)
@@ -53,7 +53,7 @@
 	r.Check(groupActions(r.actions()).starts, qt.DeepEquals, []Key{key(3)})
 }
 
-// Guards against tasks begun after a drain whose text or answer was awaited when it came.
+// Guards against starting tasks after a drain began while their text or the answer to their start was awaited.
 func TestDrainReturnsTasksNotYetAtTheWorker(t *testing.T) {
 	r := newDomainRig(t)
 	r.sendTasksWithoutText(1)
@@ -75,7 +75,7 @@
 	r.Check(got.stops, qt.DeepEquals, []Key{key(1)})
 }
 
-// Guards against a new worker of a drained domain being used.
+// Guards against using a worker that registers in a drained failure domain.
 func TestWorkerRegisteredDuringDrainIsNotUsed(t *testing.T) {
 	r := newDomainRig(t)
 	r.setDrains(1, "z1")
--- a/internal/runs/exhaustive_test.go
+++ b/internal/runs/exhaustive_test.go
@@ -10,18 +10,18 @@
 	"wigeontray/internal/wire"
 )
 
-// capacityModel is a guard with two entries and a worker whose capacity changes. It keeps its own book
-// of what may be at the worker, from the orders alone.
+// capacityModel is a guard with two entries and a worker whose capacity changes. It derives
+// the runs that may be at the worker from the guard's requests alone.
 type capacityModel struct {
 	*rig
 	capacity     int64 // in the newest valid report
 	seq          int64
-	placed       map[Key]int64   // processor of what may be at the worker
-	unanswered   []Key           // starts without an answer, the oldest first
-	pendingTexts map[string]bool // jobs whose text is to be fetched
-	lastEnd      int64
+	placed       map[Key]int64   // CPU of the runs that may be at the worker
+	unanswered   []Key           // unanswered starts, the oldest first
+	pendingTexts map[string]bool // jobs whose Fetch is unanswered
+	lastEnd      int64           // number of the last end that the worker has listed
 	sentJobs     int
-	violation    string
+	violation    string // how the capacity was exceeded, or empty
 }
 
 func newCapacityModel(t *testing.T) *capacityModel {
@@ -31,7 +31,7 @@
 	return model
 }
 
-// checkActions takes the actions and checks each start.
+// checkActions takes the machine's actions and checks that no start exceeds the capacity.
 func (model *capacityModel) checkActions() {
 	for _, a := range model.actions() {
 		switch {
@@ -41,7 +41,7 @@
 			model.placed[a.Start.Key] = taskCPU
 			model.unanswered = append(model.unanswered, a.Start.Key)
 			if len(model.placed)*taskCPU > int(model.capacity) {
-				model.violation = "a start brings the worker over its capacity"
+				model.violation = "a start exceeds the capacity of the worker"
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 
 const taskCPU = 3000
 
-// sendJob sends two tasks for an entry, with their text or without.
+// sendJob sends a job of two tasks from an entry. With a source, the text must be fetched there.
 func (model *capacityModel) sendJob(from identity.Incarnation, source string) {
 	model.sentJobs++
 	model.rig.seq++
@@ -60,7 +60,7 @@
 	model.m.Run(model.now, from, frame)
 }
 
-// reportCapacity lets the worker tell its capacity, in thousandths of a core.
+// reportCapacity sends a report with the given capacity in thousandths of a core.
 func (model *capacityModel) reportCapacity(cpu int64) {
 	model.seq++
 	model.capacity = cpu
@@ -81,7 +81,7 @@
 	model.answerStart(k, v)
 }
 
-// finishOldest lets the oldest run end at the worker.
+// finishOldest answers a Hold and lists the oldest run, the first in key order, as ended.
 func (model *capacityModel) finishOldest() {
 	a := HoldAnswer{}
 	for k := range model.placed {
@@ -101,14 +101,14 @@
 	model.answerHold(testWorker, a)
 }
 
-// modelEvents are what may happen, in any order.
+// modelEvents are the events that may happen in any order.
 var modelEvents = []func(model *capacityModel){
 	func(model *capacityModel) { model.sendJob(testEntry, "") },
 	func(model *capacityModel) { model.sendJob(otherEntry, "guard-2") },
 	func(model *capacityModel) { model.reportCapacity(2000) },
 	func(model *capacityModel) { model.reportCapacity(7000) },
 	func(model *capacityModel) { model.reportCapacity(13000) },
-	func(model *capacityModel) { // a report that was held up
+	func(model *capacityModel) { // a delayed report
 		rep := model.newReport(testWorker, model.seq-1)
 		rep.Capacity.CPU = 64000
 		model.m.Heard(model.now, rep)
@@ -131,10 +131,10 @@
 	},
 }
 
-// modelSteps is how many events are played in each order.
+// modelSteps is the number of events in each sequence.
 const modelSteps = 4
 
-// Guards against a start that brings a worker over a capacity that has shrunk, with offers, starts, stops and reports in every order.
+// Guards against starts that exceed a capacity that has shrunk, for every order of offers, starts, stops and reports.
 func TestCapacityIsNeverExceededForAnyEventOrder(t *testing.T) {
 	orders := 1
 	for range modelSteps {
--- a/internal/runs/fetch_test.go
+++ b/internal/runs/fetch_test.go
@@ -11,7 +11,7 @@
 	"wigeontray/internal/wire"
 )
 
-// sendTasksWithoutText sends tasks whose text is at another guard.
+// sendTasksWithoutText sends tasks whose text must be fetched from another guard.
 func (r *rig) sendTasksWithoutText(indexes ...int) {
 	r.seq++
 	frame := &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Source: "guard-2", LeftMs: 5000}
@@ -21,7 +21,7 @@
 	r.m.Run(r.now, testEntry, frame)
 }
 
-// countFetches counts the texts that are to be fetched.
+// countFetches returns the number of Fetch actions.
 func countFetches(actions []Action) (count int) {
 	for _, a := range actions {
 		if a.Fetch != nil {
@@ -33,7 +33,7 @@
 
 func (r *rig) answerFetch(ok bool) { r.m.Fetched(r.now, testEntry, "job", "text", ok) }
 
-// Guards against a text fetched once for each task, or room held beyond it.
+// Guards against fetching the text once per task, and against accepting more tasks than fit while it is fetched.
 func TestTasksStartAfterTextIsFetched(t *testing.T) {
 	r := newRig(t)
 	r.sendTasksWithoutText(1, 2, 3)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Guards against tasks sent again without the text that was missing.
+// Guards against tasks that are resent without the missing text: the entry must be notified that it is missing.
 func TestTasksWithMissingTextAreReturned(t *testing.T) {
 	r := newRig(t)
 	r.sendTasksWithoutText(1)
@@ -65,22 +65,22 @@
 	r.Check(got.ends[0].Ran, qt.Equals, errkind.RanNo)
 }
 
-// Guards against tasks begun after they were withdrawn while they awaited their text.
+// Guards against starting tasks that were withdrawn while their text was fetched.
 func TestTasksWithdrawnDuringFetchAreNotStarted(t *testing.T) {
 	for name, event := range map[string]func(r *rig){
 		"the entry is silent": func(r *rig) { r.advance(testTiming.Permit + 10*time.Millisecond) },
-		"its link ends":       func(r *rig) { r.m.LinkDown(r.now, testEntry) },
-		"it withdraws them": func(r *rig) {
+		"its link is lost":    func(r *rig) { r.m.LinkDown(r.now, testEntry) },
+		"it cancels the job": func(r *rig) {
 			r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
 		},
-		"the guard stops": func(r *rig) { r.m.Drain(r.now) },
-		"the worker leaves": func(r *rig) {
+		"the guard is draining": func(r *rig) { r.m.Drain(r.now) },
+		"the worker is draining": func(r *rig) {
 			rep := r.newReport(testWorker, 9)
 			rep.Draining = true
 			r.m.Heard(r.now, rep)
 		},
-		"the worker is gone": func(r *rig) { r.m.Left(r.now, testWorker) },
-		"their time is over": func(r *rig) { r.advance(6 * time.Second) },
+		"the worker terminates": func(r *rig) { r.m.Left(r.now, testWorker) },
+		"the deadline passes":   func(r *rig) { r.advance(6 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
@@ -98,11 +98,11 @@
 	}
 }
 
-// Guards against an entry that learns only from ends that its tasks arrive late.
+// Guards against an entry that is informed only at the end of a run that its tasks arrive late.
 func TestEntryIsNotifiedOfLateTasksImmediately(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 1)
-	r.Check(sentLoads(r.actions()), qt.HasLen, 1) // the first ones on a link
+	r.Check(sentLoads(r.actions()), qt.HasLen, 1) // the first frame on the link
 	r.now += time.Second
 	r.sendTasks(r.now, 2)
 	r.Check(sentLoads(r.actions()), qt.HasLen, 0)
@@ -114,7 +114,7 @@
 	r.Check(got[0].Seen, qt.Equals, uint64(3))
 }
 
-// sentLoads gives the loads that the entry is told.
+// sentLoads returns the loads that are sent to entries.
 func sentLoads(actions []Action) (loads []wire.RunLoad) {
 	for _, a := range actions {
 		if a.Send == nil {
--- a/internal/runs/hang_test.go
+++ b/internal/runs/hang_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Whatever runs on a worker stands still, and it answers as ever. Each run was given the
-// time in which one that is merely slow would advance, and new ones came all the while:
-// a caller of 200 ms waited for half a second, and of 900 ms for a second and a half.
+// Guards against a slow reaction to a worker on which all runs are stalled while it answers as
+// usual. Each run was given the time in which a slow one would advance, and new ones arrived
+// meanwhile: callers of 200 ms waited for half a second, callers of 900 ms for 1.5 s.
 func TestRunsOnHungWorkerAreStopped(t *testing.T) {
 	r := newRig(t)
 	keys := r.startJobs(false, jobNames(minHangJobs)...)
@@ -20,9 +20,9 @@
 	r.Check(r.stops(), qt.DeepEquals, keys)
 }
 
-// A run stands still beside one that advances, or the runs of one job alone do. That tells
-// nothing of the worker.
-func TestSingleStalledRunIsNotAHang(t *testing.T) {
+// Guards against treating a worker as hung because some of its runs are stalled while another
+// run advances.
+func TestAdvancingRunRulesOutAHang(t *testing.T) {
 	r := newRig(t)
 	keys := r.startJobs(false, jobNames(minHangJobs+1)...)
 	r.reportProgress(20*time.Millisecond, 10, keys...)
@@ -40,7 +40,7 @@
 	r.Check(r.stops(), qt.HasLen, 0)
 }
 
-// A run that has just begun has not advanced yet, which does not make the others hang.
+// Guards against counting a run that has just started, and has not advanced yet, as stalled.
 func TestNewRunDoesNotCountAsStalled(t *testing.T) {
 	r := newRig(t)
 	keys := r.startJobs(false, jobNames(minHangJobs)...)
--- a/internal/runs/left_test.go
+++ b/internal/runs/left_test.go
@@ -8,9 +8,9 @@
 	"wigeontray/internal/errkind"
 )
 
-// A worker announces its end with a task still at work, and ends a few milliseconds
-// later. Given back at once, the task was started at another worker while it ran, and
-// two escorts were booked.
+// Guards against overlapping runs of a task when a worker announces its end and terminates a
+// few milliseconds later. The task was returned at once and started on another worker while it
+// was still running, and a booking was made twice.
 func TestRunsOfLeavingWorkerEndWithItsLease(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -22,9 +22,9 @@
 	r.Check(got.stops, qt.DeepEquals, []Key{key(0)})
 	r.Check(r.m.Worker().Usable, qt.IsFalse)
 	for _, h := range got.holds {
-		r.Check(h.UntilMs, qt.Equals, int64(0)) // its lease is not renewed
+		r.Check(h.UntilMs, qt.Equals, int64(0)) // the lease is not renewed
 	}
-	// It answers nothing more: the run has ended when its lease is over.
+	// Without another answer, the run ends when the lease expires.
 	r.advance(testTiming.Lease / 2)
 	r.Check(groupActions(r.actions()).ends, qt.HasLen, 0)
 	r.advance(testTiming.Lease/2 + clockSkewMargin)
@@ -34,8 +34,8 @@
 	r.Check(r.m.Worker().ID, qt.Equals, "")
 }
 
-// A worker that leaves still answers, and lists the end of its last run. Nobody has to
-// wait for the lease then.
+// Guards against waiting for the lease when a leaving worker still answers and lists the end
+// of its last run.
 func TestLeavingWorkerReportsItsLastEnd(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -50,7 +50,7 @@
 	r.Check(r.m.Worker().ID, qt.Equals, "")
 }
 
-// A worker that leaves with nothing at work is gone at once.
+// Guards against keeping a worker without runs after it has announced its end.
 func TestIdleLeavingWorkerIsRemovedImmediately(t *testing.T) {
 	r := newRig(t)
 	r.m.Left(r.now, testWorker)
--- a/internal/runs/machine_test.go
+++ b/internal/runs/machine_test.go
@@ -15,14 +15,14 @@
 const (
 	testEntry  = identity.Incarnation("entry-1")
 	testWorker = "worker-1"
-	// workerClockOffset is the worker's clock less the guard's.
+	// workerClockOffset is the worker's clock minus the guard's.
 	workerClockOffset = 7 * time.Second
 )
 
-// testTiming is the timing of rigs.
+// testTiming is the timing of the machine in a rig.
 var testTiming = TimingFor(DefaultResend)
 
-// rig is a machine with an adopted worker and one linked entry.
+// rig is a test fixture: a machine with one linked entry and a worker that has registered.
 type rig struct {
 	*qt.C
 	m   *Machine
@@ -49,7 +49,7 @@
 
 func (r *rig) actions() []Action { return r.m.Actions(r.now) }
 
-// nextHold gives the one Hold among the actions.
+// nextHold takes the actions and returns the Hold among them.
 func (r *rig) nextHold() *Hold {
 	r.Helper()
 	for _, a := range r.actions() {
@@ -57,7 +57,7 @@
 			return a.Hold
 		}
 	}
-	r.Fatal("no hold was sent")
+	r.Fatal("no Hold was sent")
 	return nil
 }
 
@@ -73,7 +73,7 @@
 
 func key(index int) Key { return Key{Job: "job", Index: index, Run: 1} }
 
-// sendTasks sends tasks that need 3 cores each, stamped with a clock of the guard.
+// sendTasks sends tasks that need 3 cores each. clock is the guard's clock in the frame.
 func (r *rig) sendTasks(clock time.Duration, indexes ...int) {
 	r.seq++
 	frame := &wire.RunTasks{Seq: r.seq, ClockMs: clock.Milliseconds(), Job: "job", Text: "text", LeftMs: 5000}
@@ -87,7 +87,7 @@
 	r.m.Started(r.now, k, StartAnswer{Verdict: v, ClockMs: r.clockMs()})
 }
 
-// kinds sorts actions.
+// groupedActions is a list of actions by kind, without fetches and loads.
 type groupedActions struct {
 	starts []Key
 	stops  []Key
@@ -112,9 +112,9 @@
 	return grouped
 }
 
-// An entry freezes or is cut off while its guard works for it. Its caller hears
-// nothing and sends the booking to another entry 1.3 s later. Were the first run
-// still going then, two escorts would be sent.
+// Guards against overlapping runs when an entry freezes or is disconnected while the guard runs
+// its tasks. Its caller gets no answer and resends the booking to another entry 1.3 s later. If
+// the first run were still active then, the booking would be made twice.
 func TestRunsOfSilentEntryAreStopped(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -127,8 +127,8 @@
 	r.Assert(testTiming.Permit+MaxStopDelay < 1300*time.Millisecond, qt.IsTrue)
 }
 
-// A frame with tasks is held up by a cut and arrives seconds later, when its job
-// has long been sent to another entry. Begun now, it would run beside it.
+// Guards against overlapping runs when a network fault delays a frame with tasks by seconds. Its
+// job has been resent to another entry by then.
 func TestDelayedTasksAreRefused(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now-2*time.Second, 0)
@@ -139,9 +139,8 @@
 	r.Assert(got.ends[0].Ran, qt.Equals, errkind.RanNo)
 }
 
-// A worker does not answer an order and carries it out seconds later. If the task
-// had been given elsewhere in the meantime without a stop under its number, it
-// would run twice.
+// Guards against overlapping runs when a worker leaves a start unanswered and carries it out
+// seconds later. Before the task may run elsewhere, the run must be stopped by its run number.
 func TestUnansweredStartIsStoppedBeforeItIsGivenBack(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -155,8 +154,8 @@
 	r.Assert(got.starts, qt.HasLen, 0)
 	r.Assert(got.stops, qt.DeepEquals, []Key{key(0)})
 	r.Assert(got.ends, qt.HasLen, 0)
-	// The stop is confirmed, but only a list that was asked for afterwards shows
-	// that nothing of it runs.
+	// The stop is confirmed, but only the answer to a Hold that was sent afterwards
+	// shows that the run is not active.
 	r.m.Stopped(r.now, key(0), Done, r.clockMs())
 	r.now += 5 * time.Millisecond
 	r.answerHold(testWorker, HoldAnswer{})
@@ -169,9 +168,9 @@
 	r.Assert(got.ends[0].Ran, qt.Equals, errkind.RanUnknown)
 }
 
-// A start gets no answer and is carried out a tenth of a second later, when the copy
-// that was sent after it has been refused for want of room. Given back on that
-// refusal alone, the task would run at two workers.
+// Guards against overlapping runs when an unanswered start is carried out a tenth of a second
+// later, after its retry was refused because the worker had no room. Returned because of that
+// refusal alone, the task would run on two workers.
 func TestRefusedRetryDoesNotSettleTheFirstStart(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -182,9 +181,9 @@
 	r.Assert(got.stops, qt.DeepEquals, []Key{key(0)})
 }
 
-// The answer to a start is lost, and the run has ended when the start is sent
-// again: the worker calls it outdated. Taken for a run that never began, its task
-// would be done a second time.
+// Guards against executing a task twice when the answer to its start is lost and the run has
+// ended before the retry, which the worker refuses as outdated. The run must not be treated as
+// never started.
 func TestOutdatedRetryMeansTheRunWasStarted(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -197,8 +196,8 @@
 	r.Assert(got.ends[0].Kind, qt.Equals, errkind.None)
 }
 
-// A stop without an answer may not have arrived. It is repeated, or the task would
-// stay in doubt until its caller's time is over.
+// Guards against a lost stop request: without a retry, the state of the task would stay unknown
+// until the caller's deadline.
 func TestUnansweredStopIsRetried(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -211,9 +210,9 @@
 	r.Assert(groupActions(r.actions()).stops, qt.HasLen, 1)
 }
 
-// A guard is killed and its successor knows nothing, while tasks of the first one
-// run on the worker. Their entries take them for ended and start them elsewhere;
-// the room that they take would be given away a second time.
+// Guards against overcommitting a worker after its guard was killed. The new guard has no record
+// of the runs that are still active. Their entries treat them as ended and start the tasks
+// elsewhere, while the runs still occupy capacity that the new guard would allocate again.
 func TestNewGuardStopsRunsOfItsPredecessor(t *testing.T) {
 	c := qt.New(t)
 	r := &rig{C: c, m: New(Options{}), now: time.Minute}
@@ -221,7 +220,7 @@
 	r.m.Heard(r.now, r.newReport(testWorker, 1))
 	h := r.nextHold()
 	r.Assert(h.Token, qt.Equals, r.clockMs())
-	// The earlier guard had a greater token; the worker tells its clock.
+	// The earlier guard had a greater token; the worker answers with its clock.
 	r.now += 10 * time.Millisecond
 	r.answerHold(testWorker, HoldAnswer{Verdict: FencedOff})
 	h = r.nextHold()
@@ -236,9 +235,9 @@
 	r.Assert(r.m.Worker().Usable, qt.IsTrue)
 }
 
-// A report was held up by a cut, its sender has crashed and a successor runs at
-// the same address. Believed, the guard would count the room of a worker that is
-// gone and drop what runs on the living one.
+// Guards against a report that a network fault has delayed until its sender has crashed and a
+// new instance runs at the same address. The guard would use the capacity of the crashed worker
+// and drop the runs of the present one.
 func TestLateReportOfAnEarlierInstanceIsIgnored(t *testing.T) {
 	r := newRig(t)
 	r.m.Heard(r.now, r.newReport("worker-0", 99))
@@ -246,15 +245,15 @@
 	r.answerHold("worker-0", HoldAnswer{Verdict: OtherWorker})
 	r.Assert(r.m.Worker().ID, qt.Equals, testWorker)
 	r.Assert(r.m.Worker().Usable, qt.IsTrue)
-	// A delayed report of the present life does not bring back an older state.
+	// A delayed report of the present instance does not restore an older state.
 	late := r.newReport(testWorker, 1)
 	late.Capacity = sched.Room{}
 	r.m.Heard(r.now, late)
 	r.Assert(r.m.Worker().Capacity.CPU, qt.Equals, int64(8000))
 }
 
-// A worker crashes and another of another size comes up at its address. What ran
-// on the first has ended and is given back at once.
+// Guards against keeping the runs of a crashed worker after a new instance with another capacity
+// has started at its address. The runs have ended and must be returned at once.
 func TestNewWorkerInstanceEndsRunsOfThePreviousOne(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -273,8 +272,8 @@
 	r.Assert(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Room{CPU: 4000})
 }
 
-// A worker that is about to leave ends everything on it. A task that began there
-// after its announcement would be lost with it.
+// Guards against starting tasks on a worker that has announced that it drains. It would end them
+// when it terminates.
 func TestDrainingWorkerRefusesTasks(t *testing.T) {
 	r := newRig(t)
 	rep := r.newReport(testWorker, 2)
@@ -288,8 +287,8 @@
 	r.Assert(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Room{})
 }
 
-// A task that is being stopped takes its room until the worker lists its end. Given
-// away before, the worker would be filled beyond what it has.
+// Guards against overcommitting a worker by freeing the capacity of a run that is being stopped
+// before the worker lists its end.
 func TestStoppingRunKeepsItsRoomUntilItEnds(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0, 1)
@@ -307,8 +306,8 @@
 	r.Assert(r.m.Load(r.now, testEntry).Free.CPU, qt.Equals, int64(8000))
 }
 
-// A worker goes dark. Its tasks are given back when its lease has run out for
-// sure, and not renewed blindly, or they would never be.
+// Guards against returning the runs of an unreachable worker before its lease has certainly
+// expired, and against renewing that lease, in which case they would never be returned.
 func TestRunsOfUnreachableWorkerEndWithItsLease(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -333,9 +332,9 @@
 	r.Assert(r.m.Worker().Usable, qt.IsFalse)
 }
 
-// A worker's clock is 2% slow. A lease computed from an older reading of it would
-// last longer there than the guard believes, and its task be started elsewhere
-// too early.
+// Guards against overlapping runs when a worker's clock is 2% slow. A lease computed from an
+// older reading would last longer at the worker than the guard assumes, and the task would be
+// started elsewhere too early.
 func TestLeaseUsesTheLatestWorkerClock(t *testing.T) {
 	r := newRig(t)
 	r.now += 30 * time.Second
@@ -351,8 +350,8 @@
 	}
 }
 
-// Tasks on a worker stand still while its health is good and others run on it. Each
-// would hold its room until its caller leaves; it is stopped and given back.
+// Guards against a stalled run on a healthy worker on which other runs advance. It would occupy
+// its capacity until its caller gives up.
 func TestStalledRunIsStopped(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0, 1)
@@ -374,8 +373,7 @@
 	r.Assert(got.ends[0].Kind, qt.Equals, errkind.Stalled)
 }
 
-// The link to an entry ends, perhaps with the entry. What it had there is stopped
-// at once, so that its room serves others.
+// Guards against occupying capacity for an entry whose link is lost and which may have failed.
 func TestLostLinkStopsRunsOfItsEntry(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -385,8 +383,8 @@
 	r.Assert(groupActions(r.actions()).stops, qt.DeepEquals, []Key{key(0)})
 }
 
-// The last end of a quiet worker is acknowledged too; the worker would list it for
-// ever.
+// Guards against leaving the last end of an idle worker unacknowledged, which the worker would
+// then list forever.
 func TestLastEndIsAcknowledged(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 0)
@@ -403,8 +401,7 @@
 	r.Assert(groupActions(r.actions()).holds, qt.HasLen, 0)
 }
 
-// While an idle fleet waits for work, a guard has nothing to do and wakes for
-// nothing.
+// Guards against timers that wake an idle guard.
 func TestIdleGuardHasNoTimer(t *testing.T) {
 	r := newRig(t)
 	r.Assert(r.m.NextTick(), qt.Equals, time.Duration(0))
--- a/internal/runs/offer_test.go
+++ b/internal/runs/offer_test.go
@@ -13,7 +13,8 @@
 
 const otherEntry = identity.Incarnation("entry-2")
 
-// newFullRig is a guard whose worker is full with four tasks of 2000, and two entries.
+// newFullRig returns a rig with two entries whose worker is fully allocated to four tasks of
+// 2 cores each.
 func newFullRig(t *testing.T) *rig {
 	r := newRig(t)
 	r.m.LinkUp(r.now, otherEntry)
@@ -33,7 +34,7 @@
 	r.m.Beat(r.now, entry, &wire.EntryBeat{ClockMs: r.now.Milliseconds(), Demand: demand})
 }
 
-// finishTask lets a task end at the worker, and gives the room that each entry is told is free.
+// finishTask lists a task as ended and returns the free CPU that is announced to each entry.
 func (r *rig) finishTask(number int64, index int) map[identity.Incarnation]int64 {
 	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: number, Key: key(index)}}})
 	return r.announcedFreeCPU()
@@ -53,9 +54,9 @@
 	return free
 }
 
-// Two entries have an urgent request waiting. The room that has become free holds the
-// task of one of them only. Given to the other in its turn, it would be used for
-// something less urgent, and the urgent request that fits be late.
+// Guards against offering capacity to an entry whose urgent task does not fit while another
+// entry has one that fits. The first entry would use it for a less urgent task, and the urgent
+// task that fits would be late.
 func TestRoomIsOfferedWhereTheMostUrgentTaskFits(t *testing.T) {
 	r := newFullRig(t)
 	r.sendDemand(testEntry, wire.RunDemand{CPU: 9000, LeastCPU: 1000, UrgentCPU: 4000})
@@ -65,21 +66,20 @@
 	r.Check(free[testEntry], qt.Equals, int64(0))
 }
 
-// An urgent job of several tasks waits. Room that ends while its entry's answer to the
-// first offer is on the way is offered to it as well: given to another entry, it would
-// be used for what is less urgent.
+// Guards against offering capacity elsewhere while an entry with an urgent job of several tasks
+// has not answered its first offer yet. Another entry would use it for a less urgent task.
 func TestUnansweredOfferIsExtended(t *testing.T) {
 	r := newFullRig(t)
 	r.sendDemand(testEntry, wire.RunDemand{CPU: 6000, LeastCPU: 2000, UrgentCPU: 2000, Priority: 1})
 	r.sendDemand(otherEntry, wire.RunDemand{CPU: 4000, LeastCPU: 2000, UrgentCPU: 2000})
 	r.Check(r.finishTask(1, 0)[otherEntry], qt.Equals, int64(2000))
 	r.Check(r.finishTask(2, 1)[otherEntry], qt.Equals, int64(4000))
-	free := r.finishTask(3, 2) // it wants no more than that
+	free := r.finishTask(3, 2) // the offer covers its demand
 	r.Check(free[testEntry], qt.Equals, int64(2000))
 }
 
-// The task for which an entry is offered room has found a place elsewhere. Told so, the
-// guard offers the room to the next entry at once rather than hold it for 20 ms.
+// Guards against reserving capacity for 20 ms after an entry has declined the offer because its
+// task was placed elsewhere. The capacity must be offered to the next entry at once.
 func TestDeclinedOfferGoesToTheNextEntry(t *testing.T) {
 	r := newFullRig(t)
 	r.sendDemand(testEntry, wire.RunDemand{CPU: 2000, LeastCPU: 2000, UrgentCPU: 2000, Priority: 1})
@@ -90,9 +90,9 @@
 	r.Check(r.announcedFreeCPU()[testEntry], qt.Equals, int64(2000))
 }
 
-// An entry is frozen while an urgent task waits there. It never answers an offer; made
-// again and again, these would keep a worker idle until the entry wakes, while callers of
-// the other entry are refused.
+// Guards against repeated offers to a frozen entry with a waiting urgent task. It answers none of
+// them, and they would keep a worker idle until it resumes, while callers of the other entry are
+// refused.
 func TestFrozenEntryReservesLittleRoom(t *testing.T) {
 	r := newFullRig(t)
 	r.sendDemand(testEntry, wire.RunDemand{CPU: 8000, LeastCPU: 2000, UrgentCPU: 2000})
@@ -108,5 +108,5 @@
 		}
 		ticks++
 	}
-	r.Check(reservedTicks < ticks/4, qt.IsTrue, qt.Commentf("held for %d of %d ms", reservedTicks, ticks))
+	r.Check(reservedTicks < ticks/4, qt.IsTrue, qt.Commentf("reserved for %d of %d ms", reservedTicks, ticks))
 }
--- a/internal/runs/pace_test.go
+++ b/internal/runs/pace_test.go
@@ -14,7 +14,7 @@
 
 const paceExpectedTime = 200 * time.Millisecond
 
-// startJobs starts a task of each job, expected to take paceExpectedTime.
+// startJobs starts one task of each job with an expected run time of paceExpectedTime.
 func (r *rig) startJobs(moved bool, jobs ...string) (keys []Key) {
 	for _, job := range jobs {
 		r.seq++
@@ -30,7 +30,7 @@
 	return keys
 }
 
-// reportProgress lets the worker list runs after some time, each at the same percent.
+// reportProgress advances the clock and lists the runs as active, all at the same percent.
 func (r *rig) reportProgress(after time.Duration, percent int64, keys ...Key) {
 	r.now += after
 	r.m.Beat(r.now, testEntry, &wire.EntryBeat{ClockMs: r.now.Milliseconds()})
@@ -41,7 +41,7 @@
 	r.answerHold(testWorker, a)
 }
 
-// stops gives the runs that are ordered to stop.
+// stops takes the actions and returns the runs that are to be stopped.
 func (r *rig) stops() []Key { return groupActions(r.actions()).stops }
 
 func jobNames(n int) (jobs []string) {
@@ -51,9 +51,9 @@
 	return jobs
 }
 
-// A worker has turned five times slower. Its runs show it after a fifth of their usual
-// time; waited for to their end, each of them made its caller wait five times as long,
-// and new ones came all the while.
+// Guards against detecting only by finished runs that a worker has become five times slower. The
+// progress of its runs shows it after a fifth of their usual time. Each run that was left to
+// finish made its caller wait five times as long, and new tasks arrived meanwhile.
 func TestRunsOnSlowWorkerAreMoved(t *testing.T) {
 	r := newRig(t)
 	keys := r.startJobs(false, jobNames(minSlowJobs)...)
@@ -61,7 +61,7 @@
 	r.Check(r.m.Worker().Slow, qt.IsTrue)
 	stopped := r.stops()
 	r.Check(stopped, qt.HasLen, minSlowJobs)
-	// Their entry is told why.
+	// The reason is reported to their entry.
 	r.now += 20 * time.Millisecond
 	var a HoldAnswer
 	for i, k := range keys {
@@ -73,9 +73,8 @@
 	}
 }
 
-// The tasks of one job take five times as long as its caller had guessed, on a worker
-// that is sound. Taken for a sign of a slow worker, they made every such job cost the
-// fleet a worker.
+// Guards against marking a healthy worker as slow because the tasks of one job take five times
+// as long as its caller had estimated. Every such job cost the fleet a worker.
 func TestOneWrongEstimateDoesNotMarkTheWorkerSlow(t *testing.T) {
 	r := newRig(t)
 	r.seq++
@@ -97,8 +96,7 @@
 	r.Check(r.stops(), qt.HasLen, 0)
 }
 
-// A task was given back by a slow worker and is slow at the next one as well. Moved again
-// and again, it would never end.
+// Guards against moving a task repeatedly that is slow on every worker. It would never finish.
 func TestTaskIsMovedOnlyOnce(t *testing.T) {
 	r := newRig(t)
 	keys := r.startJobs(true, jobNames(paceWindowJobs)...)
@@ -107,7 +105,7 @@
 	r.Check(r.stops(), qt.HasLen, 0)
 }
 
-// A slow run is nearly done. Begun again elsewhere it would end later.
+// Guards against moving a slow run that is nearly done and would finish later elsewhere.
 func TestNearlyFinishedSlowRunIsNotMoved(t *testing.T) {
 	r := newRig(t)
 	keys := r.startJobs(false, jobNames(paceWindowJobs)...)
@@ -116,7 +114,7 @@
 	r.Check(r.stops(), qt.HasLen, 0)
 }
 
-// The worker is sound again. What was slow before must not keep it out for ever.
+// Guards against excluding a worker forever because it was slow before.
 func TestRecoveredWorkerIsNotMarkedSlow(t *testing.T) {
 	r := newRig(t)
 	keys := r.startJobs(true, jobNames(paceWindowJobs)...)
--- a/internal/runs/timing_test.go
+++ b/internal/runs/timing_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Callers of another deployment send their jobs again sooner than those that the
-// times were first made for. A run that a lost guard left behind must have ended by
-// then all the same; beside it, the job would book two escorts.
+// Guards against overlapping runs in a deployment whose callers resend their jobs sooner than the
+// default. A run that a lost guard left behind must have ended by then, or the job would make its
+// booking twice.
 func TestOrphanedRunsEndBeforeCallersResend(t *testing.T) {
 	c := qt.New(t)
 	for _, resend := range []time.Duration{600, 700, 1000, 1299, 1300, 5000} {
