--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -214,7 +214,7 @@
 
 // trackProgress records the progress of a run and stops the run if it is stalled. A stalled
 // run would occupy its worker for as long as the caller waits, which may be ten times the
-// run time. On another worker the task may still finish in time, and the entry is told which
+// run time. On another worker the task may still finish in time, and the entry is informed which
 // worker hangs.
 func (m *Machine) trackProgress(now time.Duration, a Active) {
 	r := m.runs[a.Key]
