--- a/internal/runs/capacity.go
+++ b/internal/runs/capacity.go
@@ -7,22 +7,22 @@
 	"wigeontray/internal/sched"
 )
 
-// noteCapacity obeys a capacity that has changed while the worker runs. What runs there goes
-// on. Offers were made against the old capacity, and tasks that are not at the worker yet may
-// not fit any more.
-func (m *Machine) noteCapacity(now time.Duration, before sched.Room) {
-	if m.worker.Capacity == before {
+// applyCapacity handles a change of the capacity of a running worker. Its runs continue.
+// Offers are withdrawn, because they were based on the previous capacity. Runs that are not
+// at the worker yet are refused as long as the allocated capacity exceeds the new one.
+func (m *Machine) applyCapacity(now time.Duration, previous sched.Room) {
+	if m.worker.Capacity == previous {
 		return
 	}
-	for _, p := range m.entries {
-		p.offer = offer{}
+	for _, ent := range m.entries {
+		ent.offer = offer{}
 	}
-	for _, r := range m.inOrder() {
-		if r.state == awaiting && m.overfull() {
-			m.end(now, r, notRun(errkind.Busy))
+	for _, r := range m.sortedRuns() {
+		if r.state == awaitingText && m.isOverCapacity() {
+			m.endRun(now, r, endNotRun(errkind.Busy))
 		}
 	}
 }
 
-// overfull tells whether more may be at the worker than it has room for.
-func (m *Machine) overfull() bool { return !m.worker.Capacity.Holds(m.taken) }
+// isOverCapacity reports whether the allocated capacity exceeds that of the worker.
+func (m *Machine) isOverCapacity() bool { return !m.worker.Capacity.Holds(m.allocated) }
--- a/internal/runs/doubt.go
+++ b/internal/runs/doubt.go
@@ -6,63 +6,67 @@
 	"wigeontray/internal/policy"
 )
 
-// A worker that leaves some orders unanswered leaves out Holds as well: the ends of its
-// runs are then seen only when the next Hold is answered, up to renewEvery and orderTime
-// later. One notices that jobs of many short tasks are late of which no start went
-// unanswered. After the first order without an answer a guard therefore asks more often and
-// waits less long, for a while; a worker that answers is asked as seldom as before.
+// A worker that leaves some requests unanswered is called lossy. It leaves Holds unanswered as
+// well, so that the end of a run is seen only with the next answered Hold, up to renewInterval
+// plus requestTimeout later. Jobs of many short tasks were late for that reason even if each
+// start had been answered. After the first unanswered request a guard therefore polls the worker
+// more often and with shorter timeouts for lossyPeriod. A worker that answers is polled no more
+// often than before.
 const (
-	// doubtTime is how long after an order without an answer others may lack one.
-	doubtTime = 2 * time.Second
-	// doubtWait is how long a Hold then waits for an end, a quarter of a short run. With
-	// doubtOrder it is the time for which ends go unseen if its answer is lost.
-	doubtWait = 15 * time.Millisecond
-	// doubtOrder is when an order counts as unanswered then. One that was answered after
-	// all, as the guard's processor paused, is sent again under its number, which does
-	// nothing.
-	doubtOrder = 15 * time.Millisecond
+	// lossyPeriod is how long a worker counts as lossy after an unanswered request.
+	lossyPeriod = 2 * time.Second
+	// lossyHoldInterval is how long a Hold to a lossy worker waits for a run to end, a quarter
+	// of a short run. If the answer is lost, ends go unseen for this time plus
+	// lossyRequestTimeout.
+	lossyHoldInterval = 15 * time.Millisecond
+	// lossyRequestTimeout is the timeout of a request to a lossy worker. If the answer only
+	// came late because the guard's processor paused, the request is sent again with the same
+	// run number, which has no effect.
+	lossyRequestTimeout = 15 * time.Millisecond
 )
 
-// noteAnswer learns from the answer to an order, or from there being none.
-func (m *Machine) noteAnswer(now time.Duration, v Verdict) {
-	if v != NoAnswer || m.off.Has(policy.QuickOrders) {
+// recordAnswer marks the worker as lossy if a request was not answered.
+func (m *Machine) recordAnswer(now time.Duration, v Verdict) {
+	if v != NoAnswer || m.disabled.Has(policy.QuickOrders) {
 		return
 	}
-	if !m.doubts(now) {
-		m.doubtFrom = now
+	if !m.isLossy(now) {
+		m.lossySince = now
 	}
-	m.doubtful = now + doubtTime
+	m.lossyUntil = now + lossyPeriod
 }
 
-// doubts tells whether answers of the worker are expected to be missing.
-func (m *Machine) doubts(now time.Duration) bool { return now < m.doubtful }
+// isLossy reports whether the worker is expected to leave requests unanswered.
+func (m *Machine) isLossy(now time.Duration) bool { return now < m.lossyUntil }
 
-// A guard or a worker whose processor is short answers late. Taken for lost, its answers leave a
-// sound worker unusable for as long as that lasts.
+// Answers are late if the guard or the worker is short of processor time. Treating late answers
+// as lost would make a healthy worker unusable for as long as the shortage lasts, so the timeouts
+// follow the recent answer delays.
 const (
-	// delayMargin is by how much longer than answers took of late an order may lack one.
-	delayMargin = 2
-	// delayDecay is what is left of the longest delay with each answer.
-	delayDecay = 0.9
-	// mostOrder bounds the time for an answer. A few of them fit into a lease.
-	mostOrder = 160 * time.Millisecond
+	// answerDelayFactor is the ratio of a timeout to the recent longest answer delay.
+	answerDelayFactor = 2
+	// answerDelayDecay is the factor by which the longest delay decays with each answer.
+	answerDelayDecay = 0.9
+	// maxRequestTimeout is the upper limit of a timeout. A few of them fit into a lease.
+	maxRequestTimeout = 160 * time.Millisecond
 )
 
-// noteDelay learns how long the worker took to answer.
-func (m *Machine) noteDelay(took time.Duration) {
-	m.delay = max(took, time.Duration(delayDecay*float64(m.delay)))
+// recordAnswerDelay updates the recent longest answer delay of the worker.
+func (m *Machine) recordAnswerDelay(delay time.Duration) {
+	m.answerDelay = max(delay, time.Duration(answerDelayDecay*float64(m.answerDelay)))
 }
 
-// answerIn is when an order that is sent now counts as unanswered.
-func (m *Machine) answerIn(now time.Duration) time.Duration {
-	least := orderTime
-	if m.doubts(now) {
-		least = doubtOrder
+// answerTimeout returns the timeout of a request that is sent now.
+func (m *Machine) answerTimeout(now time.Duration) time.Duration {
+	minTimeout := requestTimeout
+	if m.isLossy(now) {
+		minTimeout = lossyRequestTimeout
 	}
-	return min(mostOrder, max(least, delayMargin*m.delay))
+	return min(maxRequestTimeout, max(minTimeout, answerDelayFactor*m.answerDelay))
 }
 
-// holdIn is the same for a Hold, after some that had no answer: each may take twice as long.
-func (m *Machine) holdIn(now time.Duration, unanswered int) time.Duration {
-	return min(mostOrder, m.answerIn(now)<<min(unanswered, silentHolds))
+// holdTimeout returns the timeout of a Hold that is sent now. It doubles with each consecutive
+// unanswered Hold.
+func (m *Machine) holdTimeout(now time.Duration, unanswered int) time.Duration {
+	return min(maxRequestTimeout, m.answerTimeout(now)<<min(unanswered, maxUnansweredHolds))
 }
--- a/internal/runs/machine.go
+++ b/internal/runs/machine.go
@@ -15,227 +15,232 @@
 type state uint8
 
 const (
-	starting state = iota // ordered, not answered
-	running               // the worker has it
-	stopping              // its end is ordered or wanted
-	awaiting              // the text of its job is not there yet
+	starting     state = iota // start requested, not answered
+	running                   // accepted by the worker
+	stopping                  // stop due or requested
+	awaitingText              // the text of its job is being fetched
 )
 
 // run is a run that may be at the worker.
 type run struct {
-	key      Key
-	entry    identity.Incarnation
-	need     sched.Room
-	text     string
-	state    state
-	deadline time.Duration // when it is of no use any more
-	ordered  time.Duration // when its start was first sent
-	tries    int           // starts sent
-	sent     time.Duration // when the last one was
-	answered bool          // its start was answered
-	present  time.Duration // when its start was answered
-	missed   time.Duration // when the worker first listed it neither as present nor as ended; 0 if it did not
-	expect   time.Duration // how long it should run; 0 if that is not known
-	moved    bool          // it may not be given back as slow
-	crashes  int           // of workers under the task, as far as its entry knows
-	percent  int64         // of its work, when it was last seen to advance
-	advanced time.Duration // and when that was
-	why      wire.RunEnd   // what the entry is told when it has been stopped
-	stopSent bool          // a stop is under way
-	stopAt   time.Duration // when the next stop is due if none is under way
-	stopped  time.Duration // when a stop was confirmed; 0 if none was
-}
-
-// permit is what the machine knows of one entry.
-type permit struct {
-	linked   bool
-	newest   time.Duration  // the guard's clock in the entry's newest word
-	seen     uint64         // Seq of its last RunTasks
-	age      time.Duration  // how old that was when it came
-	owed     bool           // the entry is to be told that age at once
-	lastSent time.Duration  // when it was last sent a load
-	demand   wire.RunDemand // of its tasks without room
-	offer    offer
-	unused   int    // offers in a row that the entry did not answer, up to mostUnused
-	turn     uint64 // when it was last made an offer
-	runs     int
-}
-
-// Machine is the state of one guard and its worker.
+	key             Key
+	entry           identity.Incarnation
+	need            sched.Room
+	text            string
+	state           state
+	deadline        time.Duration // when the run is stopped because its result is no longer needed
+	requestedAt     time.Duration // when the start was first sent
+	startAttempts   int           // number of starts sent
+	lastSentAt      time.Duration // when the last start was sent
+	isAccepted      bool          // the worker has confirmed the start
+	acceptedAt      time.Duration // when the worker confirmed the start
+	missingSince    time.Duration // when a Hold answer first listed the run neither as active nor as ended; 0 if none did
+	expectedTime    time.Duration // expected run time; 0 if unknown
+	hasMoved        bool          // already moved off a slow worker, must not move again
+	crashCount      int           // worker crashes during runs of the task that its entry has recorded
+	percent         int64         // progress in the newest list
+	advancedAt      time.Duration // when percent last changed
+	endAfterStop    wire.RunEnd   // reported to the entry once the stop has taken effect
+	hasStopInFlight bool          // a stop request is unanswered
+	nextStopAt      time.Duration // when the next stop request is due if none is in flight
+	stopConfirmedAt time.Duration // when the worker confirmed a stop; 0 if it has not
+}
+
+// entryState is the state kept for one entry.
+type entryState struct {
+	isLinked      bool
+	latestClock   time.Duration  // the latest guard clock that a frame of the entry carried
+	lastSeq       uint64         // Seq of its last RunTasks
+	tasksAge      time.Duration  // age of that frame on arrival
+	needsLoad     bool           // tasksAge must be sent to the entry without delay
+	loadSentAt    time.Duration  // when a load was last sent to the entry
+	demand        wire.RunDemand // of the tasks for which the entry has found no room
+	offer         offer
+	unusedOffers  int    // consecutive offers that expired unanswered, at most maxUnusedOffers
+	lastOfferTurn uint64 // Machine.offerTurns at the last offer
+	runs          int    // number of its runs in Machine.runs
+}
+
+// Machine is the state machine of one guard and its worker.
 type Machine struct {
-	timing  Timing
-	off     policy.Set
-	entries map[identity.Incarnation]*permit
-	runs    map[Key]*run
-	taken   sched.Room
-
-	worker  wire.RunWorker // as announced
-	life    life
-	next    *Report // another life that has reported and is to be verified
-	leaving bool    // the guard stops
-	drains  wire.Drains
-	pacing  pacing
-	// Answers are expected to be missing from doubtFrom until doubtful.
-	doubtFrom, doubtful time.Duration
-	delay               time.Duration // of the worker's answers, the longest of late
-
-	ends    map[identity.Incarnation][]wire.RunEnd // to be sent
-	turns   uint64                                 // offers made so far
-	actions []Action
-}
-
-// New returns the machine of a guard whose worker has not reported yet.
+	timing    Timing
+	disabled  policy.Set
+	entries   map[identity.Incarnation]*entryState
+	runs      map[Key]*run
+	allocated sched.Room // total need of runs
+
+	worker     wire.RunWorker // as announced
+	instance   instance
+	candidate  *Report // report of another worker instance, to be verified
+	isLeaving  bool    // the guard is draining
+	drains     wire.Drains
+	paceWindow paceWindow
+	// The worker counts as lossy from lossySince until lossyUntil.
+	lossySince, lossyUntil time.Duration
+	answerDelay            time.Duration // longest recent delay of an answer, decaying
+
+	pendingEnds map[identity.Incarnation][]wire.RunEnd // not sent yet
+	offerTurns  uint64                                 // number of offers made
+	actions     []Action
+}
+
+// New returns a Machine whose worker has not reported yet.
 func New(opt Options) *Machine {
 	return &Machine{
-		timing:  opt.Timing.OrDefault(),
-		off:     opt.Off,
-		entries: make(map[identity.Incarnation]*permit),
-		runs:    make(map[Key]*run),
-		ends:    make(map[identity.Incarnation][]wire.RunEnd),
+		timing:      opt.Timing.OrDefault(),
+		disabled:    opt.Off,
+		entries:     make(map[identity.Incarnation]*entryState),
+		runs:        make(map[Key]*run),
+		pendingEnds: make(map[identity.Incarnation][]wire.RunEnd),
 	}
 }
 
-// Actions returns the actions since the last call, for the caller to keep.
+// Actions returns the actions that have accumulated since the last call. The caller owns
+// the slice.
 func (m *Machine) Actions(now time.Duration) []Action {
 	m.flush(now)
-	m.pumpHold(now)
+	m.sendHoldIfDue(now)
 	out := m.actions
 	m.actions = nil
 	return out
 }
 
-// Worker describes the worker as it is announced.
+// Worker returns the description of the worker that entries receive.
 func (m *Machine) Worker() wire.RunWorker { return m.worker }
 
-// Load is the state as one entry is told it.
+// Load returns the guard's load as it is sent to the given entry.
 func (m *Machine) Load(now time.Duration, entry identity.Incarnation) wire.RunLoad {
-	p := m.entries[entry]
-	if p == nil {
-		return wire.RunLoad{ClockMs: now.Milliseconds(), Free: m.freeFor(nil)}
+	ent := m.entries[entry]
+	if ent == nil {
+		return wire.RunLoad{ClockMs: now.Milliseconds(), Free: m.freeRoomFor(nil)}
 	}
 	return wire.RunLoad{
-		ClockMs: now.Milliseconds(), Seen: p.seen, Free: m.freeFor(p),
-		AgeMs: p.age.Milliseconds(),
+		ClockMs: now.Milliseconds(), Seen: ent.lastSeq, Free: m.freeRoomFor(ent),
+		AgeMs: ent.tasksAge.Milliseconds(),
 	}
 }
 
-// Running tells how many runs may be at the worker.
+// Running returns the number of runs that may be at the worker, including those that await
+// their text.
 func (m *Machine) Running() int { return len(m.runs) }
 
-// Settled tells whether nothing runs and the worker knows that each end is noted.
-func (m *Machine) Settled() bool { return len(m.runs) == 0 && m.life.cursor == m.life.acked }
+// Settled reports whether there are no runs and the worker has received an acknowledgement
+// of every end.
+func (m *Machine) Settled() bool {
+	return len(m.runs) == 0 && m.instance.endCursor == m.instance.ackedCursor
+}
 
-func (m *Machine) free() sched.Room {
+func (m *Machine) freeRoom() sched.Room {
 	if !m.worker.Usable {
 		return sched.Room{}
 	}
-	return m.worker.Capacity.Minus(m.taken)
+	return m.worker.Capacity.Minus(m.allocated)
 }
 
-// add counts a run in.
-func (m *Machine) add(r *run) {
+// addRun records a run and allocates its capacity.
+func (m *Machine) addRun(r *run) {
 	m.runs[r.key] = r
-	m.taken = m.taken.Plus(r.need)
+	m.allocated = m.allocated.Plus(r.need)
 	m.entries[r.entry].runs++
 }
 
-// end takes a run off the books and tells its entry.
-func (m *Machine) end(now time.Duration, r *run, e wire.RunEnd) {
+// endRun removes a run, frees its capacity and queues its end for the entry.
+func (m *Machine) endRun(now time.Duration, r *run, end wire.RunEnd) {
 	delete(m.runs, r.key)
-	m.taken = m.taken.Minus(r.need)
-	if p := m.entries[r.entry]; p != nil {
-		p.runs--
+	m.allocated = m.allocated.Minus(r.need)
+	if ent := m.entries[r.entry]; ent != nil {
+		ent.runs--
 	}
-	if e.Kind == errkind.None {
-		m.ranPace(now, r)
+	if end.Kind == errkind.None {
+		m.recordFinishedPace(now, r)
 	}
-	m.forgetPace(r.key.Job)
-	if e.Ran == errkind.RanYes {
-		e.RunMs = (now - r.ordered).Milliseconds()
+	m.removeJobPace(r.key.Job)
+	if end.Ran == errkind.RanYes {
+		end.RunMs = (now - r.requestedAt).Milliseconds()
 	}
-	m.tell(r.entry, r.key, e)
-	m.forgetIdle(r.entry)
+	m.queueEnd(r.entry, r.key, end)
+	m.removeIdleEntry(r.entry)
 }
 
-// forgetIdle drops an entry that has neither link nor runs.
-func (m *Machine) forgetIdle(name identity.Incarnation) {
-	if p := m.entries[name]; p != nil && !p.linked && p.runs == 0 {
-		delete(m.entries, name)
+// removeIdleEntry deletes the state of an entry that has neither a link nor runs.
+func (m *Machine) removeIdleEntry(entry identity.Incarnation) {
+	if ent := m.entries[entry]; ent != nil && !ent.isLinked && ent.runs == 0 {
+		delete(m.entries, entry)
 	}
 }
 
-func (m *Machine) tell(entry identity.Incarnation, k Key, e wire.RunEnd) {
-	e.Job, e.Step, e.Index, e.Run = k.Job, k.Step, k.Index, k.Run
-	if p := m.entries[entry]; p != nil && p.linked {
-		m.ends[entry] = append(m.ends[entry], e)
+func (m *Machine) queueEnd(entry identity.Incarnation, k Key, end wire.RunEnd) {
+	end.Job, end.Step, end.Index, end.Run = k.Job, k.Step, k.Index, k.Run
+	if ent := m.entries[entry]; ent != nil && ent.isLinked {
+		m.pendingEnds[entry] = append(m.pendingEnds[entry], end)
 	}
 }
 
-// flush offers what is free to entries that wait for room, and sends the ends, one
-// frame an entry.
+// flush offers free capacity to waiting entries and sends the queued ends, in one frame per
+// entry.
 func (m *Machine) flush(now time.Duration) {
 	offered := m.makeOffers(now)
-	for _, name := range m.names() {
-		p := m.entries[name]
-		ends := m.ends[name]
+	for _, entry := range m.sortedEntries() {
+		ent := m.entries[entry]
+		pendingEnds := m.pendingEnds[entry]
 		switch {
-		case !p.linked:
-		case len(ends) > 0:
-			m.send(now, name, &wire.Frame{RunsEnded: &wire.RunsEnded{Ends: ends, Load: m.Load(now, name)}})
-		case offered[p] || p.owed:
-			m.send(now, name, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, name)}})
+		case !ent.isLinked:
+		case len(pendingEnds) > 0:
+			m.sendFrame(now, entry, &wire.Frame{RunsEnded: &wire.RunsEnded{Ends: pendingEnds, Load: m.Load(now, entry)}})
+		case offered[ent] || ent.needsLoad:
+			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry)}})
 		}
 	}
-	clear(m.ends)
+	clear(m.pendingEnds)
 }
 
-func (m *Machine) send(now time.Duration, to identity.Incarnation, f *wire.Frame) {
-	m.entries[to].lastSent, m.entries[to].owed = now, false
+func (m *Machine) sendFrame(now time.Duration, to identity.Incarnation, f *wire.Frame) {
+	m.entries[to].loadSentAt, m.entries[to].needsLoad = now, false
 	m.actions = append(m.actions, Action{Send: &Send{To: to, Frame: f}})
 }
 
-// announce tells all entries of a change of the worker.
-func (m *Machine) announce(now time.Duration) {
-	for _, name := range m.names() {
-		p := m.entries[name]
-		if p.linked {
-			w := m.worker
-			m.send(now, name, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, name), Worker: &w}})
+// announceWorker sends the description of the worker to all linked entries.
+func (m *Machine) announceWorker(now time.Duration) {
+	for _, entry := range m.sortedEntries() {
+		ent := m.entries[entry]
+		if ent.isLinked {
+			snapshot := m.worker
+			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry), Worker: &snapshot}})
 		}
 	}
 }
 
-// setUsable notes whether new tasks are taken, and announces a change.
-func (m *Machine) setUsable(now time.Duration, usable bool) {
-	usable = usable && !m.leaving && !m.worker.Leaving && !m.Drained()
-	if m.worker.Usable == usable {
+// setUsable sets whether the worker accepts new tasks, and announces a change. A worker that
+// is leaving or drained, or whose guard is draining, stays unusable.
+func (m *Machine) setUsable(now time.Duration, isUsable bool) {
+	isUsable = isUsable && !m.isLeaving && !m.worker.Leaving && !m.Drained()
+	if m.worker.Usable == isUsable {
 		return
 	}
-	m.worker.Usable = usable
-	m.announce(now)
+	m.worker.Usable = isUsable
+	m.announceWorker(now)
 }
 
-// Drain begins a planned stop of the guard: what runs may end, nothing is started.
+// Drain begins a planned stop of the guard: active runs may finish, new tasks are refused.
 func (m *Machine) Drain(now time.Duration) {
-	if m.leaving {
+	if m.isLeaving {
 		return
 	}
-	m.leaving = true
+	m.isLeaving = true
 	m.worker.Leaving, m.worker.Usable = true, false
-	m.announce(now)
+	m.announceWorker(now)
 }
 
-// inOrder gives the runs in a fixed order, so that the same events lead to the
-// same actions each time.
-func (m *Machine) inOrder() []*run {
+// sortedRuns returns the runs in key order, so that equal events lead to equal actions.
+func (m *Machine) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(m.runs), func(a, b *run) int { return a.key.compare(b.key) })
 }
 
-// names gives the entries in a fixed order.
-func (m *Machine) names() []identity.Incarnation { return slices.Sorted(maps.Keys(m.entries)) }
+// sortedEntries returns the names of the entries in order.
+func (m *Machine) sortedEntries() []identity.Incarnation { return slices.Sorted(maps.Keys(m.entries)) }
 
-// notRun is the end of a run that the worker never began.
-func notRun(kind errkind.Kind) wire.RunEnd { return wire.RunEnd{Kind: kind, Ran: errkind.RanNo} }
+// endNotRun returns the end of a run that never started.
+func endNotRun(kind errkind.Kind) wire.RunEnd { return wire.RunEnd{Kind: kind, Ran: errkind.RanNo} }
 
-// withdrawn is the end of a run that was stopped and may have begun.
-func withdrawn(kind errkind.Kind) wire.RunEnd { return wire.RunEnd{Kind: kind} }
+// endWithdrawn returns the end of a run that was stopped and may have started.
+func endWithdrawn(kind errkind.Kind) wire.RunEnd { return wire.RunEnd{Kind: kind} }
