--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -19,7 +19,7 @@
 // admit refuses what cannot be served, with a reason that is true for good.
 func (c *Core) admit(now time.Time, s *Spec) *errkind.Error {
 	n := len(s.Tasks)
-	fleet := &c.pool.Fleet
+	fleet := &c.pool.FleetStats
 	switch {
 	case n == 0:
 		return errkind.New(errkind.BadRequest, "a job without tasks")
@@ -31,9 +31,9 @@
 		return errkind.New(errkind.NeverFits, "%d tasks exceed the queue of %d", n, c.policy.MaxQueued)
 	case fleet.Usable == 0 && !c.anyInDoubt():
 		return errkind.New(errkind.NoWorkers, "no worker of %s is connected", c.service).WithAfter(afterNoWorkers)
-	case s.Need != (Need{}) && c.pool.Fitting(s.Need, 1) == 0 && c.fittedOnce(s.Need):
+	case s.Need != (Need{}) && c.pool.CountFitting(s.Need, 1) == 0 && c.fittedOnce(s.Need):
 		return errkind.New(errkind.NoWorkers, "the workers of %s that fit are gone", c.service).WithAfter(afterNoWorkers)
-	case s.Need != (Need{}) && c.pool.Fitting(s.Need, 1) == 0:
+	case s.Need != (Need{}) && c.pool.CountFitting(s.Need, 1) == 0:
 		return errkind.New(errkind.NeverFits, "no worker of %s has %d accelerators and %d MB of memory",
 			c.service, s.Need.Accelerators, s.Need.MemoryMB)
 	case s.Need != (Need{}) && !c.anyStays(s.Need):
@@ -49,19 +49,19 @@
 }
 
 // inTime refuses a job that cannot finish before its deadline.
-func (c *Core) inTime(now time.Time, s *Spec, fleet *sched.Fleet) *errkind.Error {
+func (c *Core) inTime(now time.Time, s *Spec, fleet *sched.FleetStats) *errkind.Error {
 	n, left := len(s.Tasks), s.Deadline.Sub(now)
 	last := now.Add(time.Duration(n-1) * sched.Spacing(left, n))
-	waiting, share := c.queue.Flow(s.Team, c.policy.Teams[s.Team].Weight)
+	waiting, share := c.queue.FlowStatus(s.Team, c.policy.Teams[s.Team].Weight)
 	// A team below its share does not wait for the others' backlog.
-	waiting = min(c.queue.Ahead(last.UnixNano()), int(float64(waiting)/share))
-	d := sched.Demand{
-		Tasks: n, Left: left,
-		Declared: time.Duration(s.DeclaredMs) * time.Millisecond,
+	waiting = min(c.queue.CountDueBy(last.UnixNano()), int(float64(waiting)/share))
+	d := sched.AdmissionRequest{
+		Tasks: n, TimeLeft: left,
+		DeclaredRunTime: time.Duration(s.DeclaredMs) * time.Millisecond,
 	}
-	sup := sched.Supply{Free: fleet.Free, Waiting: waiting, Rate: c.rate.PerSecond, Runs: c.runs}
-	if sup.Rate == 0 {
-		sup.Rate = c.nominalRate(fleet)
+	sup := sched.EntryCapacity{FreeSlots: fleet.FreeSlots, QueuedTasks: waiting, StartRate: c.rate.PerSecond, RunTimes: c.runs}
+	if sup.StartRate == 0 {
+		sup.StartRate = c.nominalRate(fleet)
 	}
 	ok, late := sched.Admit(&d, &sup)
 	if ok {
@@ -72,8 +72,8 @@
 }
 
 // nominalRate is this entry's even part of what the fleet can start a second.
-func (c *Core) nominalRate(fleet *sched.Fleet) float64 {
-	if !c.runs.Known() {
+func (c *Core) nominalRate(fleet *sched.FleetStats) float64 {
+	if !c.runs.HasEstimate() {
 		return 0
 	}
 	return float64(fleet.Slots) / c.runs.Mean.Seconds() / float64(max(1, c.policy.Entries))
@@ -86,7 +86,7 @@
 	}
 	b := c.buckets[team]
 	if b == nil {
-		b = new(sched.Bucket)
+		b = new(sched.TokenBucket)
 		c.buckets[team] = b
 	}
 	part := float64(max(1, c.policy.Entries))
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -33,10 +33,10 @@
 	classes  []*needClass   // tasks set apart until a worker has room for their need
 	apart    int            // how many tasks those are
 	timers   timerHeap
-	runs     *sched.RunTimes
-	rate     sched.Rate
-	budget   sched.Budget
-	buckets  map[string]*sched.Bucket
+	runs     *sched.RunTimeStats
+	rate     sched.StartRate
+	budget   sched.RetryBudget
+	buckets  map[string]*sched.TokenBucket
 	arrivals uint64 // times that tasks began to wait
 	owed     int    // offers that all guards still owe
 	polling  bool   // a poll timer is set
@@ -56,9 +56,9 @@
 		places:  make(map[identity.Incarnation]int),
 		jobs:    make(map[JobID]*job),
 		flights: make(map[wire.Ref]*flight),
-		runs:    sched.NewRunTimes(),
-		budget:  sched.NewBudget(),
-		buckets: make(map[string]*sched.Bucket),
+		runs:    sched.NewRunTimeStats(),
+		budget:  sched.NewRetryBudget(),
+		buckets: make(map[string]*sched.TokenBucket),
 	}
 }
 
@@ -197,7 +197,7 @@
 	if t.state != waiting || t.job.tasks == nil {
 		return false // its job was answered while it waited
 	}
-	if c.runs.Known() && t.job.spec.Deadline.Sub(now) < c.runs.P10 {
+	if c.runs.HasEstimate() && t.job.spec.Deadline.Sub(now) < c.runs.P10 {
 		c.fail(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "no time is left to run the task"})
 		return false
 	}
@@ -210,26 +210,26 @@
 	case LateBinding:
 		return false
 	case Chosen, LeastKnown:
-		return c.pool.Fleet.Open > 0
+		return c.pool.FleetStats.WithFreeSlot > 0
 	}
-	return c.pool.Fleet.Usable > 0
+	return c.pool.FleetStats.Usable > 0
 }
 
 // place chooses a worker for t, or sched.NoWorker.
 func (c *Core) place(t *task) int {
-	q := sched.Query{Domain: c.domains.number(c.policy.Domain), Avoid: t.refused, Held: t.job.held, Need: t.job.spec.Need}
+	q := sched.PlacementRequest{Domain: c.domains.number(c.policy.Domain), Excluded: t.refused, JobLocations: t.job.held, Need: t.job.spec.Need}
 	switch c.policy.Placement {
 	case Random:
-		return sched.AnyUsable(c.pool.Workers, &q, c.rng)
+		return sched.RandomUsable(c.pool.Workers, &q, c.rng)
 	case TwoChoices:
-		return sched.OfTwo(c.pool.Workers, &q, c.rng, false)
+		return sched.LeastLoadedOfTwo(c.pool.Workers, &q, c.rng, false)
 	case TwoChoicesLoad:
-		return sched.OfTwo(c.pool.Workers, &q, c.rng, true)
+		return sched.LeastLoadedOfTwo(c.pool.Workers, &q, c.rng, true)
 	}
-	if q.Need.Accelerators > 0 && c.pool.Fleet.Idle == 0 || c.awaitsOffer(t) {
+	if q.Need.Accelerators > 0 && c.pool.FleetStats.WithIdleAccelerator == 0 || c.awaitsOffer(t) {
 		return sched.NoWorker
 	}
-	return sched.LeastLoad(c.pool.Workers, &q, c.rng)
+	return sched.LeastLoaded(c.pool.Workers, &q, c.rng)
 }
 
 // When a refused task is sent on reports again. Each refusal shuts one more
@@ -247,7 +247,7 @@
 	if n == 0 || !c.reserves() || c.candidates(t, n+lastGuards+1)-n <= lastGuards {
 		return false
 	}
-	return n >= mostRefusals || c.pool.Fleet.Open < manyOpen
+	return n >= mostRefusals || c.pool.FleetStats.WithFreeSlot < manyOpen
 }
 
 // Doubt about old load reports.
@@ -263,10 +263,10 @@
 func (c *Core) poll(now time.Time) {
 	c.polling = false
 	c.forgetReservations(now)
-	c.rate.Look(now, c.queue.Len() > 0, c.nominalRate(&c.pool.Fleet))
+	c.rate.EndInterval(now, c.queue.Len() > 0, c.nominalRate(&c.pool.FleetStats))
 	for i, g := range c.guards {
-		if w := c.pool.Workers[i]; g != nil && now.Sub(g.heard) > staleLoad && w.Others > 0 {
-			w.Others--
+		if w := c.pool.Workers[i]; g != nil && now.Sub(g.heard) > staleLoad && w.OtherTasks > 0 {
+			w.OtherTasks--
 			c.pool.Set(i, w)
 		}
 	}
@@ -282,9 +282,9 @@
 	c.flights[start.Ref] = &flight{ref: start.Ref, task: t, guard: g, sent: now, queued: start.WaitMs > 0, accelerators: t.job.spec.Need.Accelerators}
 	c.addOwn(at, 1, t.job.spec.Need.Accelerators)
 	t.job.held.Add(&c.pool.Workers[at])
-	c.rate.Started()
+	c.rate.RecordStart()
 	if len(t.refused) == 0 {
-		c.budget.First(c.policy.RetryRatio)
+		c.budget.AddFirstStart(c.policy.RetryRatio)
 	}
 	if !c.watching {
 		c.watching = true
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -68,7 +68,7 @@
 		broken[inc(i)] = true
 	}
 	b.serve(1000, broken)
-	b.c.Assert(b.pool.Fleet.Usable >= 6, qt.IsTrue)
+	b.c.Assert(b.pool.FleetStats.Usable >= 6, qt.IsTrue)
 	b.c.Assert(b.submit("still taken", 1) == nil, qt.IsTrue)
 }
 
@@ -90,7 +90,7 @@
 		}
 	}
 	b.Load(b.now, frozen, &wire.Load{Seq: 9, Slots: 4, Healthy: true})
-	b.c.Assert(b.pool.Fleet.Usable, qt.Equals, 3)
+	b.c.Assert(b.pool.FleetStats.Usable, qt.Equals, 3)
 }
 
 // An upstream goes down while its guard lives on. The guard reports no slots,
@@ -207,7 +207,7 @@
 func TestLastWorkerIsTakenBackFromQuarantine(t *testing.T) {
 	b := newBench(t, 2, 8)
 	b.serve(200, map[identity.Incarnation]bool{inc(0): true})
-	b.c.Assert(b.pool.Fleet.Barred, qt.Equals, 1)
+	b.c.Assert(b.pool.FleetStats.Excluded, qt.Equals, 1)
 	b.GuardLeaving(b.now, inc(1))
 	b.c.Assert(b.submit("after the stop", 1) == nil, qt.IsTrue)
 	starts, _, _ := b.taken()
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -79,7 +79,7 @@
 func (c *Core) addGuard(h *wire.Hello) *guard {
 	place := slices.Index(c.guards, nil)
 	if place < 0 {
-		place = c.pool.Grow()
+		place = c.pool.AddWorker()
 		c.guards = append(c.guards, nil)
 	}
 	g := &guard{incarnation: h.Incarnation, worker: h.Worker, place: place}
@@ -189,7 +189,7 @@
 	if need == (Need{}) {
 		return len(c.places) == 0
 	}
-	return c.pool.Fitting(need, 1) == 0
+	return c.pool.CountFitting(need, 1) == 0
 }
 
 // forgetPlace drops a place from the lists of refusals, as another guard may
@@ -229,7 +229,7 @@
 	g.seq, g.heard = l.Seq, now
 	w := c.pool.Workers[g.place]
 	w.Slots = int32(min(max(0, l.Slots), maxSlots))
-	w.Others = max(0, int32(l.Running+l.Queued)-w.Own)
+	w.OtherTasks = max(0, int32(l.Running+l.Queued)-w.OwnTasks)
 	c.pool.Set(g.place, w)
 	if unwell := !l.Healthy; g.silent || l.Draining || unwell != g.unwell {
 		g.silent, g.unwell = false, unwell
@@ -246,7 +246,7 @@
 	case g.sick:
 		w.State = sched.Quarantined
 	case g.silent:
-		w.State = sched.Silent
+		w.State = sched.Unresponsive
 	default:
 		w.State = sched.Usable
 	}
@@ -254,7 +254,7 @@
 	if w.State != sched.Usable {
 		c.setWant(g, 0)
 	}
-	if c.pool.Fleet.Usable == 0 && c.pool.Fleet.Barred > 0 {
+	if c.pool.FleetStats.Usable == 0 && c.pool.FleetStats.Excluded > 0 {
 		c.unbar()
 	}
 }
@@ -274,8 +274,8 @@
 
 func (c *Core) addOwn(place int, n int32, accelerators int) {
 	w := c.pool.Workers[place]
-	w.Own += n
-	w.Taken += int16(n) * int16(accelerators)
+	w.OwnTasks += n
+	w.UsedAccelerators += int16(n) * int16(accelerators)
 	c.pool.Set(place, w)
 }
 
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -18,7 +18,7 @@
 	default:
 		return
 	}
-	if !g.sick && g.health.Sick() && c.pool.Fleet.MayBar() {
+	if !g.sick && g.health.Sick() && c.pool.FleetStats.CanExclude() {
 		c.quarantine(now, g)
 	}
 }
@@ -29,11 +29,11 @@
 }
 
 func (c *Core) noteRun(g *guard, took time.Duration) {
-	slow := c.runs.Known() && took > c.runs.P90
+	slow := c.runs.HasEstimate() && took > c.runs.P90
 	g.health.Ran(slow)
 	c.runs.Observe(took)
-	if w := c.pool.Workers[g.place]; w.Limit > 0 && !g.sick {
-		w.Limit = g.health.Probed(w.Limit, w.Slots, slow)
+	if w := c.pool.Workers[g.place]; w.MaxOwnTasks > 0 && !g.sick {
+		w.MaxOwnTasks = g.health.Probed(w.MaxOwnTasks, w.Slots, slow)
 		c.pool.Set(g.place, w)
 	}
 }
@@ -52,7 +52,7 @@
 	}
 	g.sick = false
 	w := c.pool.Workers[g.place]
-	w.Limit = 1
+	w.MaxOwnTasks = 1
 	c.pool.Set(g.place, w)
 	c.setState(g)
 }
@@ -86,7 +86,7 @@
 		}
 		owes := g.owes
 		g.owes = false
-		if owes && g.up && !g.silent && g.heard.Before(limit) && c.pool.Fleet.MayBar() {
+		if owes && g.up && !g.silent && g.heard.Before(limit) && c.pool.FleetStats.CanExclude() {
 			g.silent = true
 			c.setState(g)
 		}
@@ -94,7 +94,7 @@
 }
 
 func (c *Core) silentAfter() time.Duration {
-	if !c.runs.Known() {
+	if !c.runs.HasEstimate() {
 		return silentUnknown
 	}
 	return max(silentLeast, silentRuns*c.runs.P99)
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -42,7 +42,7 @@
 	open     int // tasks without a result
 	slowest  time.Duration
 	deadline *timer
-	held     sched.Sites // where its tasks were sent
+	held     sched.LocationSet // where its tasks were sent
 }
 
 func newJob(s *Spec, now time.Time) *job {
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -164,7 +164,7 @@
 	if t.job.spec.Need == (Need{}) {
 		return len(c.places)
 	}
-	return c.pool.Fitting(t.job.spec.Need, most)
+	return c.pool.CountFitting(t.job.spec.Need, most)
 }
 
 // anyStays tells whether a worker that fits is not about to leave.
--- a/internal/dispatch/need_test.go
+++ b/internal/dispatch/need_test.go
@@ -80,7 +80,7 @@
 	b.Cancel(b.now, JobID{"ayni", "k"})
 	b.answer(starts[0], errkind.None, errkind.RanYes)
 	b.answer(starts[1], errkind.None, errkind.RanYes)
-	b.c.Assert(b.pool.Workers[0].Taken, qt.Equals, int16(0))
+	b.c.Assert(b.pool.Workers[0].UsedAccelerators, qt.Equals, int16(0))
 	b.c.Assert(b.submitNeed("next", 2, Need{Accelerators: 2}) == nil, qt.IsTrue)
 	starts, _, _ = b.taken()
 	b.c.Assert(starts, qt.HasLen, 2)
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -122,6 +122,6 @@
 	c.owed += want - g.want
 	g.want = want
 	w := c.pool.Workers[g.place]
-	w.Reserved = g.want > 0
+	w.HasReservation = g.want > 0
 	c.pool.Set(g.place, w)
 }
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -63,7 +63,7 @@
 	t.refused = append(t.refused, int32(g.place))
 	if w := c.pool.Workers[g.place]; r.Kind == errkind.Busy {
 		// Its free slots, if it reports any, are held for offers.
-		w.Others = max(w.Others, w.Slots-w.Own)
+		w.OtherTasks = max(w.OtherTasks, w.Slots-w.OwnTasks)
 		c.pool.Set(g.place, w)
 	}
 	if n := len(t.refused); n >= c.candidates(t, n+1) {
@@ -84,13 +84,13 @@
 // retry sends a refused task again if the budget allows it, or sets a moment to
 // ask again.
 func (c *Core) retry(now time.Time, t *task) {
-	if c.budget.Take() {
+	if c.budget.TryTake() {
 		c.arrivals++
 		c.enqueue(t)
 		return
 	}
 	t.backoffs++
-	c.timers.add(now.Add(sched.Backoff(t.backoffs, c.rng)), timer{task: t})
+	c.timers.add(now.Add(sched.BackoffDelay(t.backoffs, c.rng)), timer{task: t})
 }
 
 // retryable tells whether another guard may answer otherwise. The kinds left
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -2,85 +2,90 @@
 
 import "time"
 
-// Demand is a job that asks to be admitted.
-type Demand struct {
-	Tasks    int
-	Left     time.Duration // until its deadline
-	Declared time.Duration // the caller's estimate of one run; 0 for none
+// AdmissionRequest describes a job that is to be admitted.
+type AdmissionRequest struct {
+	Tasks           int
+	TimeLeft        time.Duration // time until its deadline
+	DeclaredRunTime time.Duration // the caller's estimate of a task's run time; 0 for none
 }
 
-// Supply is what an entry can give it.
-type Supply struct {
-	Free    int     // slots believed free
-	Waiting int     // tasks queued in front of the job
-	Rate    float64 // task starts a second that the job's queue gets; 0 if unknown
-	Runs    *RunTimes
+// EntryCapacity describes what one entry can offer a job.
+type EntryCapacity struct {
+	FreeSlots   int     // estimated free slots
+	QueuedTasks int     // tasks queued ahead of the job
+	StartRate   float64 // task starts per second for the job's queue; 0 if unknown
+	RunTimes    *RunTimeStats
 }
 
-// declaredMargin is how many times over a deadline a declared run time must be
-// before it alone refuses a job: the declared ones are off by a factor of 8.
-const declaredMargin = 10
+// declaredRunTimeDivisor is the factor by which a declared run time must exceed
+// the time left before it causes a refusal by itself. Declared run times are
+// off by a factor of 8.
+const declaredRunTimeDivisor = 10
 
-// Admit estimates how long the job would take. Beyond the time that it has
-// left, it is refused, and late tells by how much: coming back after that time
-// meets a shorter queue. An estimate errs towards admitting while nothing is
-// known.
-func Admit(d *Demand, s *Supply) (ok bool, late time.Duration) {
-	wait := Wait(s.Waiting+d.Tasks-s.Free, s.Rate)
-	need := wait
+// Admit reports whether a job is expected to finish before its deadline.
+// lateness is the estimated finish time minus the deadline; after a refusal, a
+// caller that waits that long meets a shorter queue. While no run times have
+// been observed, the estimate favours admission.
+func Admit(req *AdmissionRequest, capacity *EntryCapacity) (admitted bool, lateness time.Duration) {
+	wait := EstimateWait(capacity.QueuedTasks+req.Tasks-capacity.FreeSlots, capacity.StartRate)
+	estimate := wait
 	switch {
-	case !s.Runs.Known():
-		need += d.Declared / declaredMargin
+	case !capacity.RunTimes.HasEstimate():
+		estimate += req.DeclaredRunTime / declaredRunTimeDivisor
 	case wait == 0:
-		need += s.Runs.P10 // it starts at once; refuse only what hardly can end
+		estimate += capacity.RunTimes.P10 // the job starts at once; refuse it only if even a quick run is too long
 	default:
-		// The queue lets small jobs past the tail of a big one.
-		need += s.Runs.Longest(d.Tasks) + time.Duration(d.Tasks-1)*Spacing(d.Left, d.Tasks)
+		// The queue orders small jobs before the last tasks of a large one.
+		estimate += capacity.RunTimes.EstimateLongest(req.Tasks) + time.Duration(req.Tasks-1)*Spacing(req.TimeLeft, req.Tasks)
 	}
-	return need <= d.Left, need - d.Left
+	return estimate <= req.TimeLeft, estimate - req.TimeLeft
 }
 
-// waitMargin is added to the estimate of a wait. Without it, half of the
-// estimates are too short, and at twice the capacity a twentieth of the slots'
-// time goes to jobs that miss their deadline with most of their tasks done.
-const waitMargin = 1.2
+// waitSafetyFactor multiplies the estimated wait. Without it, half of the
+// estimates are too short, and at twice the capacity a twentieth of the slot
+// time is spent on jobs that miss their deadline with most of their tasks done.
+const waitSafetyFactor = 1.2
 
-// Wait is how long a queue of so many tasks takes to be started.
-func Wait(tasks int, rate float64) time.Duration {
+// EstimateWait returns the expected time until the given number of queued tasks
+// has been started.
+func EstimateWait(tasks int, rate float64) time.Duration {
 	if tasks <= 0 || rate <= 0 {
 		return 0
 	}
-	return time.Duration(waitMargin * float64(tasks) / rate * float64(time.Second))
+	return time.Duration(waitSafetyFactor * float64(tasks) / rate * float64(time.Second))
 }
 
-// rateMemory is the time constant over which Rate forgets.
-const rateMemory = 500 * time.Millisecond
+// rateTimeConstant is the time constant of the moving average in StartRate.
+const rateTimeConstant = 500 * time.Millisecond
 
-// Rate learns how many tasks an entry can start in a second while tasks wait:
-// its present share of the fleet, whatever the other entries take.
-type Rate struct {
-	PerSecond float64
-	since     time.Time
-	starts    int
-	open      bool // tasks were waiting at the last look
+// StartRate estimates how many tasks per second an entry can start while it has
+// a backlog. The estimate reflects the entry's current share of the fleet,
+// whatever the other entries use.
+type StartRate struct {
+	PerSecond     float64
+	intervalStart time.Time
+	starts        int
+	hadBacklog    bool // tasks were waiting at the end of the previous interval
 }
 
-// Started notes one start.
-func (r *Rate) Started() { r.starts++ }
+// RecordStart counts one task start in the current interval.
+func (r *StartRate) RecordStart() { r.starts++ }
 
-// Look closes an interval. waiting tells whether tasks still wait; an interval
-// counts when they did at its begin, as an idle entry starts less than it could.
-// If they had to wait at its end too, the very starts that empty a short queue
-// would not count, and a quiet entry would believe in a rate near zero. nominal
-// is the first estimate.
-func (r *Rate) Look(now time.Time, waiting bool, nominal float64) {
-	passed := now.Sub(r.since)
+// EndInterval closes the current interval and updates the estimate. hasBacklog
+// reports whether tasks are waiting now; nominal is the initial estimate.
+//
+// An interval counts only if tasks were waiting when it began, because an idle
+// entry starts fewer tasks than it could. Requiring a backlog at its end as
+// well would discard exactly the starts that empty a short queue, and the
+// estimate of a lightly loaded entry would drop to nearly zero.
+func (r *StartRate) EndInterval(now time.Time, hasBacklog bool, nominal float64) {
+	elapsed := now.Sub(r.intervalStart)
 	if r.PerSecond == 0 {
 		r.PerSecond = nominal
 	}
-	if r.open && passed > 0 {
-		w := min(1, passed.Seconds()/rateMemory.Seconds())
-		r.PerSecond += w * (float64(r.starts)/passed.Seconds() - r.PerSecond)
+	if r.hadBacklog && elapsed > 0 {
+		weight := min(1, elapsed.Seconds()/rateTimeConstant.Seconds())
+		r.PerSecond += weight * (float64(r.starts)/elapsed.Seconds() - r.PerSecond)
 	}
-	r.since, r.starts, r.open = now, 0, waiting
+	r.intervalStart, r.starts, r.hadBacklog = now, 0, hasBacklog
 }
--- a/internal/sched/due.go
+++ b/internal/sched/due.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// Shape of dueCounts: it resolves about 16 s.
+// Dimensions of a dueHistogram. Together they cover about 16 s.
 const (
-	dueWidth = int64(32 * time.Millisecond)
-	dueSlots = 512
+	dueSlotWidth = int64(32 * time.Millisecond)
+	dueSlotCount = 512
 )
 
-// dueCounts counts the items of a queue by the moment at which they are due, in
-// a ring of slots. Items beyond the ring's end are counted in its last slot.
-// With a plain count of all items, a job of 400 tasks would make every small
-// job's wait look like its own, and they would be refused though they overtake.
-type dueCounts struct {
-	counts [dueSlots]int32
-	first  int64 // number of the ring's first slot
-	total  int
+// dueHistogram counts the items of a queue by due time, in a ring of slots.
+// Items due after the end of the ring are counted in its last slot.
+//
+// Admission uses it instead of the queue's length: with the length, one job of
+// 400 tasks would make every small job's expected wait as long as its own, and
+// small jobs would be refused although the queue serves them first.
+type dueHistogram struct {
+	counts    [dueSlotCount]int32
+	firstSlot int64 // absolute number of the first slot in the ring
+	total     int
 }
 
-func (d *dueCounts) clamp(due int64) int64 {
-	return min(max(due/dueWidth, d.first), d.first+dueSlots-1)
+func (d *dueHistogram) clampedSlot(due int64) int64 {
+	return min(max(due/dueSlotWidth, d.firstSlot), d.firstSlot+dueSlotCount-1)
 }
 
-// add counts an item and gives the slot to remove it from.
-func (d *dueCounts) add(due int64) int64 {
-	slot := due / dueWidth
+// add counts an item and returns the slot to pass to remove.
+func (d *dueHistogram) add(due int64) int64 {
+	slot := due / dueSlotWidth
 	if d.total == 0 {
-		d.first = slot
+		d.firstSlot = slot
 	}
-	for d.first+dueSlots-1 < slot && d.counts[d.first%dueSlots] == 0 {
-		d.first++
+	for d.firstSlot+dueSlotCount-1 < slot && d.counts[d.firstSlot%dueSlotCount] == 0 {
+		d.firstSlot++
 	}
-	slot = d.clamp(due)
-	d.counts[slot%dueSlots]++
+	slot = d.clampedSlot(due)
+	d.counts[slot%dueSlotCount]++
 	d.total++
 	return slot
 }
 
-// remove takes an item away. A ring that begins at an item's slot cannot move
-// past it before, so the slot is still there.
-func (d *dueCounts) remove(slot int64) {
-	d.counts[slot%dueSlots]--
+// remove uncounts an item. The ring's start never moves past a slot that is in
+// use, so the slot is still in the ring.
+func (d *dueHistogram) remove(slot int64) {
+	d.counts[slot%dueSlotCount]--
 	d.total--
 }
 
-func (d *dueCounts) upTo(due int64) int {
+func (d *dueHistogram) countUpTo(due int64) int {
 	if d.total == 0 {
 		return 0
 	}
-	sum := 0
-	for slot := d.first; slot <= d.clamp(due); slot++ {
-		sum += int(d.counts[slot%dueSlots])
+	count := 0
+	for slot := d.firstSlot; slot <= d.clampedSlot(due); slot++ {
+		count += int(d.counts[slot%dueSlotCount])
 	}
-	return sum
+	return count
 }
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -5,80 +5,81 @@
 	"time"
 )
 
-// Rules of quarantine.
+// Quarantine thresholds and limits.
 const (
-	failedJobs   = 3  // jobs in a row that failed on the worker
-	slowSample   = 12 // newest runs that are looked at for slowness
-	slowMost     = 8  // of them, runs beyond the fleet's 90th percentile
-	firstPenalty = time.Second
-	mostPenalty  = 8 * time.Second
-	slowProbes   = 3 // slow runs that end a probation
+	failedJobThreshold    = 3  // consecutive failed jobs that cause a quarantine
+	slowWindow            = 12 // number of latest runs that are checked for slowness
+	slowRunThreshold      = 8  // slow runs in the window that cause a quarantine; a run is slow above the fleet's 90th percentile
+	minQuarantineInterval = time.Second
+	maxQuarantineInterval = 8 * time.Second
+	slowProbeThreshold    = 3 // slow runs during probation that cause another quarantine
 )
 
-// Health is one entry's record of one worker.
+// Health tracks the failures and slow runs of one worker, as seen by one entry,
+// and decides when to quarantine it.
 //
-// A worker that fails every task at once looks idle, so a placement by load
-// sends it everything: one bad worker in eleven then fails most jobs. A slow
-// one holds up every job that has a task on it.
+// A worker that fails every task at once looks idle, so that placement by load
+// sends it everything: one such worker out of eleven makes most jobs fail. A
+// slow worker delays every job that has a task on it.
 type Health struct {
-	lastFailed string // key of the newest job that failed on it
-	failed     int    // different jobs failed in a row
-	runs       uint16 // newest runs: 1 where beyond the fleet's 90th percentile
-	seen       int    // runs in it
-	penalty    time.Duration
-	probing    bool // it comes back from a quarantine
+	lastFailedJob      string // key of the latest job that failed on the worker
+	failedJobs         int    // consecutive distinct jobs that failed
+	slowBits           uint16 // latest runs, newest in bit 0; 1 for a run above the fleet's 90th percentile
+	observedRuns       int    // number of valid bits in slowBits
+	quarantineInterval time.Duration
+	isOnProbation      bool // a quarantine has ended and full use is not restored yet
 }
 
-// Failed notes a task that failed on the worker. Several tasks of one job count
-// once, as the job itself may be what fails.
-func (h *Health) Failed(key string) {
-	if key != h.lastFailed {
-		h.lastFailed = key
-		h.failed++
+// Failed records a failed task. Several failed tasks of one job count once,
+// because the job itself may be the cause.
+func (h *Health) Failed(jobKey string) {
+	if jobKey != h.lastFailedJob {
+		h.lastFailedJob = jobKey
+		h.failedJobs++
 	}
 }
 
-// Ran notes a task that ran to its end, and whether it was slow by the fleet's
-// measure.
-func (h *Health) Ran(slow bool) {
-	h.failed, h.lastFailed = 0, ""
-	h.runs <<= 1
-	if slow {
-		h.runs |= 1
+// Ran records a completed task. isSlow reports whether its run time exceeded
+// the fleet's 90th percentile.
+func (h *Health) Ran(isSlow bool) {
+	h.failedJobs, h.lastFailedJob = 0, ""
+	h.slowBits <<= 1
+	if isSlow {
+		h.slowBits |= 1
 	}
-	h.seen = min(h.seen+1, slowSample)
+	h.observedRuns = min(h.observedRuns+1, slowWindow)
 }
 
-// Sick tells whether the worker should get no more tasks for now.
+// Sick reports whether the worker should be quarantined.
 func (h *Health) Sick() bool {
-	slow := bits.OnesCount16(h.runs & (1<<slowSample - 1))
-	if h.probing && slow >= slowProbes {
+	slowRuns := bits.OnesCount16(h.slowBits & (1<<slowWindow - 1))
+	if h.isOnProbation && slowRuns >= slowProbeThreshold {
 		return true
 	}
-	return h.failed >= failedJobs || h.seen >= slowSample && slow >= slowMost
+	return h.failedJobs >= failedJobThreshold || h.observedRuns >= slowWindow && slowRuns >= slowRunThreshold
 }
 
-// Quarantine shuts the worker out and tells until when. Each time in a row it
-// lasts twice as long. The first failure after it counts like the last one
-// before it, so that a probe of a worker that still fails costs one task.
+// Quarantine starts a quarantine and returns its end. Each consecutive one
+// lasts twice as long. The failure count is left one below the threshold, so
+// that probing a worker that still fails costs a single task.
 func (h *Health) Quarantine(now time.Time) (until time.Time) {
-	h.penalty = min(mostPenalty, max(firstPenalty, 2*h.penalty))
-	h.failed, h.lastFailed, h.runs, h.seen = failedJobs-1, "", 0, 0
-	h.probing = true
-	return now.Add(h.penalty)
+	h.quarantineInterval = min(maxQuarantineInterval, max(minQuarantineInterval, 2*h.quarantineInterval))
+	h.failedJobs, h.lastFailedJob, h.slowBits, h.observedRuns = failedJobThreshold-1, "", 0, 0
+	h.isOnProbation = true
+	return now.Add(h.quarantineInterval)
 }
 
-// Probed notes a good run on a worker that comes back and gives its new limit
-// of tasks, which doubles up to its slots; 0 when it is wholly back. A slow run
-// leaves the limit.
-func (h *Health) Probed(limit, slots int32, slow bool) int32 {
-	if slow {
+// Probed records a completed run during probation and returns the new limit on
+// concurrent tasks. The limit doubles up to the number of slots and is 0 when
+// probation is over. A slow run leaves it unchanged.
+func (h *Health) Probed(limit, slots int32, isSlow bool) int32 {
+	if isSlow {
 		return limit
 	}
 	if limit *= 2; limit < slots {
 		return limit
 	}
-	h.probing = false
-	h.penalty /= 2
+	h.isOnProbation = false
+	h.quarantineInterval /= 2
 	return 0
 }
--- a/internal/sched/need.go
+++ b/internal/sched/need.go
@@ -1,46 +1,50 @@
 package sched
 
-// Need is what one task must find on its worker. The zero value fits any.
+// Need is the resource requirement of one task. The zero value fits any worker.
 type Need struct {
-	Accelerators int // whole ones, for the task alone while it runs
-	// MemoryMB is the declared size in megabytes. It is known to be far off, so
-	// it only rules out workers that are smaller as a whole; nothing is reserved.
+	Accelerators int // whole accelerators, used exclusively while the task runs
+	// MemoryMB is the declared memory size in megabytes. Declared sizes are far
+	// off, so that it only excludes workers whose total memory is smaller; no
+	// memory is reserved.
 	MemoryMB int
 }
 
-// Fits tells whether the worker, were it idle, could run a task. A worker that
-// has not announced its memory fits any size.
-func (w *Worker) Fits(n Need) bool {
-	return int(w.Accelerators) >= n.Accelerators && (w.MemoryMB == 0 || int(w.MemoryMB) >= n.MemoryMB)
+// Fits reports whether the worker could run such a task if it were idle. A
+// worker with unknown memory fits any size.
+func (w *Worker) Fits(need Need) bool {
+	return int(w.Accelerators) >= need.Accelerators && (w.MemoryMB == 0 || int(w.MemoryMB) >= need.MemoryMB)
 }
 
-// HasRoom tells whether the worker fits and this entry's own tasks leave enough
-// of its accelerators. Those of other entries are not known; the slots bound them.
-func (w *Worker) HasRoom(n Need) bool {
-	return w.Fits(n) && (n.Accelerators == 0 || int(w.Accelerators-w.Taken) >= n.Accelerators)
+// HasRoom reports whether the worker fits and this entry's tasks leave enough
+// of its accelerators free. The accelerators used by other entries are unknown;
+// the worker's slots limit them.
+func (w *Worker) HasRoom(need Need) bool {
+	return w.Fits(need) && (need.Accelerators == 0 || int(w.Accelerators-w.UsedAccelerators) >= need.Accelerators)
 }
 
-// busyRun counts the workers at the front of a slice that have too few idle
-// accelerators. Where none has enough, a scan of 820 workers that looked at each
-// as at any other took 2.8 microseconds.
-func busyRun(ws []Worker, idle int16) int {
+// busyPrefixLen returns the number of workers at the start of ws that have
+// fewer idle accelerators than required. It lets LeastLoaded skip them quickly:
+// where no worker has enough, scoring each of 820 workers took 2.8
+// microseconds.
+func busyPrefixLen(ws []Worker, required int16) int {
 	for i := range ws {
-		if ws[i].Accelerators-ws[i].Taken >= idle {
+		if ws[i].Accelerators-ws[i].UsedAccelerators >= required {
 			return i
 		}
 	}
 	return len(ws)
 }
 
-// Fitting counts the workers that fit, whatever their state, up to most.
-func (p *Pool) Fitting(n Need, most int) int {
-	found := 0
+// CountFitting counts the workers that fit, in any state but Absent, up to
+// limit.
+func (p *Pool) CountFitting(need Need, limit int) int {
+	count := 0
 	for i := range p.Workers {
-		if w := &p.Workers[i]; w.State != Absent && w.Fits(n) {
-			if found++; found >= most {
+		if w := &p.Workers[i]; w.State != Absent && w.Fits(need) {
+			if count++; count >= limit {
 				break
 			}
 		}
 	}
-	return found
+	return count
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -5,156 +5,160 @@
 	"math/rand/v2"
 )
 
-// NoWorker is the answer of a placement that found nothing.
+// NoWorker is returned by placement functions that found no worker.
 const NoWorker = -1
 
-// window bounds how many workers a placement looks at before it takes the best
-// one seen with a free slot. The least loaded of 64 workers chosen at random is
-// as good as the least loaded of all; the bound keeps the cost of a decision
-// from growing with the fleet.
-const window = 64
-
-// mostSeen bounds the scan where hardly a worker has a free slot; a task that
-// finds none is bound by an offer instead.
-const mostSeen = 512
-
-// Query is one placement.
-type Query struct {
-	Domain uint16  // failure domain of the entry that asks
-	Avoid  []int32 // workers that gave their final word on the task
-	Held   Sites   // where the job already has tasks
-	Need   Need    // of the task
+// scanWindow is the number of workers after which a scan stops if it has found
+// one with a free slot. The least loaded of 64 workers chosen at random is as
+// good as the least loaded of all, and the bound keeps the cost of a decision
+// independent of the fleet's size.
+const scanWindow = 64
+
+// maxScanned bounds a scan when hardly any worker has a free slot. A task for
+// which none is found waits for an offer instead.
+const maxScanned = 512
+
+// PlacementRequest describes a task to be placed.
+type PlacementRequest struct {
+	Domain       uint16      // failure domain of the requesting entry
+	Excluded     []int32     // indexes of workers that have refused the task for good
+	JobLocations LocationSet // failure domains and racks of the job's other tasks
+	Need         Need        // resource requirement of the task
 }
 
-func (q *Query) avoids(i int32) bool {
-	for _, a := range q.Avoid {
-		if a == i {
+func (req *PlacementRequest) isExcluded(i int32) bool {
+	for _, excluded := range req.Excluded {
+		if excluded == i {
 			return true
 		}
 	}
 	return false
 }
 
-// LeastLoad picks the worker with the most slots believed free, and among
-// equals one in the entry's own failure domain, or NoWorker when every slot is
-// believed to be taken. The scan begins at a random worker: entries that began
-// at the same one would send their tasks to the same place.
-func LeastLoad(ws []Worker, q *Query, rng *rand.Rand) int {
+// LeastLoaded returns the index of the worker with the most free slots, or
+// NoWorker if no slot is free by the entry's estimate. Among equals it prefers
+// the entry's own failure domain. The scan starts at a random index: entries
+// that all started at the same one would send their tasks to the same workers.
+func LeastLoaded(ws []Worker, req *PlacementRequest, rng *rand.Rand) int {
 	n := len(ws)
 	if n == 0 {
 		return NoWorker
 	}
 	best, bestScore := NoWorker, int32(0)
-	at := rng.IntN(n)
-	idle := int16(min(q.Need.Accelerators, math.MaxInt16))
-	most := mostSeen
-	if q.Need != (Need{}) {
-		most = n // few workers may fit; past them, the task would wait for another event
+	i := rng.IntN(n)
+	accelerators := int16(min(req.Need.Accelerators, math.MaxInt16))
+	scanLimit := maxScanned
+	if req.Need != (Need{}) {
+		scanLimit = n // few workers may fit; a task that misses them would wait for the next event
 	}
-	for seen := 0; seen < min(n, most); seen++ {
-		if seen >= window && best != NoWorker {
+	for scanned := 0; scanned < min(n, scanLimit); scanned++ {
+		if scanned >= scanWindow && best != NoWorker {
 			break
 		}
-		if idle > 0 {
-			run := busyRun(ws[at:], idle)
-			seen += run
-			if at += run; at == n {
-				at, seen = 0, seen-1 // the end of the slice is no worker
+		if accelerators > 0 {
+			busy := busyPrefixLen(ws[i:], accelerators)
+			scanned += busy
+			if i += busy; i == n {
+				i, scanned = 0, scanned-1 // wrapping around does not count as a scanned worker
 				continue
 			}
 		}
-		if s := score(&ws[at], q); s > bestScore && !q.avoids(int32(at)) {
-			best, bestScore = at, s
+		if s := score(&ws[i], req); s > bestScore && !req.isExcluded(int32(i)) {
+			best, bestScore = i, s
 		}
-		if at++; at == n {
-			at = 0
+		if i++; i == n {
+			i = 0
 		}
 	}
 	return best
 }
 
-// Sites is a set of failure domains and racks. Numbers from 64 on share a bit,
-// which only blurs a preference.
-type Sites struct{ domains, racks uint64 }
+// LocationSet is a set of failure domains and racks, by numeric ID modulo 64.
+// IDs that collide only make a preference less precise.
+type LocationSet struct{ domains, racks uint64 }
 
-// Add puts the worker's domain and rack into the set.
-func (s *Sites) Add(w *Worker) {
+// Add adds the worker's failure domain and rack.
+func (s *LocationSet) Add(w *Worker) {
 	s.domains |= 1 << (w.Domain % 64)
 	s.racks |= 1 << (w.Rack % 64)
 }
 
-func (s *Sites) hasDomain(w *Worker) bool { return s.domains&(1<<(w.Domain%64)) != 0 }
-func (s *Sites) hasRack(w *Worker) bool   { return s.racks&(1<<(w.Rack%64)) != 0 }
+func (s *LocationSet) hasDomain(w *Worker) bool { return s.domains&(1<<(w.Domain%64)) != 0 }
+func (s *LocationSet) hasRack(w *Worker) bool   { return s.racks&(1<<(w.Rack%64)) != 0 }
 
-// Weights of a worker's score.
+// Weights in a worker's score.
 const (
-	freeWeight   = 2  // a slot believed free
-	nearWeight   = 1  // it is in the entry's own domain
-	domainWeight = 16 // the job already has tasks in its domain
-	rackWeight   = 2  // and in its rack
+	freeSlotWeight    = 2  // for each free slot
+	entryDomainWeight = 1  // the worker is in the entry's failure domain
+	jobDomainWeight   = 16 // the job already has tasks in the worker's failure domain
+	jobRackWeight     = 2  // the job already has tasks in the worker's rack
 )
 
-// score orders workers with a free slot: first those in a domain where the job
-// already has tasks, then by free slots, then those near the entry.
+// score rates a worker for placement; 0 means that it cannot be used. Workers
+// in a failure domain where the job already has tasks come first, then those
+// with more free slots, then those in the entry's failure domain.
 //
-// A job fails as a whole when one of its tasks is lost. Spread over all domains
-// it is hit by the loss of any; kept together, by that of one only.
-func score(w *Worker, q *Query) int32 {
-	if w.Free() <= 0 || q.Need.MemoryMB > 0 && !w.Fits(q.Need) {
+// A job fails as a whole when one of its tasks is lost. Spread over all failure
+// domains, it would fail with the loss of any of them; kept together, it fails
+// with the loss of one.
+func score(w *Worker, req *PlacementRequest) int32 {
+	if w.FreeSlots() <= 0 || req.Need.MemoryMB > 0 && !w.Fits(req.Need) {
 		return 0
 	}
-	// A worker that is probed counts with all its slots: by its limit it would
-	// come last, and in a quiet fleet never be probed.
-	s := (w.Slots - w.Own - w.Others) * freeWeight
-	if w.Domain == q.Domain {
-		s += nearWeight
+	// A worker on probation is scored by all of its slots. Scored by its limit,
+	// it would come last and, in a lightly loaded fleet, never get the task
+	// that ends its probation.
+	s := (w.Slots - w.OwnTasks - w.OtherTasks) * freeSlotWeight
+	if w.Domain == req.Domain {
+		s += entryDomainWeight
 	}
-	if q.Held.hasDomain(w) {
-		s += domainWeight
+	if req.JobLocations.hasDomain(w) {
+		s += jobDomainWeight
 	}
-	if q.Held.hasRack(w) {
-		s += rackWeight
+	if req.JobLocations.hasRack(w) {
+		s += jobRackWeight
 	}
 	return s
 }
 
-// choices is how many workers TwoChoices compares.
-const choices = 2
+// choiceCount is the number of random workers that LeastLoadedOfTwo compares.
+const choiceCount = 2
 
-// AnyUsable picks a usable worker with room for the need at random, whatever
-// its load.
-func AnyUsable(ws []Worker, q *Query, rng *rand.Rand) int {
+// RandomUsable returns the index of a random usable worker that has room for
+// the task, regardless of its load, or NoWorker.
+func RandomUsable(ws []Worker, req *PlacementRequest, rng *rand.Rand) int {
 	if len(ws) == 0 {
 		return NoWorker
 	}
-	at := rng.IntN(len(ws))
+	i := rng.IntN(len(ws))
 	for range ws {
-		if ws[at].State == Usable && ws[at].HasRoom(q.Need) && !q.avoids(int32(at)) {
-			return at
+		if ws[i].State == Usable && ws[i].HasRoom(req.Need) && !req.isExcluded(int32(i)) {
+			return i
 		}
-		if at++; at == len(ws) {
-			at = 0
+		if i++; i == len(ws) {
+			i = 0
 		}
 	}
 	return NoWorker
 }
 
-// OfTwo picks the better of two usable workers drawn at random: by the tasks
-// that this entry has there, or with others by all tasks known there.
-func OfTwo(ws []Worker, q *Query, rng *rand.Rand, others bool) int {
+// LeastLoadedOfTwo returns the less loaded of two usable workers drawn at
+// random, or NoWorker. The load is the number of this entry's tasks, or of all
+// reported tasks if includeOthers is set.
+func LeastLoadedOfTwo(ws []Worker, req *PlacementRequest, rng *rand.Rand, includeOthers bool) int {
 	best := NoWorker
-	for range choices {
-		at := AnyUsable(ws, q, rng)
-		if best == NoWorker || at != NoWorker && taken(&ws[at], others) < taken(&ws[best], others) {
-			best = at
+	for range choiceCount {
+		i := RandomUsable(ws, req, rng)
+		if best == NoWorker || i != NoWorker && taskCount(&ws[i], includeOthers) < taskCount(&ws[best], includeOthers) {
+			best = i
 		}
 	}
 	return best
 }
 
-func taken(w *Worker, others bool) int32 {
-	if others {
-		return w.Own + w.Others
+func taskCount(w *Worker, includeOthers bool) int32 {
+	if includeOthers {
+		return w.OwnTasks + w.OtherTasks
 	}
-	return w.Own
+	return w.OwnTasks
 }
--- a/internal/sched/quota.go
+++ b/internal/sched/quota.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Bucket is a token bucket of one team at one entry. Each entry holds its even
-// part of the quota, so that no request costs a message: together the entries
-// never admit more than the quota, except that a job larger than a full bucket
-// is admitted when the bucket is full and paid back after.
-type Bucket struct {
-	tokens float64
-	last   time.Time
+// TokenBucket limits the task starts of one team at one entry. Each entry holds
+// an equal part of the team's quota, so that no request needs a message to
+// another entry. Together the entries never admit more than the quota, with one
+// exception: a job larger than a full bucket is admitted when the bucket is
+// full, and the bucket's balance becomes negative.
+type TokenBucket struct {
+	tokens     float64
+	lastRefill time.Time
 }
 
-// Take takes n tokens at rate a second, up to burst. When it may not, after
-// tells when it may. A rate of 0 is no limit.
-func (b *Bucket) Take(now time.Time, n, rate, burst float64) (ok bool, after time.Duration) {
+// Take removes n tokens from a bucket that refills at rate tokens per second up
+// to burst. If too few are left, it removes none and retryAfter is the time
+// until they are available. A rate of 0 means no limit.
+func (b *TokenBucket) Take(now time.Time, n, rate, burst float64) (allowed bool, retryAfter time.Duration) {
 	if rate <= 0 {
 		return true, 0
 	}
 	burst = max(burst, 1)
-	if b.last.IsZero() {
+	if b.lastRefill.IsZero() {
 		b.tokens = burst
 	} else {
-		b.tokens = min(burst, b.tokens+rate*now.Sub(b.last).Seconds())
+		b.tokens = min(burst, b.tokens+rate*now.Sub(b.lastRefill).Seconds())
 	}
-	b.last = now
-	need := min(n, burst)
-	if b.tokens < need {
-		return false, time.Duration((need - b.tokens) / rate * float64(time.Second))
+	b.lastRefill = now
+	required := min(n, burst)
+	if b.tokens < required {
+		return false, time.Duration((required - b.tokens) / rate * float64(time.Second))
 	}
 	b.tokens -= n
 	return true, 0
--- a/internal/sched/ratio.go
+++ b/internal/sched/ratio.go
@@ -2,47 +2,49 @@
 
 import "time"
 
-// Ratio learns how run times compare with their callers' estimates. An estimate
-// is off by as much as half, but the callers of one queue are off alike.
+// Ratio learns the ratio of actual to estimated run times. A caller's estimate
+// is off by as much as half, but the estimates for one queue are off in the
+// same way.
 //
-// It keeps medians. With means, a few seconds in which a fifth of the tasks of a
-// queue took twenty times as long made every job look hopeless: they were refused
-// while workers stood idle.
+// It tracks medians. With means, a few seconds in which a fifth of a queue's
+// tasks took twenty times as long made every job appear unable to meet its
+// deadline: jobs were refused while workers were idle.
 type Ratio struct {
-	ratio float64 // median of actual by estimated; 0 before the first run
-	mid   float64 // median of actual run times, in nanoseconds; 0 before the first run
+	medianRatio   float64 // median ratio of actual to estimated run time; 0 before the first run
+	medianRunTime float64 // median actual run time in nanoseconds; 0 before the first run
 }
 
-// ratioStep is by how much one run moves a median: about 25 runs double it.
-const ratioStep = 0.03
+// medianStep is the relative change of a median by one run: about 25 runs
+// double it.
+const medianStep = 0.03
 
-// Observe notes a run.
+// Observe records one run. An estimate of 0 means that there is none.
 func (r *Ratio) Observe(estimate, actual time.Duration) {
-	r.mid = toward(r.mid, float64(actual))
+	r.medianRunTime = stepToward(r.medianRunTime, float64(actual))
 	if estimate > 0 {
-		r.ratio = toward(r.ratio, float64(actual)/float64(estimate))
+		r.medianRatio = stepToward(r.medianRatio, float64(actual)/float64(estimate))
 	}
 }
 
-// toward moves a median by one step toward a value.
-func toward(median, value float64) float64 {
+// stepToward moves a median by at most one step towards a value.
+func stepToward(median, value float64) float64 {
 	switch {
 	case median == 0:
 		return value
 	case value > median:
-		return min(value, median*(1+ratioStep))
+		return min(value, median*(1+medianStep))
 	}
-	return max(value, median/(1+ratioStep))
+	return max(value, median/(1+medianStep))
 }
 
-// Expect gives the run time that an estimate stands for; without an estimate,
-// that of a usual run.
+// Expect returns the expected run time for an estimate, or the median run time
+// if there is no estimate.
 func (r *Ratio) Expect(estimate time.Duration) time.Duration {
 	switch {
 	case estimate <= 0:
-		return time.Duration(r.mid)
-	case r.ratio == 0:
+		return time.Duration(r.medianRunTime)
+	case r.medianRatio == 0:
 		return estimate
 	}
-	return time.Duration(r.ratio * float64(estimate))
+	return time.Duration(r.medianRatio * float64(estimate))
 }
--- a/internal/sched/retry.go
+++ b/internal/sched/retry.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// budgetBurst is how many retries a Budget saves up.
-const budgetBurst = 20
+// maxRetryTokens is the largest number of retries that a RetryBudget
+// accumulates.
+const maxRetryTokens = 20
 
-// Budget bounds retries to a part of first starts. When every guard refuses,
-// retries without a bound would multiply the messages of an outage by the
-// number of guards; with it they add at most the ratio.
-type Budget struct{ tokens float64 }
+// RetryBudget limits retries to a fraction of first starts. During an outage in
+// which every guard refuses, unlimited retries would multiply the messages by
+// the number of guards; with the budget they add at most that fraction.
+type RetryBudget struct{ tokens float64 }
 
-// NewBudget returns a full budget.
-func NewBudget() Budget { return Budget{tokens: budgetBurst} }
+// NewRetryBudget returns a full budget.
+func NewRetryBudget() RetryBudget { return RetryBudget{tokens: maxRetryTokens} }
 
-// First notes a first start.
-func (b *Budget) First(ratio float64) { b.tokens = min(budgetBurst, b.tokens+ratio) }
+// AddFirstStart adds the fraction of a retry that one first start allows.
+func (b *RetryBudget) AddFirstStart(ratio float64) { b.tokens = min(maxRetryTokens, b.tokens+ratio) }
 
-// Take tells whether one retry may be made, and counts it.
-func (b *Budget) Take() bool {
+// TryTake consumes one retry and reports whether the budget allowed it.
+func (b *RetryBudget) TryTake() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -28,19 +29,20 @@
 	return true
 }
 
-// Bounds of Backoff.
+// Limits of BackoffDelay.
 const (
-	backoffBase = 5 * time.Millisecond
-	backoffMost = 320 * time.Millisecond
+	minBackoffDelay = 5 * time.Millisecond
+	maxBackoffDelay = 320 * time.Millisecond
 )
 
-// Backoff draws the wait before retry number n, counted from 1: evenly from
-// half of an exponential bound to the bound. Without the jitter, tasks that
-// were refused together would come back together.
-func Backoff(n int, rng *rand.Rand) time.Duration {
-	bound := backoffMost
-	if n < 7 {
-		bound = min(backoffMost, backoffBase<<max(0, n-1))
+// BackoffDelay returns a random delay before the given retry, counted from 1.
+// It is uniform between half of an exponentially growing limit and the limit.
+// Without the jitter, tasks that were refused together would be retried
+// together.
+func BackoffDelay(attempt int, rng *rand.Rand) time.Duration {
+	limit := maxBackoffDelay
+	if attempt < 7 {
+		limit = min(maxBackoffDelay, minBackoffDelay<<max(0, attempt-1))
 	}
-	return bound/2 + time.Duration(rng.Int64N(int64(bound/2)))
+	return limit/2 + time.Duration(rng.Int64N(int64(limit/2)))
 }
--- a/internal/sched/room.go
+++ b/internal/sched/room.go
@@ -1,69 +1,70 @@
 package sched
 
-// Room is an amount of a worker's resources: what a task takes, or what a worker
-// has or has left.
+// Room is an amount of resources: what a task requires, or what a worker has in
+// total or has free.
 type Room struct {
 	CPU      int64 `cbor:"1,keyasint,omitempty"` // thousandths of a core
 	MemoryMB int64 `cbor:"2,keyasint,omitempty"` // megabytes
 	GPUs     int64 `cbor:"3,keyasint,omitempty"` // whole accelerators
 }
 
-// Holds tells whether a task that takes n fits into r.
-func (r Room) Holds(n Room) bool {
-	return r.CPU >= n.CPU && r.MemoryMB >= n.MemoryMB && r.GPUs >= n.GPUs
+// Holds reports whether r is enough for a task.
+func (r Room) Holds(task Room) bool {
+	return r.CPU >= task.CPU && r.MemoryMB >= task.MemoryMB && r.GPUs >= task.GPUs
 }
 
-// Fit gives how many tasks that take n fit into r at once, up to most.
-func (r Room) Fit(n Room, most int) int {
-	fit := int64(most)
-	for _, part := range [...][2]int64{{r.CPU, n.CPU}, {r.MemoryMB, n.MemoryMB}, {r.GPUs, n.GPUs}} {
-		has, takes := part[0], part[1]
-		if takes > 0 {
-			fit = min(fit, has/takes)
+// CountFitting returns how many such tasks fit into r at once, up to limit.
+func (r Room) CountFitting(task Room, limit int) int {
+	count := int64(limit)
+	for _, pair := range [...][2]int64{{r.CPU, task.CPU}, {r.MemoryMB, task.MemoryMB}, {r.GPUs, task.GPUs}} {
+		available, required := pair[0], pair[1]
+		if required > 0 {
+			count = min(count, available/required)
 		}
 	}
-	return int(max(0, fit))
+	return int(max(0, count))
 }
 
-// Most gives the larger amount of each resource.
-func (r Room) Most(n Room) Room {
-	return Room{CPU: max(r.CPU, n.CPU), MemoryMB: max(r.MemoryMB, n.MemoryMB), GPUs: max(r.GPUs, n.GPUs)}
+// Most returns the larger amount of each resource.
+func (r Room) Most(other Room) Room {
+	return Room{CPU: max(r.CPU, other.CPU), MemoryMB: max(r.MemoryMB, other.MemoryMB), GPUs: max(r.GPUs, other.GPUs)}
 }
 
-// Plus gives the sum.
-func (r Room) Plus(n Room) Room {
-	return Room{CPU: r.CPU + n.CPU, MemoryMB: r.MemoryMB + n.MemoryMB, GPUs: r.GPUs + n.GPUs}
+// Plus returns the sum.
+func (r Room) Plus(other Room) Room {
+	return Room{CPU: r.CPU + other.CPU, MemoryMB: r.MemoryMB + other.MemoryMB, GPUs: r.GPUs + other.GPUs}
 }
 
-// Minus gives the difference, which is negative where n is greater.
-func (r Room) Minus(n Room) Room {
-	return Room{CPU: r.CPU - n.CPU, MemoryMB: r.MemoryMB - n.MemoryMB, GPUs: r.GPUs - n.GPUs}
+// Minus returns the difference; an amount is negative where other has more.
+func (r Room) Minus(other Room) Room {
+	return Room{CPU: r.CPU - other.CPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPUs: r.GPUs - other.GPUs}
 }
 
-// Site is what an entry believes of one worker whose room is counted.
+// Site is one entry's view of a worker on which resources are allocated by
+// amount instead of by slots.
 type Site struct {
 	Service  string
 	Domain   string
 	Rack     string
 	Labels   []string
 	Capacity Room
-	Free     Room  // capacity less what is known to run or was sent there
+	Free     Room  // capacity minus the tasks that are running or were sent
 	State    State // only Usable sites get tasks
-	Limit    int   // most tasks of this entry while it comes back; 0 for no limit
-	Own      int   // tasks of this entry that are there
+	Limit    int   // limit on Own during probation; 0 for no limit
+	Own      int   // tasks of this entry on the worker
 }
 
-// Ask is what a task wants of its site.
+// Ask describes the requirements of a task to be placed on a Site.
 type Ask struct {
 	Service string
 	Need    Room
-	Label   string // the site must have it; empty for none
-	Rack    string // the task's data lie there; empty for nowhere
-	Domain  string // where the entry is
+	Label   string // label that the site must have; empty for none
+	Rack    string // rack that holds the task's data; empty for none
+	Domain  string // failure domain of the entry
 	Avoid   func(site int) bool
 }
 
-// Suits tells whether a site could run the task if it were idle.
+// Suits reports whether the site could run the task if it were idle.
 func (s *Site) Suits(a *Ask) bool {
 	if s.State == Absent || s.Service != a.Service || !s.Capacity.Holds(a.Need) {
 		return false
@@ -80,7 +81,7 @@
 	return false
 }
 
-// Open tells whether a site may be given the task now.
+// Open reports whether the site may be given the task now.
 func (s *Site) Open(a *Ask) bool {
 	if s.State != Usable || !s.Free.Holds(a.Need) || !s.Suits(a) {
 		return false
@@ -88,30 +89,31 @@
 	return s.Limit == 0 || s.Own < s.Limit
 }
 
-// Places counts the tasks that sites could be given now, at most perSite at each, up
-// to most in all.
-func Places(sites []Site, a *Ask, perSite, most int) int {
-	places := 0
+// Places counts how many such tasks could be placed now, at most perSite at
+// each site and limit in total.
+func Places(sites []Site, a *Ask, perSite, limit int) int {
+	count := 0
 	for i := range sites {
 		s := &sites[i]
 		if !s.Open(a) {
 			continue
 		}
-		here := s.Free.Fit(a.Need, perSite)
+		fitting := s.Free.CountFitting(a.Need, perSite)
 		if s.Limit > 0 {
-			here = min(here, s.Limit-s.Own)
+			fitting = min(fitting, s.Limit-s.Own)
 		}
-		if places += here; places >= most {
-			return most
+		if count += fitting; count >= limit {
+			return limit
 		}
 	}
-	return places
+	return count
 }
 
-// BestSite chooses the site for a task, or NoWorker: near its data, then in the
-// entry's own failure domain, then with most free processor. Own domain first
-// keeps bytes between domains low and makes entries of different domains collide
-// rarely; most free first leaves tasks of one job on few workers.
+// BestSite returns the index of the site for a task, or NoWorker. It prefers
+// the rack of the task's data, then the entry's own failure domain, then the
+// most free CPU. Preferring the own failure domain reduces traffic between
+// domains and makes entries of different domains rarely choose the same worker;
+// preferring the most free CPU keeps a job's tasks on few workers.
 func BestSite(sites []Site, a *Ask) int {
 	best, bestRank := NoWorker, 0
 	for i := range sites {
--- a/internal/sched/room_test.go
+++ b/internal/sched/room_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestRatioLearnsAnEstimate(t *testing.T) {
+func TestRunTimeEstimateLearnsFromRuns(t *testing.T) {
 	var r Ratio
 	qt.Assert(t, r.Expect(100*time.Millisecond), qt.Equals, 100*time.Millisecond)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -21,9 +21,10 @@
 	qt.Assert(t, got > 130*time.Millisecond && got < 170*time.Millisecond, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-// A fifth of the tasks of a queue take twenty times as long for a while. Expected to
-// be long as well, the others would be refused though workers have room.
-func TestRatioIsNotCarriedAwayByOutliers(t *testing.T) {
+// A fifth of a queue's tasks take twenty times as long for a while. If the
+// expected run time of the others rose as well, they would be refused although
+// workers are free.
+func TestRunTimeEstimateResistsOutliers(t *testing.T) {
 	var r Ratio
 	for i := range 1000 {
 		took := 100 * time.Millisecond
@@ -36,7 +37,7 @@
 	qt.Assert(t, got < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v", got))
 }
 
-func site(domain, rack string, cpu int64, labels ...string) Site {
+func newSite(domain, rack string, cpu int64, labels ...string) Site {
 	return Site{
 		Service: "s", Domain: domain, Rack: rack, Labels: labels, State: Usable,
 		Capacity: Room{CPU: 8000}, Free: Room{CPU: cpu},
@@ -45,10 +46,10 @@
 
 func TestBestSite(t *testing.T) {
 	sites := []Site{
-		site("far", "r1", 8000, "a"),
-		site("near", "r2", 4000, "a"),
-		site("near", "r3", 6000, "b"),
-		site("near", "r4", 1000, "b"),
+		newSite("far", "r1", 8000, "a"),
+		newSite("near", "r2", 4000, "a"),
+		newSite("near", "r3", 6000, "b"),
+		newSite("near", "r4", 1000, "b"),
 	}
 	ask := func(change func(*Ask)) *Ask {
 		a := &Ask{Service: "s", Domain: "near", Need: Room{CPU: 2000}}
@@ -74,24 +75,24 @@
 	}
 }
 
-// A worker comes back from a quarantine. It gets as many tasks as its limit allows,
-// however much room it has.
-func TestBestSiteKeepsToALimit(t *testing.T) {
-	s := site("near", "r", 8000)
+// A worker on probation gets no more tasks than its limit allows, however many
+// resources it has free.
+func TestBestSiteRespectsTaskLimit(t *testing.T) {
+	s := newSite("near", "r", 8000)
 	s.Limit, s.Own = 1, 1
 	qt.Assert(t, BestSite([]Site{s}, &Ask{Service: "s"}), qt.Equals, NoWorker)
 	s.Own = 0
 	qt.Assert(t, BestSite([]Site{s}, &Ask{Service: "s"}), qt.Equals, 0)
 }
 
-func TestPlacesCountsTasksThatFitAtOnce(t *testing.T) {
-	sites := []Site{site("d", "r", 8000), site("d", "r", 5000), site("d", "r", 5000)}
+func TestPlacesCountsFittingTasks(t *testing.T) {
+	sites := []Site{newSite("d", "r", 8000), newSite("d", "r", 5000), newSite("d", "r", 5000)}
 	for i := range sites {
 		sites[i].Capacity.MemoryMB, sites[i].Free.MemoryMB = 100, 100
 	}
 	sites[2].State = Quarantined
 	ask := Ask{Service: sites[0].Service, Need: Room{CPU: 2000, MemoryMB: 30}}
-	qt.Check(t, Places(sites, &ask, 9, 9), qt.Equals, 5) // three by memory, two by processor
+	qt.Check(t, Places(sites, &ask, 9, 9), qt.Equals, 5) // three by memory, two by CPU
 	qt.Check(t, Places(sites, &ask, 1, 9), qt.Equals, 2)
 	qt.Check(t, Places(sites, &ask, 9, 4), qt.Equals, 4)
 	sites[0].Limit, sites[0].Own = 2, 1
--- a/internal/sched/runtimes.go
+++ b/internal/sched/runtimes.go
@@ -6,62 +6,63 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Shape of the learned run times.
+// Parameters of RunTimeStats.
 const (
-	runWindows  = 4   // windows that count; the oldest is dropped
-	runWindow   = 500 // observations in a window
-	runRefresh  = 50  // observations between two looks at the quantiles
-	runKnown    = 20  // observations from which on they are trusted
-	runMaxMs    = 10 * 60 * 1000
-	runDigits   = 2
-	quantileP10 = 10
-	quantileP90 = 90
-	quantileP99 = 99
+	runTimeWindows      = 4   // windows in the histogram; the oldest is dropped
+	runTimeWindowSize   = 500 // observations per window
+	runTimeRefreshCount = 50  // observations between two updates of the estimates
+	minRunTimeCount     = 20  // observations before the first estimates
+	maxRunTimeMs        = 10 * 60 * 1000
+	runTimeDigits       = 2
+	quantileP10         = 10
+	quantileP90         = 90
+	quantileP99         = 99
 )
 
-// RunTimes learns how long the tasks of a service run. Declared run times are
-// off by an order of magnitude either way; a dispatcher that believed them
-// would refuse work that fits and accept work that cannot finish.
-type RunTimes struct {
-	hist  *hdrhistogram.WindowedHistogram
-	count int
+// RunTimeStats learns the run times of a service's tasks. Declared run times
+// are off by an order of magnitude either way; a dispatcher that relied on them
+// would refuse work that fits and accept work that cannot finish in time.
+type RunTimeStats struct {
+	histogram *hdrhistogram.WindowedHistogram
+	count     int
 
-	// What was learned by the last refresh; zero before Known.
+	// Estimates as of the latest update; zero until HasEstimate reports true.
 	P10, P90, P99, Mean time.Duration
 }
 
-// NewRunTimes returns a RunTimes that has learned nothing.
-func NewRunTimes() *RunTimes {
-	return &RunTimes{hist: hdrhistogram.NewWindowed(runWindows, 1, runMaxMs, runDigits)}
+// NewRunTimeStats returns a RunTimeStats without observations.
+func NewRunTimeStats() *RunTimeStats {
+	return &RunTimeStats{histogram: hdrhistogram.NewWindowed(runTimeWindows, 1, maxRunTimeMs, runTimeDigits)}
 }
 
-// Known tells whether enough runs were seen.
-func (r *RunTimes) Known() bool { return r.Mean > 0 }
+// HasEstimate reports whether enough runs have been observed.
+func (r *RunTimeStats) HasEstimate() bool { return r.Mean > 0 }
 
-// Observe notes one run.
-func (r *RunTimes) Observe(d time.Duration) {
-	ms := min(max(d.Milliseconds(), 1), runMaxMs)
-	if err := r.hist.Current.RecordValue(ms); err != nil {
-		return // out of range, which min and max above exclude
+// Observe records the run time of one task.
+func (r *RunTimeStats) Observe(d time.Duration) {
+	ms := min(max(d.Milliseconds(), 1), maxRunTimeMs)
+	if err := r.histogram.Current.RecordValue(ms); err != nil {
+		return // out of range, which the clamping above excludes
 	}
 	r.count++
-	if r.count%runRefresh == 0 || r.count == runKnown {
+	if r.count%runTimeRefreshCount == 0 || r.count == minRunTimeCount {
 		r.refresh()
 	}
-	if r.count%runWindow == 0 {
-		r.hist.Rotate()
+	if r.count%runTimeWindowSize == 0 {
+		r.histogram.Rotate()
 	}
 }
 
-func (r *RunTimes) refresh() {
-	m := r.hist.Merge()
-	at := func(q float64) time.Duration { return time.Duration(m.ValueAtQuantile(q)) * time.Millisecond }
-	r.P10, r.P90, r.P99 = at(quantileP10), at(quantileP90), at(quantileP99)
-	r.Mean = time.Duration(m.Mean() * float64(time.Millisecond))
+func (r *RunTimeStats) refresh() {
+	merged := r.histogram.Merge()
+	quantile := func(q float64) time.Duration { return time.Duration(merged.ValueAtQuantile(q)) * time.Millisecond }
+	r.P10, r.P90, r.P99 = quantile(quantileP10), quantile(quantileP90), quantile(quantileP99)
+	r.Mean = time.Duration(merged.Mean() * float64(time.Millisecond))
 }
 
-// Longest estimates the longest of n runs, with margin.
-func (r *RunTimes) Longest(n int) time.Duration {
+// EstimateLongest returns a conservative estimate of the longest of n run
+// times.
+func (r *RunTimeStats) EstimateLongest(n int) time.Duration {
 	if n > 1 {
 		return r.P99
 	}
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -1,49 +1,53 @@
-// Package sched holds the decisions of the dispatcher as plain functions over
-// a snapshot and an explicit clock: placement, admission, fair queueing, quota,
-// retry budget and quarantine. It has no goroutine, no socket and no lock, and
-// imports nothing of the project, so that a benchmark or a replay can call any
-// decision by itself.
+// Package sched implements the dispatcher's scheduling decisions: placement,
+// admission, fair queueing, quotas, the retry budget and quarantine. They are
+// plain functions and types over a snapshot and an explicit clock.
+//
+// The package has no goroutine, socket or lock and imports no other package of
+// the project, so that a benchmark or a replay can call each decision in
+// isolation.
 package sched
 
-// Worker is what an entry believes of one worker. Placement reads a slice of
-// them; it is kept small so that a scan of a large fleet stays in cache.
+// Worker is one entry's view of one worker. Placement scans a slice of them;
+// the struct is kept small so that a scan of a large fleet stays in the CPU
+// cache.
 type Worker struct {
-	Own    int32  // tasks of this entry that are sent and unanswered
-	Others int32  // tasks of other entries, by the last report
-	Slots  int32  // tasks that it runs at once
-	Limit  int32  // most tasks of this entry while it comes back; 0 for no limit
-	Domain uint16 // number of its failure domain
-	Rack   uint16 // number of its rack
-	// MemoryMB is its memory in megabytes; 0 if it is not known.
-	MemoryMB     int32
-	Accelerators int16 // whole ones
-	Taken        int16 // accelerators of this entry's own tasks
-	State        State
-	// Reserved tells that the worker owes this entry an offer: its next free
-	// slots come as offers, and a task sent without one would be refused.
-	Reserved bool
+	OwnTasks    int32  // tasks of this entry that were sent and have no result yet
+	OtherTasks  int32  // tasks of other entries, according to the latest load report
+	Slots       int32  // tasks that it can run at once
+	MaxOwnTasks int32  // limit on OwnTasks during probation; 0 for no limit
+	Domain      uint16 // numeric ID of its failure domain
+	Rack        uint16 // numeric ID of its rack
+	// MemoryMB is its memory in megabytes; 0 if unknown.
+	MemoryMB         int32
+	Accelerators     int16 // whole accelerators
+	UsedAccelerators int16 // accelerators used by this entry's tasks
+	State            State
+	// HasReservation is set while this entry has slots reserved at the worker.
+	// The worker then hands out its free slots as offers and refuses a task
+	// that is sent without one.
+	HasReservation bool
 }
 
-// State tells whether a worker may be given tasks.
+// State describes whether a worker may be given tasks.
 type State uint8
 
-// States. The zero value is an unused place in the slice.
+// States of a worker. The zero value marks an unused element of the slice.
 const (
-	Absent      State = iota
-	Usable            // takes tasks
-	Quarantined       // failed or slow; takes nothing until it is probed
-	Silent            // has not answered for long
-	Leaving           // announced a stop, or its link or upstream is down
+	Absent       State = iota
+	Usable             // accepts tasks
+	Quarantined        // failing or slow; gets no tasks until its quarantine ends
+	Unresponsive       // has tasks of this entry but has sent nothing for too long
+	Leaving            // draining, or its link or its upstream is down
 )
 
-// Free is the number of slots that are believed to be free.
-func (w *Worker) Free() int32 {
-	if w.State != Usable || w.Reserved {
+// FreeSlots returns the estimated number of slots that this entry may use now.
+func (w *Worker) FreeSlots() int32 {
+	if w.State != Usable || w.HasReservation {
 		return 0
 	}
-	free := w.Slots - w.Own - w.Others
-	if w.Limit > 0 {
-		free = min(free, w.Limit-w.Own)
+	free := w.Slots - w.OwnTasks - w.OtherTasks
+	if w.MaxOwnTasks > 0 {
+		free = min(free, w.MaxOwnTasks-w.OwnTasks)
 	}
 	return free
 }
