--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -9,7 +9,7 @@
 const (
 	failedJobThreshold    = 3  // consecutive failed jobs that cause a quarantine
 	slowWindow            = 12 // number of latest runs that are checked for slowness
-	slowRunThreshold      = 8  // slow runs in the window that cause a quarantine; a run is slow above the fleet's 90th percentile
+	slowRunThreshold      = 8  // slow runs among them that cause a quarantine
 	minQuarantineInterval = time.Second
 	maxQuarantineInterval = 8 * time.Second
 	slowProbeThreshold    = 3 // slow runs during probation that cause another quarantine
@@ -60,8 +60,9 @@
 }
 
 // Quarantine starts a quarantine and returns its end. Each consecutive one
-// lasts twice as long. The failure count is left one below the threshold, so
-// that probing a worker that still fails costs a single task.
+// lasts twice as long, up to maxQuarantineInterval. The failure count is left
+// one below the threshold, so that probing a worker that still fails costs a
+// single task.
 func (h *Health) Quarantine(now time.Time) (until time.Time) {
 	h.quarantineInterval = min(maxQuarantineInterval, max(minQuarantineInterval, 2*h.quarantineInterval))
 	h.failedJobs, h.lastFailedJob, h.slowBits, h.observedRuns = failedJobThreshold-1, "", 0, 0
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -8,11 +8,11 @@
 // NoWorker is returned by placement functions that found no worker.
 const NoWorker = -1
 
-// scanWindow is the number of workers after which a scan stops if it has found
+// minScanned is the number of workers after which a scan stops if it has found
 // one with a free slot. The least loaded of 64 workers chosen at random is as
 // good as the least loaded of all, and the bound keeps the cost of a decision
 // independent of the fleet's size.
-const scanWindow = 64
+const minScanned = 64
 
 // maxScanned bounds a scan when hardly any worker has a free slot. A task for
 // which none is found waits for an offer instead.
@@ -52,7 +52,7 @@
 		scanLimit = n // few workers may fit; a task that misses them would wait for the next event
 	}
 	for scanned := 0; scanned < min(n, scanLimit); scanned++ {
-		if scanned >= scanWindow && best != NoWorker {
+		if scanned >= minScanned && best != NoWorker {
 			break
 		}
 		if accelerators > 0 {
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -50,8 +50,8 @@
 	startTag float64 // virtual start tag of its next item
 }
 
-// Push adds an item to a flow. weight is the flow's share; values up to 0 count
-// as 1. Each item costs one task.
+// Push adds an item to a flow. weight is the flow's share; values of 0 or less
+// count as 1. Each item costs one task.
 func (q *Queue[T]) Push(flowName string, weight float64, item Item[T]) {
 	if q.flows == nil {
 		q.flows = make(map[string]*flow[T])
--- a/internal/sched/room_test.go
+++ b/internal/sched/room_test.go
@@ -62,14 +62,14 @@
 		ask  *Ask
 		want int
 	}{
-		"own domain, most free":  {ask(nil), 2},
-		"label":                  {ask(func(a *Ask) { a.Label = "a" }), 1},
-		"room only elsewhere":    {ask(func(a *Ask) { a.Need.CPU = 7000 }), 0},
-		"near its data":          {ask(func(a *Ask) { a.Rack = "r1" }), 0},
-		"avoids a site":          {ask(func(a *Ask) { a.Avoid = func(i int) bool { return i == 2 } }), 1},
-		"another service":        {ask(func(a *Ask) { a.Service = "x" }), NoWorker},
-		"more than any has free": {ask(func(a *Ask) { a.Need.CPU = 8001 }), NoWorker},
-		"a resource nobody has":  {ask(func(a *Ask) { a.Need.GPUs = 1 }), NoWorker},
+		"own domain, most free":           {ask(nil), 2},
+		"label":                           {ask(func(a *Ask) { a.Label = "a" }), 1},
+		"free CPU only in another domain": {ask(func(a *Ask) { a.Need.CPU = 7000 }), 0},
+		"near its data":                   {ask(func(a *Ask) { a.Rack = "r1" }), 0},
+		"avoids a site":                   {ask(func(a *Ask) { a.Avoid = func(i int) bool { return i == 2 } }), 1},
+		"another service":                 {ask(func(a *Ask) { a.Service = "x" }), NoWorker},
+		"more than any has free":          {ask(func(a *Ask) { a.Need.CPU = 8001 }), NoWorker},
+		"a resource that no site has":     {ask(func(a *Ask) { a.Need.GPUs = 1 }), NoWorker},
 	} {
 		qt.Check(t, BestSite(sites, c.ask), qt.Equals, c.want, qt.Commentf("%s", name))
 	}
