--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -7,19 +7,20 @@
 	"wigeontray/internal/sched"
 )
 
-// When to come back after a refusal whose end cannot be computed.
+// Retry delays for refusals whose duration cannot be computed.
 const (
-	afterNoWorkers  = time.Second
-	afterOverloaded = 500 * time.Millisecond
+	noWorkersRetryDelay  = time.Second
+	overloadedRetryDelay = 500 * time.Millisecond
 )
 
-// leastAfter is the shortest time after which a caller is told to come back.
-const leastAfter = 50 * time.Millisecond
+// minRetryDelay is the shortest retry delay that a refusal suggests.
+const minRetryDelay = 50 * time.Millisecond
 
-// admit refuses what cannot be served, with a reason that is true for good.
+// admit returns an error if the job cannot be served. The statements of the
+// error remain true afterwards.
 func (c *Core) admit(now time.Time, s *Spec) *errkind.Error {
 	n := len(s.Tasks)
-	fleet := &c.pool.FleetStats
+	stats := &c.pool.FleetStats
 	switch {
 	case n == 0:
 		return errkind.New(errkind.BadRequest, "a job without tasks")
@@ -29,81 +30,83 @@
 		return errkind.New(errkind.DeadlineExpired, "the deadline had passed on arrival")
 	case n > c.policy.MaxQueued:
 		return errkind.New(errkind.NeverFits, "%d tasks exceed the queue of %d", n, c.policy.MaxQueued)
-	case fleet.Usable == 0 && !c.anyInDoubt():
-		return errkind.New(errkind.NoWorkers, "no worker of %s is connected", c.service).WithAfter(afterNoWorkers)
-	case s.Need != (Need{}) && c.pool.CountFitting(s.Need, 1) == 0 && c.fittedOnce(s.Need):
-		return errkind.New(errkind.NoWorkers, "the workers of %s that fit are gone", c.service).WithAfter(afterNoWorkers)
+	case stats.Usable == 0 && !c.anyGuardInGrace():
+		return errkind.New(errkind.NoWorkers, "no worker of %s is connected", c.service).WithAfter(noWorkersRetryDelay)
+	case s.Need != (Need{}) && c.pool.CountFitting(s.Need, 1) == 0 && c.fitBefore(s.Need):
+		return errkind.New(errkind.NoWorkers, "the workers of %s that fit are gone", c.service).WithAfter(noWorkersRetryDelay)
 	case s.Need != (Need{}) && c.pool.CountFitting(s.Need, 1) == 0:
 		return errkind.New(errkind.NeverFits, "no worker of %s has %d accelerators and %d MB of memory",
 			c.service, s.Need.Accelerators, s.Need.MemoryMB)
-	case s.Need != (Need{}) && !c.anyStays(s.Need):
-		return errkind.New(errkind.NoWorkers, "every worker of %s that fits is leaving", c.service).WithAfter(afterNoWorkers)
+	case s.Need != (Need{}) && !c.anyFittingStays(s.Need):
+		return errkind.New(errkind.NoWorkers, "every worker of %s that fits is leaving", c.service).WithAfter(noWorkersRetryDelay)
 	case c.waitingTasks()+n > c.policy.MaxQueued:
 		return errkind.New(errkind.Overloaded, "%d tasks wait", c.waitingTasks()).
-			WithRan(errkind.RanNo).WithAfter(afterOverloaded)
+			WithRan(errkind.RanNo).WithAfter(overloadedRetryDelay)
 	}
-	if err := c.inTime(now, s, fleet); err != nil {
+	if err := c.checkDeadline(now, s, stats); err != nil {
 		return err
 	}
-	return c.withinQuota(now, s.Team, n)
+	return c.checkQuota(now, s.Team, n)
 }
 
-// inTime refuses a job that cannot finish before its deadline.
-func (c *Core) inTime(now time.Time, s *Spec, fleet *sched.FleetStats) *errkind.Error {
-	n, left := len(s.Tasks), s.Deadline.Sub(now)
-	last := now.Add(time.Duration(n-1) * sched.Spacing(left, n))
-	waiting, share := c.queue.FlowStatus(s.Team, c.policy.Teams[s.Team].Weight)
-	// A team below its share does not wait for the others' backlog.
-	waiting = min(c.queue.CountDueBy(last.UnixNano()), int(float64(waiting)/share))
-	d := sched.AdmissionRequest{
-		Tasks: n, TimeLeft: left,
+// checkDeadline refuses a job that is not expected to finish before its
+// deadline.
+func (c *Core) checkDeadline(now time.Time, s *Spec, stats *sched.FleetStats) *errkind.Error {
+	n, timeLeft := len(s.Tasks), s.Deadline.Sub(now)
+	lastDue := now.Add(time.Duration(n-1) * sched.Spacing(timeLeft, n))
+	queued, share := c.queue.FlowStatus(s.Team, c.policy.Teams[s.Team].Weight)
+	// A team below its share does not wait for the backlog of other teams.
+	queued = min(c.queue.CountDueBy(lastDue.UnixNano()), int(float64(queued)/share))
+	req := sched.AdmissionRequest{
+		Tasks: n, TimeLeft: timeLeft,
 		DeclaredRunTime: time.Duration(s.DeclaredMs) * time.Millisecond,
 	}
-	sup := sched.EntryCapacity{FreeSlots: fleet.FreeSlots, QueuedTasks: waiting, StartRate: c.rate.PerSecond, RunTimes: c.runs}
-	if sup.StartRate == 0 {
-		sup.StartRate = c.nominalRate(fleet)
+	capacity := sched.EntryCapacity{FreeSlots: stats.FreeSlots, QueuedTasks: queued, StartRate: c.startRate.PerSecond, RunTimes: c.runTimes}
+	if capacity.StartRate == 0 {
+		capacity.StartRate = c.nominalRate(stats)
 	}
-	ok, late := sched.Admit(&d, &sup)
-	if ok {
+	admitted, lateness := sched.Admit(&req, &capacity)
+	if admitted {
 		return nil
 	}
 	return errkind.New(errkind.CannotFinishInTime, "%d tasks wait; the job would end %v after its deadline",
-		c.queue.Len(), late.Round(time.Millisecond)).WithAfter(max(leastAfter, late))
+		c.queue.Len(), lateness.Round(time.Millisecond)).WithAfter(max(minRetryDelay, lateness))
 }
 
-// nominalRate is this entry's even part of what the fleet can start a second.
-func (c *Core) nominalRate(fleet *sched.FleetStats) float64 {
-	if !c.runs.HasEstimate() {
+// nominalRate returns this entry's equal share of the tasks that the fleet can
+// start per second; 0 if run times are unknown.
+func (c *Core) nominalRate(stats *sched.FleetStats) float64 {
+	if !c.runTimes.HasEstimate() {
 		return 0
 	}
-	return float64(fleet.Slots) / c.runs.Mean.Seconds() / float64(max(1, c.policy.Entries))
+	return float64(stats.Slots) / c.runTimes.Mean.Seconds() / float64(max(1, c.policy.Entries))
 }
 
-func (c *Core) withinQuota(now time.Time, team string, tasks int) *errkind.Error {
-	q := c.policy.Teams[team]
-	if q.StartsPerSecond <= 0 {
+func (c *Core) checkQuota(now time.Time, team string, tasks int) *errkind.Error {
+	quota := c.policy.Teams[team]
+	if quota.StartsPerSecond <= 0 {
 		return nil
 	}
-	b := c.buckets[team]
-	if b == nil {
-		b = new(sched.TokenBucket)
-		c.buckets[team] = b
+	bucket := c.quotaBuckets[team]
+	if bucket == nil {
+		bucket = new(sched.TokenBucket)
+		c.quotaBuckets[team] = bucket
 	}
-	part := float64(max(1, c.policy.Entries))
-	ok, after := b.Take(now, float64(tasks), q.StartsPerSecond/part, q.Burst/part)
-	if ok {
+	entries := float64(max(1, c.policy.Entries))
+	allowed, retryAfter := bucket.Take(now, float64(tasks), quota.StartsPerSecond/entries, quota.Burst/entries)
+	if allowed {
 		return nil
 	}
-	return errkind.New(errkind.OverQuota, "team %q used up its %g starts a second", team, q.StartsPerSecond).
-		WithAfter(max(leastAfter, after))
+	return errkind.New(errkind.OverQuota, "team %q used up its %g starts a second", team, quota.StartsPerSecond).
+		WithAfter(max(minRetryDelay, retryAfter))
 }
 
-// anyInDoubt tells whether a guard's link may return within its grace time. To
-// refuse for want of workers would turn each short break of the only worker's
-// link into refusals.
-func (c *Core) anyInDoubt() bool {
+// anyGuardInGrace reports whether a guard is disconnected but may still
+// reconnect within its grace period. If jobs were refused meanwhile, every
+// short interruption of the only worker's link would cause refusals.
+func (c *Core) anyGuardInGrace() bool {
 	for _, g := range c.guards {
-		if g != nil && !g.up && !g.leaving {
+		if g != nil && !g.isConnected && !g.isDraining {
 			return true
 		}
 	}
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -1,9 +1,11 @@
-// Package dispatch owns one service's work at one entry: admission, the queue,
-// placement, retries, quarantine, cancellation and the assembly of whole
-// answers. It is a state machine under an explicit clock: it has no goroutine,
-// no socket and no lock, and draws random numbers from a seeded source. An
-// entry feeds it what happens and carries out the actions it returns; replay
-// feeds it recorded traces.
+// Package dispatch schedules the jobs of one service at one entry: admission,
+// the queue, placement, retries, quarantine, cancellation and assembling
+// complete answers.
+//
+// It is a state machine with an explicit clock: it has no goroutine, socket or
+// lock, and draws random numbers from a seeded source. An entry passes events
+// to it and carries out the actions that it returns; package replay passes it
+// recorded traces.
 //
 // The package may import errkind, identity, sched and wire.
 package dispatch
@@ -16,31 +18,32 @@
 	"wigeontray/internal/wire"
 )
 
-// JobID names a job for good.
+// JobID identifies a job. It is never reused for another job.
 type JobID struct {
 	Member string
 	Key    string
 }
 
-// Spec is an accepted submission.
+// Spec describes a submitted job.
 type Spec struct {
 	ID       JobID
-	Team     string // quota it counts against; empty for the member itself
+	Team     string // team whose quota the job counts against; empty for the member itself
 	Deadline time.Time
-	Tasks    [][]byte // one body a task
-	// DeclaredMs is the caller's own estimate of a task's run time; 0 for none.
-	// It is known to be far off and only used until run times are learned.
+	Tasks    [][]byte // request body of each task
+	// DeclaredMs is the caller's estimate of a task's run time in milliseconds;
+	// 0 for none. Such estimates are far off, so that they are only used until
+	// run times have been observed.
 	DeclaredMs int64
-	Need       Need // of each task
+	Need       Need // resource requirement of each task
 }
 
-// TaskResult is the upstream's answer to one task.
+// TaskResult is the upstream's response to one task.
 type TaskResult struct {
 	Status int
 	Body   []byte
 }
 
-// TaskFailure tells why one task of a failed job has no result.
+// TaskFailure states why a task of a failed job has no result.
 type TaskFailure struct {
 	Task   int
 	Kind   errkind.Kind
@@ -48,57 +51,60 @@
 	Detail string
 }
 
-// Outcome is the one final answer of a job: Results has every task's result in
-// order when Err is nil, and is nil otherwise.
+// Outcome is the single, final result of a job. If Err is nil, Results holds
+// the result of every task in order; otherwise Results is nil.
 type Outcome struct {
 	ID       JobID
 	Results  []TaskResult
 	Err      *errkind.Error
 	Failures []TaskFailure
-	// Slowest is the longest run time on an upstream among the tasks.
+	// Slowest is the longest run time of a task on its upstream.
 	Slowest time.Duration
 }
 
-// Action is one thing that the owner of a Core must do. Exactly one field is
-// set. Actions are carried out in order.
+// Action is one operation that the caller of a Machine must carry out, in the
+// order of Actions. Guard is set for every message; exactly one of the other
+// fields is set.
 type Action struct {
-	Guard   identity.Incarnation // receiver of the message fields
+	Guard   identity.Incarnation // recipient of the message, if the action is one
 	Start   *wire.Start
 	Cancel  *wire.Cancel
 	Reserve *wire.Reserve
 	Finish  *Outcome
 }
 
-// Machine is what an entry and the replay engine drive. now never runs
-// backwards. Every method may produce actions, which Actions hands over.
+// Machine is driven by an entry or by package replay. The now parameters must
+// never decrease. Every method may produce actions, which Actions returns.
 type Machine interface {
-	// GuardUp adds a guard, or returns one whose link had been lost: tasks sent
-	// to the same incarnation are sent again, which is safe as a guard starts a
-	// Ref at most once.
+	// GuardUp adds a guard or reconnects one whose link was lost. Tasks that
+	// were sent to the same incarnation are sent again, which is safe because a
+	// guard starts a Ref at most once.
 	GuardUp(now time.Time, h *wire.Hello)
-	// GuardDown notes a lost link. Tasks in flight stay in doubt for a grace
-	// time, then fail as WorkerLost.
+	// GuardDown records a lost link. The outcome of tasks in flight is open for
+	// a grace period, after which they fail as WorkerLost.
 	GuardDown(now time.Time, g identity.Incarnation)
-	// GuardLeaving notes a planned stop: nothing more is sent to it.
+	// GuardLeaving records a planned stop: the guard is sent no more tasks.
 	GuardLeaving(now time.Time, g identity.Incarnation)
-	// Submit admits a job, or refuses it with an error that is true for good.
+	// Submit admits a job, or refuses it with an error whose statements remain
+	// true afterwards.
 	Submit(now time.Time, s *Spec) *errkind.Error
-	// Cancel withdraws a job; what has not started never will. The outcome
-	// comes as a Finish action, at once.
+	// Cancel withdraws a job. Tasks that have not started never will. The
+	// outcome follows immediately as a Finish action.
 	Cancel(now time.Time, id JobID)
-	// Result, Load and Offer take a guard's messages.
+	// Result, Load and Offer process messages from a guard.
 	Result(now time.Time, g identity.Incarnation, r *wire.Result)
 	Load(now time.Time, g identity.Incarnation, l *wire.Load)
 	Offer(now time.Time, g identity.Incarnation, o *wire.Offer)
-	// Tick does what is due: deadlines, grace times, retries, probes.
+	// Tick runs the timers that are due: deadlines, grace periods, retries and
+	// health checks.
 	Tick(now time.Time)
-	// NextTick tells when Tick is next due; zero for never.
+	// NextTick returns when Tick is next due; zero for never.
 	NextTick() time.Time
-	// Configure puts new policy in force.
+	// Configure applies a new policy.
 	Configure(now time.Time, p Policy)
-	// Actions returns the actions since the last call. The slice is valid
-	// until the next call of any method.
+	// Actions returns the actions since the last call. The slice is valid until
+	// the next call of any method.
 	Actions() []Action
-	// Jobs tells how many jobs are unfinished.
+	// Jobs returns the number of unfinished jobs.
 	Jobs() int
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -9,18 +9,18 @@
 	"wigeontray/internal/wire"
 )
 
-// bigCore is a Core with n workers, four fifths of whose slots are taken, and a
-// queue of ten thousand tasks of 81 teams.
-func bigCore(n int) *Core {
+// newLoadedCore returns a Core with n workers, four fifths of whose slots are
+// in use, and a queue of ten thousand tasks of 81 teams.
+func newLoadedCore(n int) *Core {
 	c := New("ayni/reserva", DefaultPolicy(), testSeed)
 	for i := range n {
 		c.GuardUp(epoch, &wire.Hello{
-			Incarnation: inc(i), Worker: fmt.Sprintf("w%d", i), Slots: 8, Domain: fmt.Sprintf("d%d", i%6),
+			Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: 8, Domain: fmt.Sprintf("d%d", i%6),
 			Load: wire.Load{Seq: 1, Running: 4 + i%5, Slots: 8, Healthy: true},
 		})
 	}
 	for i := range 1000 {
-		c.runs.Observe(time.Duration(50+i%900) * time.Millisecond)
+		c.runTimes.Observe(time.Duration(50+i%900) * time.Millisecond)
 	}
 	for i := range 10_000 {
 		due := epoch.Add(time.Duration(i) * time.Millisecond).UnixNano()
@@ -29,12 +29,12 @@
 	return c
 }
 
-var benchSizes = []int{10, 100, 820, 8200}
+var fleetSizes = []int{10, 100, 820, 8200}
 
 func BenchmarkAdmit(b *testing.B) {
-	for _, n := range benchSizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
-			c := bigCore(n)
+			c := newLoadedCore(n)
 			s := &Spec{ID: JobID{"ayni", "k"}, Team: "team7", Deadline: epoch.Add(time.Hour), Tasks: make([][]byte, 10)}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -47,13 +47,13 @@
 }
 
 func BenchmarkPlace(b *testing.B) {
-	for _, n := range benchSizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
-			c := bigCore(n)
+			c := newLoadedCore(n)
 			t := &task{job: &job{spec: &Spec{}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				if c.place(t) == sched.NoWorker {
+				if c.chooseWorker(t) == sched.NoWorker {
 					b.Fatal("no worker")
 				}
 			}
@@ -61,12 +61,12 @@
 	}
 }
 
-// BenchmarkTask is the whole way of a job of one task through the Core: admit,
-// queue, place, answer.
+// BenchmarkTask measures a single-task job from admission through queueing and
+// placement to its result.
 func BenchmarkTask(b *testing.B) {
-	for _, n := range benchSizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
-			c := bigCore(n)
+			c := newLoadedCore(n)
 			c.queue = sched.Queue[*task]{}
 			now, seq := epoch, uint64(1)
 			b.ReportAllocs()
@@ -87,26 +87,27 @@
 	}
 }
 
-// An event while tasks wait for the only worker with an accelerator.
-func BenchmarkEventWithTasksApart(b *testing.B) {
+// BenchmarkEventWithParkedTasks measures an event while tasks wait for the only
+// worker with an accelerator.
+func BenchmarkEventWithParkedTasks(b *testing.B) {
 	for _, waiting := range []int{1, 100, 10_000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			c := New("ayni/reserva", DefaultPolicy(), testSeed)
 			for i := range 820 {
 				c.GuardUp(epoch, &wire.Hello{
-					Incarnation: inc(i), Worker: fmt.Sprintf("w%d", i), Slots: 8, Accelerator: i / 819,
+					Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: 8, Accelerator: i / 819,
 					Load: wire.Load{Seq: 1, Slots: 8, Healthy: true},
 				})
 			}
 			need := Need{Accelerators: 1}
 			s := &Spec{ID: JobID{"ayni", "k"}, Deadline: epoch.Add(time.Hour), Tasks: make([][]byte, waiting+1), Need: need}
-			if err := c.Submit(epoch, s); err != nil || c.apart != waiting {
-				b.Fatal(err, c.apart)
+			if err := c.Submit(epoch, s); err != nil || c.parkedCount != waiting {
+				b.Fatal(err, c.parkedCount)
 			}
 			seq := uint64(1)
 			for b.Loop() {
 				seq++
-				c.Load(epoch, inc(0), &wire.Load{Seq: seq, Slots: 8, Healthy: true})
+				c.Load(epoch, guardID(0), &wire.Load{Seq: seq, Slots: 8, Healthy: true})
 				c.Actions()
 			}
 		})
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -10,62 +10,63 @@
 	"wigeontray/internal/wire"
 )
 
-// Core is the Machine of one service at one entry.
+// Core implements Machine for one service at one entry.
 //
-// It leaves Home of a wire.Start empty: the entry fills in its own incarnation
-// when it carries out the action.
+// It leaves the Home field of a wire.Start empty: the entry fills in its own
+// incarnation when it carries out the action.
 type Core struct {
 	service string
 	policy  Policy
 	rng     *rand.Rand
 
-	pool    sched.Pool // what decisions read; same places as guards
-	guards  []*guard   // nil at unused places
-	places  map[identity.Incarnation]int
-	domains numbering
-	racks   numbering
+	pool          sched.Pool // used by placement; parallel to guards
+	guards        []*guard   // by worker index; nil if unused
+	workerIndexes map[identity.Incarnation]int
+	domainIDs     idTable
+	rackIDs       idTable
 
-	jobs     map[JobID]*job
-	flights  map[wire.Ref]*flight
-	queue    sched.Queue[*task]
-	aside    []*task        // tasks that no usable worker may take now
-	sizes    []sched.Worker // sizes of workers seen so far
-	classes  []*needClass   // tasks set apart until a worker has room for their need
-	apart    int            // how many tasks those are
-	timers   timerHeap
-	runs     *sched.RunTimeStats
-	rate     sched.StartRate
-	budget   sched.RetryBudget
-	buckets  map[string]*sched.TokenBucket
-	arrivals uint64 // times that tasks began to wait
-	owed     int    // offers that all guards still owe
-	polling  bool   // a poll timer is set
-	watching bool   // a watch timer is set
+	jobs                   map[JobID]*job
+	attempts               map[wire.Ref]*attempt
+	queue                  sched.Queue[*task]
+	skipped                []*task        // dequeued tasks that no usable worker may take now
+	workerSizes            []sched.Worker // distinct worker sizes seen so far
+	parked                 []*parkedGroup // tasks for whose resource need no worker has room
+	parkedCount            int            // number of tasks in parked
+	timers                 timerHeap
+	runTimes               *sched.RunTimeStats
+	startRate              sched.StartRate
+	retryBudget            sched.RetryBudget
+	quotaBuckets           map[string]*sched.TokenBucket
+	enqueueCount           uint64 // incremented whenever tasks start to wait
+	totalPendingOffers     int    // sum of guard.pendingOffers
+	isMaintenanceScheduled bool   // a maintainQueue timer is set
+	isCheckScheduled       bool   // a checkResponsiveness timer is set
 
-	actions, handed []Action
+	actions, spareActions []Action
 }
 
 var _ Machine = (*Core)(nil)
 
-// New returns the Core of service under p. seed fixes every random choice.
+// New returns a Core for a service with the given policy. seed determines all
+// random choices.
 func New(service string, p Policy, seed uint64) *Core {
 	return &Core{
-		service: service,
-		policy:  p,
-		rng:     rand.New(rand.NewPCG(seed, 0)),
-		places:  make(map[identity.Incarnation]int),
-		jobs:    make(map[JobID]*job),
-		flights: make(map[wire.Ref]*flight),
-		runs:    sched.NewRunTimeStats(),
-		budget:  sched.NewRetryBudget(),
-		buckets: make(map[string]*sched.TokenBucket),
+		service:       service,
+		policy:        p,
+		rng:           rand.New(rand.NewPCG(seed, 0)),
+		workerIndexes: make(map[identity.Incarnation]int),
+		jobs:          make(map[JobID]*job),
+		attempts:      make(map[wire.Ref]*attempt),
+		runTimes:      sched.NewRunTimeStats(),
+		retryBudget:   sched.NewRetryBudget(),
+		quotaBuckets:  make(map[string]*sched.TokenBucket),
 	}
 }
 
 // Actions implements Machine.
 func (c *Core) Actions() []Action {
 	out := c.actions
-	c.actions, c.handed = c.handed[:0], out
+	c.actions, c.spareActions = c.spareActions[:0], out
 	return out
 }
 
@@ -75,7 +76,7 @@
 // Configure implements Machine.
 func (c *Core) Configure(now time.Time, p Policy) {
 	c.policy = p
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 // Submit implements Machine.
@@ -85,127 +86,128 @@
 	}
 	j := newJob(s, now)
 	c.jobs[s.ID] = j
-	j.deadline = c.timers.add(s.Deadline, timer{job: j})
+	j.deadlineTimer = c.timers.add(s.Deadline, timer{job: j})
 	for i := range j.tasks {
 		c.enqueue(&j.tasks[i])
 	}
-	c.arrivals++
-	c.pump(now)
+	c.enqueueCount++
+	c.dispatchWaiting(now)
 	return nil
 }
 
 // Cancel implements Machine.
 func (c *Core) Cancel(now time.Time, id JobID) {
 	if j := c.jobs[id]; j != nil {
-		c.fail(now, j, failure{kind: errkind.Cancelled, detail: "the caller cancelled the job"})
-		c.pump(now)
+		c.failJob(now, j, failure{kind: errkind.Cancelled, detail: "the caller cancelled the job"})
+		c.dispatchWaiting(now)
 	}
 }
 
 // Tick implements Machine.
 func (c *Core) Tick(now time.Time) {
 	for {
-		t, ok := c.timers.due(now)
+		t, ok := c.timers.popDue(now)
 		if !ok {
 			break
 		}
-		c.expire(now, t)
+		c.runTimer(now, t)
 	}
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 // NextTick implements Machine.
-func (c *Core) NextTick() time.Time { return c.timers.next() }
+func (c *Core) NextTick() time.Time { return c.timers.nextDue() }
 
-func (c *Core) expire(now time.Time, t *timer) {
+func (c *Core) runTimer(now time.Time, t *timer) {
 	switch {
-	case t.poll:
-		c.poll(now)
+	case t.maintainQueue:
+		c.maintainQueue(now)
 	case t.job != nil:
-		c.fail(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "the deadline passed"})
+		c.failJob(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "the deadline passed"})
 	case t.task != nil && t.task.job.tasks != nil:
-		c.retry(now, t.task)
-	case t.probe && c.guards[t.guard.place] == t.guard:
-		c.probe(t.guard)
-	case t.watch:
-		c.watch(now)
-	case t.guard != nil && !t.probe:
-		c.graceOver(now, t.guard, t.downs)
+		c.retryTask(now, t.task)
+	case t.startProbation && c.guards[t.guard.workerIndex] == t.guard:
+		c.startProbation(t.guard)
+	case t.checkResponsiveness:
+		c.checkResponsiveness(now)
+	case t.guard != nil && !t.startProbation:
+		c.expireGrace(now, t.guard, t.disconnects)
 	}
 }
 
-func (c *Core) act(a Action) { c.actions = append(c.actions, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// enqueue puts a task that has provably not started into the fair queue.
+// enqueue adds a task that has provably not started to the fair queue.
 func (c *Core) enqueue(t *task) {
 	t.state = waiting
 	s := t.job.spec
 	c.queue.Push(s.Team, c.policy.Teams[s.Team].Weight, sched.Item[*task]{Value: t, Due: t.due})
 }
 
-// pump sends waiting tasks for as long as a worker is believed to have a free
-// slot or has offered one, and reserves slots for what is left.
-func (c *Core) pump(now time.Time) {
-	c.pumpApart(now)
-	for c.queue.Len() > 0 && c.mayPlace() {
-		t, ok := c.next(now)
+// dispatchWaiting sends waiting tasks while workers are estimated to have free
+// slots, and reserves slots for the remaining tasks.
+func (c *Core) dispatchWaiting(now time.Time) {
+	c.dispatchParked(now)
+	for c.queue.Len() > 0 && c.canPlace() {
+		t, ok := c.nextTask(now)
 		if !ok {
 			break
 		}
 		need := t.job.spec.Need
-		if need != (Need{}) && c.class(need) != nil {
-			c.setApart(t) // behind its likes, which found no room
-		} else if at := c.place(t); at != sched.NoWorker {
-			c.send(now, t, at, 0)
+		if need != (Need{}) && c.findParked(need) != nil {
+			c.park(t) // no worker had room for the tasks with the same need that are ahead
+		} else if workerIndex := c.chooseWorker(t); workerIndex != sched.NoWorker {
+			c.sendTask(now, t, workerIndex, 0)
 		} else if need != (Need{}) {
-			c.setApart(t)
+			c.park(t)
 		} else {
-			c.aside = append(c.aside, t)
+			c.skipped = append(c.skipped, t)
 		}
 	}
-	for _, t := range c.aside {
+	for _, t := range c.skipped {
 		c.enqueue(t)
 	}
-	c.aside = c.aside[:0]
+	c.skipped = c.skipped[:0]
 	if c.waitingTasks() == 0 {
 		return
 	}
-	c.reserve(now)
-	if !c.polling {
-		c.polling = true
-		c.timers.add(now.Add(pollEvery), timer{poll: true})
+	c.reserveSlots(now)
+	if !c.isMaintenanceScheduled {
+		c.isMaintenanceScheduled = true
+		c.timers.add(now.Add(maintenanceInterval), timer{maintainQueue: true})
 	}
 }
 
-// next takes the next task that still waits. A job whose time does not suffice
-// even for a quick run is answered at once: a start would only cost others a
-// slot.
-func (c *Core) next(now time.Time) (*task, bool) {
+// nextTask removes the next runnable task from the queue.
+func (c *Core) nextTask(now time.Time) (*task, bool) {
 	for {
 		t, ok := c.queue.Pop()
 		if !ok {
 			return nil, false
 		}
-		if c.live(now, t) {
+		if c.checkRunnable(now, t) {
 			return t, true
 		}
 	}
 }
 
-// live tells whether a task that waited is still to be run.
-func (c *Core) live(now time.Time, t *task) bool {
+// checkRunnable reports whether a waiting task should still be run. If the time
+// left is too short even for a quick run, it fails the job: starting the task
+// would only use a slot that others need.
+func (c *Core) checkRunnable(now time.Time, t *task) bool {
 	if t.state != waiting || t.job.tasks == nil {
-		return false // its job was answered while it waited
+		return false // the job finished while the task was waiting
 	}
-	if c.runs.HasEstimate() && t.job.spec.Deadline.Sub(now) < c.runs.P10 {
-		c.fail(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "no time is left to run the task"})
+	if c.runTimes.HasEstimate() && t.job.spec.Deadline.Sub(now) < c.runTimes.P10 {
+		c.failJob(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "no time is left to run the task"})
 		return false
 	}
 	return true
 }
 
-// mayPlace tells whether place can succeed for a task without refusals.
-func (c *Core) mayPlace() bool {
+// canPlace reports whether chooseWorker can succeed for a task without
+// refusals.
+func (c *Core) canPlace() bool {
 	switch c.policy.Placement {
 	case LateBinding:
 		return false
@@ -215,102 +217,106 @@
 	return c.pool.FleetStats.Usable > 0
 }
 
-// place chooses a worker for t, or sched.NoWorker.
-func (c *Core) place(t *task) int {
-	q := sched.PlacementRequest{Domain: c.domains.number(c.policy.Domain), Excluded: t.refused, JobLocations: t.job.held, Need: t.job.spec.Need}
+// chooseWorker returns the index of a worker for t, or sched.NoWorker.
+func (c *Core) chooseWorker(t *task) int {
+	req := sched.PlacementRequest{Domain: c.domainIDs.id(c.policy.Domain), Excluded: t.refusedBy, JobLocations: t.job.locations, Need: t.job.spec.Need}
 	switch c.policy.Placement {
 	case Random:
-		return sched.RandomUsable(c.pool.Workers, &q, c.rng)
+		return sched.RandomUsable(c.pool.Workers, &req, c.rng)
 	case TwoChoices:
-		return sched.LeastLoadedOfTwo(c.pool.Workers, &q, c.rng, false)
+		return sched.LeastLoadedOfTwo(c.pool.Workers, &req, c.rng, false)
 	case TwoChoicesLoad:
-		return sched.LeastLoadedOfTwo(c.pool.Workers, &q, c.rng, true)
+		return sched.LeastLoadedOfTwo(c.pool.Workers, &req, c.rng, true)
 	}
-	if q.Need.Accelerators > 0 && c.pool.FleetStats.WithIdleAccelerator == 0 || c.awaitsOffer(t) {
+	if req.Need.Accelerators > 0 && c.pool.FleetStats.WithIdleAccelerator == 0 || c.needsOffer(t) {
 		return sched.NoWorker
 	}
-	return sched.LeastLoaded(c.pool.Workers, &q, c.rng)
+	return sched.LeastLoaded(c.pool.Workers, &req, c.rng)
 }
 
-// When a refused task is sent on reports again. Each refusal shuts one more
-// guard for it, which matters in a small fleet; in a large one with many workers
-// believed free, the next one takes it sooner than an offer comes.
+// Limits for sending a refused task to another guard based on load reports.
+// Each refusal excludes one more guard for the task, which matters in a small
+// fleet. In a large fleet with many free workers, another guard accepts it
+// sooner than an offer arrives.
 const (
-	mostRefusals = 4
-	manyOpen     = 64 // workers with a slot believed free
+	maxRefusalsBeforeOffer  = 4
+	minFreeWorkersForResend = 64 // workers with an estimated free slot
 )
 
-// awaitsOffer tells whether t is bound by an offer only. The last guards that
-// may still take it are told to keep it instead.
-func (c *Core) awaitsOffer(t *task) bool {
-	n := len(t.refused)
-	if n == 0 || !c.reserves() || c.candidates(t, n+lastGuards+1)-n <= lastGuards {
+// needsOffer reports whether t may only be sent in response to an offer. The
+// last candidates for a task need none, because they are asked to queue it.
+func (c *Core) needsOffer(t *task) bool {
+	refusals := len(t.refusedBy)
+	if refusals == 0 || !c.usesReservations() || c.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
 		return false
 	}
-	return n >= mostRefusals || c.pool.FleetStats.WithFreeSlot < manyOpen
+	return refusals >= maxRefusalsBeforeOffer || c.pool.FleetStats.WithFreeSlot < minFreeWorkersForResend
 }
 
-// Doubt about old load reports.
+// Interval of maintainQueue, and the age at which it lowers a load report.
 const (
-	pollEvery = 10 * time.Millisecond
-	staleLoad = 30 * time.Millisecond
+	maintenanceInterval = 10 * time.Millisecond
+	maxLoadAge          = 30 * time.Millisecond
 )
 
-// poll doubts old reports while tasks wait: each round takes one task off what
-// a silent worker was reported to run for others. An entry that has no task of
-// its own at a worker hears nothing from it; without this, one report of full
-// workers would keep its queue waiting for good.
-func (c *Core) poll(now time.Time) {
-	c.polling = false
-	c.forgetReservations(now)
-	c.rate.EndInterval(now, c.queue.Len() > 0, c.nominalRate(&c.pool.FleetStats))
+// maintainQueue runs periodically while tasks are waiting. It expires
+// reservations, updates the start rate and lowers outdated load reports: each
+// call removes one task of other entries from a worker that has not reported
+// recently.
+//
+// A worker sends no reports to an entry that has no task on it. Without
+// lowering old reports, a single report that all slots are in use would block
+// the entry's queue forever.
+func (c *Core) maintainQueue(now time.Time) {
+	c.isMaintenanceScheduled = false
+	c.expireReservations(now)
+	c.startRate.EndInterval(now, c.queue.Len() > 0, c.nominalRate(&c.pool.FleetStats))
 	for i, g := range c.guards {
-		if w := c.pool.Workers[i]; g != nil && now.Sub(g.heard) > staleLoad && w.OtherTasks > 0 {
+		if w := c.pool.Workers[i]; g != nil && now.Sub(g.lastReport) > maxLoadAge && w.OtherTasks > 0 {
 			w.OtherTasks--
 			c.pool.Set(i, w)
 		}
 	}
 }
 
-// send hands t to the worker at place at. From here on the task may have
-// started, until the guard's final word says that it did not.
-func (c *Core) send(now time.Time, t *task, at int, offer uint64) {
-	g := c.guards[at]
+// sendTask sends t to a worker. From then on the task counts as possibly
+// started, until the guard's final result states that it was not.
+func (c *Core) sendTask(now time.Time, t *task, workerIndex int, offerID uint64) {
+	g := c.guards[workerIndex]
 	t.state = sent
-	start := c.start(now, t)
-	start.Offered = offer
-	c.flights[start.Ref] = &flight{ref: start.Ref, task: t, guard: g, sent: now, queued: start.WaitMs > 0, accelerators: t.job.spec.Need.Accelerators}
-	c.addOwn(at, 1, t.job.spec.Need.Accelerators)
-	t.job.held.Add(&c.pool.Workers[at])
-	c.rate.RecordStart()
-	if len(t.refused) == 0 {
-		c.budget.AddFirstStart(c.policy.RetryRatio)
+	startMessage := c.startMessage(now, t)
+	startMessage.Offered = offerID
+	c.attempts[startMessage.Ref] = &attempt{ref: startMessage.Ref, task: t, guard: g, sent: now, canBeQueued: startMessage.WaitMs > 0, accelerators: t.job.spec.Need.Accelerators}
+	c.addOwnTasks(workerIndex, 1, t.job.spec.Need.Accelerators)
+	t.job.locations.Add(&c.pool.Workers[workerIndex])
+	c.startRate.RecordStart()
+	if len(t.refusedBy) == 0 {
+		c.retryBudget.AddFirstStart(c.policy.RetryRatio)
 	}
-	if !c.watching {
-		c.watching = true
-		c.timers.add(now.Add(watchEvery), timer{watch: true})
+	if !c.isCheckScheduled {
+		c.isCheckScheduled = true
+		c.timers.add(now.Add(responsivenessCheckInterval), timer{checkResponsiveness: true})
 	}
-	c.act(Action{Guard: g.incarnation, Start: start})
+	c.emit(Action{Guard: g.incarnation, Start: startMessage})
 }
 
-func (c *Core) start(now time.Time, t *task) *wire.Start {
+func (c *Core) startMessage(now time.Time, t *task) *wire.Start {
 	s := t.job.spec
-	left := max(1, s.Deadline.Sub(now).Milliseconds())
-	return &wire.Start{Ref: t.ref(), Of: len(t.job.tasks), LeftMs: left, WaitMs: c.waitMs(t, left), Body: s.Tasks[t.index]}
+	leftMs := max(1, s.Deadline.Sub(now).Milliseconds())
+	return &wire.Start{Ref: t.ref(), Of: len(t.job.tasks), LeftMs: leftMs, WaitMs: c.maxWaitMs(t, leftMs), Body: s.Tasks[t.index]}
 }
 
-// waitMs tells how long the guard may let the task wait for a slot. A refusal
-// is final for that guard, so the last guards that may still take the task are
-// told to keep it; otherwise a task that was refused Busy everywhere could
-// never run.
-func (c *Core) waitMs(t *task, left int64) int64 {
+// maxWaitMs returns how long the guard may queue the task until a slot is free.
+// A refusal is final for that guard, so the last candidates are asked to queue
+// the task; otherwise a task that every guard refused as Busy could never run.
+func (c *Core) maxWaitMs(t *task, leftMs int64) int64 {
 	switch c.policy.Placement {
 	case Random, TwoChoices, TwoChoicesLoad:
-		return left
+		return leftMs
 	}
-	n := len(t.refused)
-	if c.policy.Weighting == WeighMessages || c.candidates(t, n+lastGuards+1)-n <= lastGuards {
-		return left
+	refusals := len(t.refusedBy)
+	if c.policy.Weighting == WeighMessages || c.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
+		return leftMs
 	}
 	return 0
 }
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -16,36 +16,36 @@
 
 var epoch = time.Unix(1_790_000_000, 0)
 
-// bench is a Core with guards g0, g1, ... and a clock.
-type bench struct {
+// harness is a Core with guards g0, g1, ... and a simulated clock.
+type harness struct {
 	*Core
 	c   *qt.C
 	now time.Time
 }
 
-func newBench(t *testing.T, guards, slots int) *bench {
-	b := &bench{Core: New("ayni/reserva", DefaultPolicy(), testSeed), c: qt.New(t), now: epoch}
+func newHarness(t *testing.T, guards, slots int) *harness {
+	h := &harness{Core: New("ayni/reserva", DefaultPolicy(), testSeed), c: qt.New(t), now: epoch}
 	for i := range guards {
-		b.up(i, slots)
+		h.connectGuard(i, slots)
 	}
-	return b
+	return h
 }
 
-func inc(i int) identity.Incarnation { return identity.Incarnation(fmt.Sprintf("g%d-1", i)) }
+func guardID(i int) identity.Incarnation { return identity.Incarnation(fmt.Sprintf("g%d-1", i)) }
 
-func (b *bench) up(i, slots int) {
-	b.GuardUp(b.now, &wire.Hello{Incarnation: inc(i), Worker: fmt.Sprintf("w%d", i), Slots: slots, Load: wire.Load{Slots: slots, Healthy: true}})
+func (h *harness) connectGuard(i, slots int) {
+	h.GuardUp(h.now, &wire.Hello{Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: slots, Load: wire.Load{Slots: slots, Healthy: true}})
 }
 
-// submit sends a job of n tasks with a deadline in a second.
-func (b *bench) submit(key string, n int) *errkind.Error {
-	s := &Spec{ID: JobID{"ayni", key}, Deadline: b.now.Add(time.Second), Tasks: make([][]byte, n)}
-	return b.Submit(b.now, s)
+// submitJob submits a job of n tasks whose deadline is one second away.
+func (h *harness) submitJob(key string, n int) *errkind.Error {
+	s := &Spec{ID: JobID{"ayni", key}, Deadline: h.now.Add(time.Second), Tasks: make([][]byte, n)}
+	return h.Submit(h.now, s)
 }
 
-// starts takes the Start actions and gives guard by task of job key.
-func (b *bench) taken() (starts []Action, finished []*Outcome, cancels []Action) {
-	for _, a := range b.Actions() {
+// takeActions returns the Start, Finish and Cancel actions since the last call.
+func (h *harness) takeActions() (starts []Action, finished []*Outcome, cancels []Action) {
+	for _, a := range h.Actions() {
 		switch {
 		case a.Start != nil:
 			starts = append(starts, a)
@@ -58,220 +58,223 @@
 	return starts, finished, cancels
 }
 
-func (b *bench) answer(a Action, kind errkind.Kind, ran errkind.Ran) {
-	b.Result(b.now, a.Guard, &wire.Result{Ref: a.Start.Ref, Kind: kind, Ran: ran, Status: 200})
+func (h *harness) sendResult(a Action, kind errkind.Kind, ran errkind.Ran) {
+	h.Result(h.now, a.Guard, &wire.Result{Ref: a.Start.Ref, Kind: kind, Ran: ran, Status: 200})
 }
 
-func (b *bench) advance(d time.Duration) {
-	for end := b.now.Add(d); ; {
-		next := b.NextTick()
+func (h *harness) advance(d time.Duration) {
+	for end := h.now.Add(d); ; {
+		next := h.NextTick()
 		if next.IsZero() || next.After(end) {
-			b.now = end
+			h.now = end
 			return
 		}
-		b.now = next
-		b.Tick(next)
+		h.now = next
+		h.Tick(next)
 	}
 }
 
-// Answers of a job's tasks come in any order, and twice after a reconnect. A
-// caller would see results swapped, or an answer before the last task's.
-func TestWholeAnswerInOrder(t *testing.T) {
-	b := newBench(t, 2, 2)
-	b.c.Assert(b.submit("k", 3) == nil, qt.IsTrue)
-	starts, _, _ := b.taken()
-	b.c.Assert(starts, qt.HasLen, 3)
+// Results of a job's tasks arrive in any order, and twice after a reconnect.
+// The outcome must hold all of them in task order and must not be reported
+// before the last one.
+func TestResultsAreCompleteAndOrdered(t *testing.T) {
+	h := newHarness(t, 2, 2)
+	h.c.Assert(h.submitJob("k", 3) == nil, qt.IsTrue)
+	starts, _, _ := h.takeActions()
+	h.c.Assert(starts, qt.HasLen, 3)
 	for i := len(starts) - 1; i >= 0; i-- {
-		_, fin, _ := b.taken()
-		b.c.Assert(fin, qt.HasLen, 0)
+		_, finished, _ := h.takeActions()
+		h.c.Assert(finished, qt.HasLen, 0)
 		a := starts[i]
 		for range 2 {
-			b.Result(b.now, a.Guard, &wire.Result{Ref: a.Start.Ref, Status: 200 + a.Start.Ref.Task})
+			h.Result(h.now, a.Guard, &wire.Result{Ref: a.Start.Ref, Status: 200 + a.Start.Ref.Task})
 		}
 	}
-	_, fin, _ := b.taken()
-	b.c.Assert(fin, qt.HasLen, 1)
-	for i, r := range fin[0].Results {
-		b.c.Check(r.Status, qt.Equals, 200+i)
+	_, finished, _ := h.takeActions()
+	h.c.Assert(finished, qt.HasLen, 1)
+	for i, r := range finished[0].Results {
+		h.c.Check(r.Status, qt.Equals, 200+i)
 	}
 }
 
-// Another entry fills a worker at the same moment, and the guard refuses the
-// task. The caller must not see that, and the task must not go back to a guard
-// that said for good that it will not start it.
-func TestRefusedTaskGoesElsewhere(t *testing.T) {
-	b := newBench(t, 3, 1)
-	b.submit("k", 1)
+// Another entry fills a worker at the same moment, so that the guard refuses
+// the task. The caller must not see that, and the task must not be sent again
+// to a guard that refused it for good.
+func TestRefusedTaskMovesToAnotherGuard(t *testing.T) {
+	h := newHarness(t, 3, 1)
+	h.submitJob("k", 1)
 	seen := map[identity.Incarnation]bool{}
 	for range 2 {
-		starts, fin, _ := b.taken()
-		b.c.Assert(fin, qt.HasLen, 0)
-		b.c.Assert(starts, qt.HasLen, 1)
-		b.c.Assert(seen[starts[0].Guard], qt.IsFalse)
+		starts, finished, _ := h.takeActions()
+		h.c.Assert(finished, qt.HasLen, 0)
+		h.c.Assert(starts, qt.HasLen, 1)
+		h.c.Assert(seen[starts[0].Guard], qt.IsFalse)
 		seen[starts[0].Guard] = true
-		b.answer(starts[0], errkind.Busy, errkind.RanNo)
+		h.sendResult(starts[0], errkind.Busy, errkind.RanNo)
 	}
-	starts, _, _ := b.taken()
-	b.c.Assert(starts[0].Start.WaitMs > 0, qt.IsTrue)
-	b.answer(starts[0], errkind.Draining, errkind.RanNo)
-	_, fin, _ := b.taken()
-	b.c.Assert(fin, qt.HasLen, 1)
-	b.c.Assert(fin[0].Err.Kind, qt.Equals, errkind.NotRun)
-	b.c.Assert(fin[0].Err.Ran, qt.Equals, errkind.RanNo)
+	starts, _, _ := h.takeActions()
+	h.c.Assert(starts[0].Start.WaitMs > 0, qt.IsTrue)
+	h.sendResult(starts[0], errkind.Draining, errkind.RanNo)
+	_, finished, _ := h.takeActions()
+	h.c.Assert(finished, qt.HasLen, 1)
+	h.c.Assert(finished[0].Err.Kind, qt.Equals, errkind.NotRun)
+	h.c.Assert(finished[0].Err.Ran, qt.Equals, errkind.RanNo)
 }
 
-// One task of a job fails on its upstream while others run or wait. A caller
-// that got the rest would act on half an answer; one that had to wait for the
-// stragglers would learn late what can no longer change.
-func TestOneFailureFailsTheJobAtOnce(t *testing.T) {
-	b := newBench(t, 1, 3)
-	b.submit("k", 4)
-	starts, _, _ := b.taken()
-	b.c.Assert(starts, qt.HasLen, 3)
-	b.answer(starts[0], errkind.None, 0)
-	b.Offer(b.now, inc(0), &wire.Offer{ID: 1, HoldMs: 25, Load: wire.Load{Running: 2, Queued: 1, Slots: 3}})
-	starts2, _, _ := b.taken()
-	b.c.Assert(starts2, qt.HasLen, 1)
-	b.answer(starts[1], errkind.UpstreamFailed, errkind.RanYes)
-	_, fin, _ := b.taken()
-	b.c.Assert(fin, qt.HasLen, 1)
-	b.c.Assert(fin[0].Results, qt.IsNil)
-	b.c.Assert(fin[0].Err.Ran, qt.Equals, errkind.RanYes)
-	b.c.Assert(fin[0].Failures, qt.HasLen, 3)
-	b.answer(starts[2], errkind.None, 0) // late
-	_, fin, _ = b.taken()
-	b.c.Assert(fin, qt.HasLen, 0)
+// One task of a job fails on its upstream while others are running or waiting.
+// The caller must not get partial results, and must not wait for the slower
+// tasks when the answer can no longer change.
+func TestTaskFailureFailsJobImmediately(t *testing.T) {
+	h := newHarness(t, 1, 3)
+	h.submitJob("k", 4)
+	starts, _, _ := h.takeActions()
+	h.c.Assert(starts, qt.HasLen, 3)
+	h.sendResult(starts[0], errkind.None, 0)
+	h.Offer(h.now, guardID(0), &wire.Offer{ID: 1, HoldMs: 25, Load: wire.Load{Running: 2, Queued: 1, Slots: 3}})
+	offeredStarts, _, _ := h.takeActions()
+	h.c.Assert(offeredStarts, qt.HasLen, 1)
+	h.sendResult(starts[1], errkind.UpstreamFailed, errkind.RanYes)
+	_, finished, _ := h.takeActions()
+	h.c.Assert(finished, qt.HasLen, 1)
+	h.c.Assert(finished[0].Results, qt.IsNil)
+	h.c.Assert(finished[0].Err.Ran, qt.Equals, errkind.RanYes)
+	h.c.Assert(finished[0].Failures, qt.HasLen, 3)
+	h.sendResult(starts[2], errkind.None, 0) // late
+	_, finished, _ = h.takeActions()
+	h.c.Assert(finished, qt.HasLen, 0)
 }
 
-// A caller cancels while part of the job runs. Told "not run" for a task that
-// a guard holds, it would book the escort a second time elsewhere.
-func TestCancelTellsTheTruthAtOnce(t *testing.T) {
-	b := newBench(t, 1, 1)
-	b.submit("k", 2)
-	b.submit("waits", 2)
-	b.taken()
-	b.Cancel(b.now, JobID{"ayni", "k"})
-	b.Cancel(b.now, JobID{"ayni", "waits"})
-	_, fin, _ := b.taken()
-	b.c.Assert(fin, qt.HasLen, 2)
-	b.c.Assert(fin[0].Err.Ran, qt.Equals, errkind.RanUnknown)
-	b.c.Assert(fin[0].Failures[0].Ran, qt.Equals, errkind.RanUnknown)
-	b.c.Assert(fin[0].Failures[1].Ran, qt.Equals, errkind.RanNo)
-	b.c.Assert(fin[1].Err.Ran, qt.Equals, errkind.RanNo)
+// A caller cancels while part of the job is running. If a task held by a guard
+// were reported as not run, the caller would book elsewhere and the booking
+// could happen twice.
+func TestCancelReportsWhichTasksMayHaveRun(t *testing.T) {
+	h := newHarness(t, 1, 1)
+	h.submitJob("k", 2)
+	h.submitJob("waits", 2)
+	h.takeActions()
+	h.Cancel(h.now, JobID{"ayni", "k"})
+	h.Cancel(h.now, JobID{"ayni", "waits"})
+	_, finished, _ := h.takeActions()
+	h.c.Assert(finished, qt.HasLen, 2)
+	h.c.Assert(finished[0].Err.Ran, qt.Equals, errkind.RanUnknown)
+	h.c.Assert(finished[0].Failures[0].Ran, qt.Equals, errkind.RanUnknown)
+	h.c.Assert(finished[0].Failures[1].Ran, qt.Equals, errkind.RanNo)
+	h.c.Assert(finished[1].Err.Ran, qt.Equals, errkind.RanNo)
 }
 
-// The deadline passes while one task runs and another waits for a slot. The
-// caller must be answered at that moment, and told which of them may have run.
-func TestDeadlinePasses(t *testing.T) {
-	b := newBench(t, 1, 1)
-	b.submit("k", 2)
-	b.submit("waits", 1)
-	b.advance(999 * time.Millisecond)
-	_, fin, _ := b.taken()
-	b.c.Assert(fin, qt.HasLen, 0)
-	b.advance(time.Millisecond)
-	_, fin, _ = b.taken()
-	b.c.Assert(fin, qt.HasLen, 2)
-	b.c.Assert(fin[0].Err.Kind, qt.Equals, errkind.TimedOut)
-	b.c.Assert(fin[0].Failures[0].Kind, qt.Equals, errkind.TimedOut)
-	b.c.Assert(fin[0].Failures[1], qt.Equals, TaskFailure{1, errkind.DeadlineExpired, errkind.RanNo, "the deadline passed"})
-	b.c.Assert(fin[1].Err.Kind, qt.Equals, errkind.DeadlineExpired)
-	b.c.Assert(fin[1].Err.Ran, qt.Equals, errkind.RanNo)
+// The deadline passes while one task is running and another is waiting for a
+// slot. The caller must be answered at that moment and told which of them may
+// have run.
+func TestDeadlineExpiry(t *testing.T) {
+	h := newHarness(t, 1, 1)
+	h.submitJob("k", 2)
+	h.submitJob("waits", 1)
+	h.advance(999 * time.Millisecond)
+	_, finished, _ := h.takeActions()
+	h.c.Assert(finished, qt.HasLen, 0)
+	h.advance(time.Millisecond)
+	_, finished, _ = h.takeActions()
+	h.c.Assert(finished, qt.HasLen, 2)
+	h.c.Assert(finished[0].Err.Kind, qt.Equals, errkind.TimedOut)
+	h.c.Assert(finished[0].Failures[0].Kind, qt.Equals, errkind.TimedOut)
+	h.c.Assert(finished[0].Failures[1], qt.Equals, TaskFailure{1, errkind.DeadlineExpired, errkind.RanNo, "the deadline passed"})
+	h.c.Assert(finished[1].Err.Kind, qt.Equals, errkind.DeadlineExpired)
+	h.c.Assert(finished[1].Err.Ran, qt.Equals, errkind.RanNo)
 }
 
-// A link breaks and returns with the same guard behind it. The start may have
-// been lost on it, so it is repeated there, and there only; sent to another
-// guard, the task could run twice.
-func TestLinkReturns(t *testing.T) {
-	b := newBench(t, 2, 1)
-	b.submit("k", 1)
-	starts, _, _ := b.taken()
+// A link breaks and the same guard reconnects. The start message may have been
+// lost, so it is repeated to that guard only; sent to another guard, the task
+// could run twice.
+func TestReconnectResendsStarts(t *testing.T) {
+	h := newHarness(t, 2, 1)
+	h.submitJob("k", 1)
+	starts, _, _ := h.takeActions()
 	first := starts[0]
-	b.GuardDown(b.now, first.Guard)
-	b.advance(500 * time.Millisecond)
-	starts, fin, _ := b.taken()
-	b.c.Assert(len(starts)+len(fin), qt.Equals, 0)
-	b.GuardUp(b.now, &wire.Hello{Incarnation: first.Guard, Slots: 1})
-	starts, _, _ = b.taken()
-	b.c.Assert(starts, qt.HasLen, 1)
-	b.c.Assert(starts[0].Guard, qt.Equals, first.Guard)
-	b.c.Assert(starts[0].Start.LeftMs, qt.Equals, int64(500))
+	h.GuardDown(h.now, first.Guard)
+	h.advance(500 * time.Millisecond)
+	starts, finished, _ := h.takeActions()
+	h.c.Assert(len(starts)+len(finished), qt.Equals, 0)
+	h.GuardUp(h.now, &wire.Hello{Incarnation: first.Guard, Slots: 1})
+	starts, _, _ = h.takeActions()
+	h.c.Assert(starts, qt.HasLen, 1)
+	h.c.Assert(starts[0].Guard, qt.Equals, first.Guard)
+	h.c.Assert(starts[0].Start.LeftMs, qt.Equals, int64(500))
 }
 
-// A worker dies with a task on it and is restarted. Its memory is gone, so
-// nobody can tell whether the task ran; the caller is told so without waiting
-// for a link that cannot come back.
-func TestGuardRestarts(t *testing.T) {
-	b := newBench(t, 1, 1)
-	b.submit("k", 1)
-	b.taken()
-	b.GuardDown(b.now, inc(0))
-	b.GuardUp(b.now, &wire.Hello{Incarnation: "g0-2", Worker: "w0", Slots: 1})
-	starts, fin, _ := b.taken()
-	b.c.Assert(starts, qt.HasLen, 0)
-	b.c.Assert(fin, qt.HasLen, 1)
-	b.c.Assert(fin[0].Err.Kind, qt.Equals, errkind.WorkerLost)
-	b.c.Assert(fin[0].Err.Ran, qt.Equals, errkind.RanUnknown)
+// A worker crashes with a task on it and is restarted. Its state is lost, so
+// nothing can determine whether the task ran. The job must fail as unknown
+// without waiting for the old incarnation to reconnect.
+func TestGuardRestartFailsSentTasks(t *testing.T) {
+	h := newHarness(t, 1, 1)
+	h.submitJob("k", 1)
+	h.takeActions()
+	h.GuardDown(h.now, guardID(0))
+	h.GuardUp(h.now, &wire.Hello{Incarnation: "g0-2", Worker: "w0", Slots: 1})
+	starts, finished, _ := h.takeActions()
+	h.c.Assert(starts, qt.HasLen, 0)
+	h.c.Assert(finished, qt.HasLen, 1)
+	h.c.Assert(finished[0].Err.Kind, qt.Equals, errkind.WorkerLost)
+	h.c.Assert(finished[0].Err.Ran, qt.Equals, errkind.RanUnknown)
 }
 
-// One report shows every slot as taken by others, and then nothing comes as
-// this entry has no task anywhere. Its queue would wait until the deadline
-// beside idle workers.
-func TestOldReportsAreDoubted(t *testing.T) {
-	b := newBench(t, 0, 0)
+// One report shows all slots as used by other entries, and no further report
+// arrives because this entry has no task at any worker. Its queue must not wait
+// until the deadline while workers are idle.
+func TestStaleLoadReportsDecay(t *testing.T) {
+	h := newHarness(t, 0, 0)
 	p := DefaultPolicy()
-	p.Weighting = WeighMessages // makes no reservations, which would bring an offer
-	b.Configure(b.now, p)
+	p.Weighting = WeighMessages // uses no reservations, which would lead to offers
+	h.Configure(h.now, p)
 	for i := range 2 {
-		b.up(i, 2)
-		b.Load(b.now, inc(i), &wire.Load{Seq: 1, Running: 2, Slots: 2, Healthy: true})
+		h.connectGuard(i, 2)
+		h.Load(h.now, guardID(i), &wire.Load{Seq: 1, Running: 2, Slots: 2, Healthy: true})
 	}
-	b.submit("k", 1)
-	b.advance(300 * time.Millisecond)
-	starts, _, _ := b.taken()
-	b.c.Assert(starts, qt.HasLen, 1)
+	h.submitJob("k", 1)
+	h.advance(300 * time.Millisecond)
+	starts, _, _ := h.takeActions()
+	h.c.Assert(starts, qt.HasLen, 1)
 }
 
-// Every slot is taken and a task waits. Bound to a worker now, it could land
-// behind a straggler while another worker falls idle, and the caller would wait
-// for nothing. It is bound when a slot is offered, and a slot that nobody needs
-// is given back at once.
-func TestWaitingTaskTakesTheFirstOffer(t *testing.T) {
-	b := newBench(t, 2, 1)
-	b.submit("k", 3)
+// Every slot is in use and a task is waiting. If it were assigned to a worker
+// now, it could wait behind a slow task while another worker becomes idle. It
+// must be assigned when a slot is offered, and an offered slot that is not
+// needed must be declined immediately.
+func TestWaitingTaskUsesFirstOffer(t *testing.T) {
+	h := newHarness(t, 2, 1)
+	h.submitJob("k", 3)
 	reserved := 0
-	for _, a := range b.Actions() {
+	for _, a := range h.Actions() {
 		if a.Reserve != nil {
 			reserved++
 		}
 	}
-	b.c.Assert(reserved, qt.Equals, 2)
+	h.c.Assert(reserved, qt.Equals, 2)
 	full := wire.Load{Seq: 5, Running: 1, Slots: 1, Healthy: true}
-	b.Offer(b.now, inc(1), &wire.Offer{ID: 9, HoldMs: 25, Load: full})
-	starts, _, _ := b.taken()
-	b.c.Assert(starts, qt.HasLen, 1)
-	b.c.Assert(starts[0].Guard, qt.Equals, inc(1))
-	b.c.Assert(starts[0].Start.Offered, qt.Equals, uint64(9))
-	b.Offer(b.now, inc(0), &wire.Offer{ID: 4, HoldMs: 25, Load: full})
-	acts := b.Actions()
-	b.c.Assert(acts, qt.HasLen, 1)
-	b.c.Assert(acts[0].Reserve, qt.DeepEquals, &wire.Reserve{})
+	h.Offer(h.now, guardID(1), &wire.Offer{ID: 9, HoldMs: 25, Load: full})
+	starts, _, _ := h.takeActions()
+	h.c.Assert(starts, qt.HasLen, 1)
+	h.c.Assert(starts[0].Guard, qt.Equals, guardID(1))
+	h.c.Assert(starts[0].Start.Offered, qt.Equals, uint64(9))
+	h.Offer(h.now, guardID(0), &wire.Offer{ID: 4, HoldMs: 25, Load: full})
+	actions := h.Actions()
+	h.c.Assert(actions, qt.HasLen, 1)
+	h.c.Assert(actions[0].Reserve, qt.DeepEquals, &wire.Reserve{})
 }
 
-// Jobs with long deadlines are answered quickly. If their timers stayed, each
-// would hold its tasks' bodies until the deadline, and an entry at the peak
-// would run out of memory within a minute.
-func TestAnsweredJobsLeaveNothingBehind(t *testing.T) {
-	b := newBench(t, 2, 8)
+// Jobs with long deadlines finish quickly. If their timers stayed in the heap,
+// each would keep its tasks' bodies in memory until the deadline, and an entry
+// at peak load would run out of memory within a minute.
+func TestFinishedJobsReleaseTimers(t *testing.T) {
+	h := newHarness(t, 2, 8)
 	for i := range 100 {
-		b.c.Assert(b.submit(fmt.Sprint(i), 4) == nil, qt.IsTrue)
-		starts, _, _ := b.taken()
+		h.c.Assert(h.submitJob(fmt.Sprint(i), 4) == nil, qt.IsTrue)
+		starts, _, _ := h.takeActions()
 		for _, a := range starts {
-			b.answer(a, errkind.None, errkind.RanYes)
+			h.sendResult(a, errkind.None, errkind.RanYes)
 		}
 	}
-	b.c.Assert(b.Jobs(), qt.Equals, 0)
-	for _, tm := range b.timers.items {
-		b.c.Check(tm.job == nil && tm.task == nil, qt.IsTrue)
+	h.c.Assert(h.Jobs(), qt.Equals, 0)
+	for _, pending := range h.timers.items {
+		h.c.Check(pending.job == nil && pending.task == nil, qt.IsTrue)
 	}
 }
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -12,119 +12,122 @@
 	"wigeontray/internal/wire"
 )
 
-// maxSlots bounds what a guard may claim. A claim beyond it is an error of its
-// settings; believed, it would draw all work to one worker.
+// maxSlots limits the number of slots that a guard may announce. A larger
+// number is a configuration error; if it were accepted, that worker would
+// attract all tasks.
 const maxSlots = 4096
 
-// lastGuards is how many guards may be left for a task before they are told to
-// keep it until a slot is free.
-const lastGuards = 2
+// lastCandidates is the number of remaining candidate guards at which a task is
+// sent with permission to queue it.
+const lastCandidates = 2
 
-// guard is one incarnation of a guard, from its first Hello until it is gone.
+// guard is the state of one incarnation of a guard, from its first Hello until
+// it is removed.
 type guard struct {
-	incarnation identity.Incarnation
-	worker      string
-	place       int
-	up          bool
-	leaving     bool
-	downs       int    // link losses; tells a stale grace timer from a due one
-	seq         uint64 // of the newest load report
-	unwell      bool   // reports its upstream as down
-	heard       time.Time
-	health      sched.Health
-	sick        bool      // quarantined
-	silent      bool      // has not answered for long
-	owes        bool      // used by watch: a task is overdue
-	want        int       // offers that it still owes
-	reserved    time.Time // when it was last asked for offers
-	declined    uint64    // Core.arrivals when its offer was last of no use
+	incarnation    identity.Incarnation
+	worker         string
+	workerIndex    int
+	isConnected    bool
+	isDraining     bool
+	disconnects    int    // number of link losses; identifies outdated grace timers
+	loadSeq        uint64 // sequence number of the latest load report
+	isUnhealthy    bool   // it reports that its upstream is down
+	lastReport     time.Time
+	health         sched.Health
+	isQuarantined  bool
+	isUnresponsive bool      // it holds an overdue task and has sent nothing for too long
+	hasOverdueTask bool      // scratch field of checkResponsiveness
+	pendingOffers  int       // reserved slots that it has not offered yet
+	reservedAt     time.Time // time of the latest reservation or offer
+	declinedAt     uint64    // Core.enqueueCount when its latest offer was declined
 }
 
-// flight is one task that was sent and not answered.
-type flight struct {
-	ref    wire.Ref
-	task   *task // nil when the job was answered meanwhile
-	guard  *guard
-	sent   time.Time
-	queued bool // the guard may hold it in its own queue
-	// accelerators that the task takes; its job may be gone before it lands
+// attempt is one task that was sent to a guard and has no result yet.
+type attempt struct {
+	ref         wire.Ref
+	task        *task // nil once the job has finished
+	guard       *guard
+	sent        time.Time
+	canBeQueued bool // the guard may hold the task in its own queue
+	// accelerators that the task uses; stored here because the job may finish
+	// before the attempt ends
 	accelerators int
 }
 
 // GuardUp implements Machine.
 func (c *Core) GuardUp(now time.Time, h *wire.Hello) {
-	g := c.guardAt(h.Incarnation)
-	known := g != nil
-	if !known {
-		c.dropPredecessors(now, h)
+	g := c.findGuard(h.Incarnation)
+	isReconnect := g != nil
+	if !isReconnect {
+		c.removePredecessors(now, h)
 		g = c.addGuard(h)
 	}
-	g.up, g.leaving = true, h.Load.Draining
-	w := c.pool.Workers[g.place]
+	g.isConnected, g.isDraining = true, h.Load.Draining
+	w := c.pool.Workers[g.workerIndex]
 	w.Slots = int32(min(max(0, h.Slots), maxSlots))
-	describe(&w, h)
-	c.noteSize(&w)
-	c.pool.Set(g.place, w)
-	g.seq, g.unwell = 0, false
-	c.takeLoad(now, g, &h.Load)
-	c.setState(g)
-	if known {
-		c.resend(now, g)
+	setResources(&w, h)
+	c.recordWorkerSize(&w)
+	c.pool.Set(g.workerIndex, w)
+	g.loadSeq, g.isUnhealthy = 0, false
+	c.applyLoad(now, g, &h.Load)
+	c.updateState(g)
+	if isReconnect {
+		c.resendStarts(now, g)
 	} else {
-		c.failUnfit(now) // not before: the successor may be the one that fits
+		c.failUnplaceableJobs(now) // only now, as the new incarnation may be the one that fits
 	}
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
 func (c *Core) addGuard(h *wire.Hello) *guard {
-	place := slices.Index(c.guards, nil)
-	if place < 0 {
-		place = c.pool.AddWorker()
+	workerIndex := slices.Index(c.guards, nil)
+	if workerIndex < 0 {
+		workerIndex = c.pool.AddWorker()
 		c.guards = append(c.guards, nil)
 	}
-	g := &guard{incarnation: h.Incarnation, worker: h.Worker, place: place}
-	c.guards[place] = g
-	c.pool.Set(place, sched.Worker{Domain: c.domains.number(h.Domain), Rack: c.racks.number(h.Rack)})
-	c.places[h.Incarnation] = place
+	g := &guard{incarnation: h.Incarnation, worker: h.Worker, workerIndex: workerIndex}
+	c.guards[workerIndex] = g
+	c.pool.Set(workerIndex, sched.Worker{Domain: c.domainIDs.id(h.Domain), Rack: c.rackIDs.id(h.Rack)})
+	c.workerIndexes[h.Incarnation] = workerIndex
 	return g
 }
 
-// dropPredecessors gives up on earlier incarnations of a restarted guard whose
-// link is down: their memory is gone with the process, so no answer can come.
-// Without it every job on a killed guard would wait out the whole grace time.
-func (c *Core) dropPredecessors(now time.Time, h *wire.Hello) {
+// removePredecessors removes disconnected earlier incarnations of a restarted
+// guard. Their state was lost with the process, so no result can arrive.
+// Otherwise every job on a killed guard would wait for the whole grace period.
+func (c *Core) removePredecessors(now time.Time, h *wire.Hello) {
 	for _, g := range c.guards {
-		if g != nil && g.worker == h.Worker && !g.up {
+		if g != nil && g.worker == h.Worker && !g.isConnected {
 			c.removeGuard(now, g)
 		}
 	}
 }
 
-// resend repeats every start that the guard has not answered. The link was
-// lost with messages on it; without this their jobs would wait for answers
-// that never come. The guard starts a Ref at most once, so a start that did
-// arrive is not started again. Withdrawn tasks are cancelled, not resent.
-func (c *Core) resend(now time.Time, g *guard) {
-	for _, f := range c.flightsOf(g) {
-		if f.task == nil {
-			c.act(Action{Guard: g.incarnation, Cancel: &wire.Cancel{Ref: f.ref}})
-			c.land(f)
+// resendStarts repeats every start that the guard has not answered. Messages
+// may have been lost with the link, and the jobs would wait for results that
+// never arrive. The guard starts a Ref at most once, so a start that did arrive
+// has no second effect. Withdrawn tasks are cancelled instead.
+func (c *Core) resendStarts(now time.Time, g *guard) {
+	for _, a := range c.attemptsAt(g) {
+		if a.task == nil {
+			c.emit(Action{Guard: g.incarnation, Cancel: &wire.Cancel{Ref: a.ref}})
+			c.removeAttempt(a)
 			continue
 		}
-		c.act(Action{Guard: g.incarnation, Start: c.start(now, f.task)})
+		c.emit(Action{Guard: g.incarnation, Start: c.startMessage(now, a.task)})
 	}
 }
 
-// flightsOf lists a guard's flights in a fixed order, as the order of a map
-// would make replays differ.
-func (c *Core) flightsOf(g *guard) []*flight {
-	var out []*flight
-	for _, f := range c.flights {
-		if f.guard == g {
-			out = append(out, f)
+// attemptsAt returns a guard's attempts in a fixed order. Map iteration order
+// would make replays nondeterministic.
+func (c *Core) attemptsAt(g *guard) []*attempt {
+	var out []*attempt
+	for _, att := range c.attempts {
+		if att.guard == g {
+			out = append(out, att)
 		}
 	}
-	slices.SortFunc(out, func(a, b *flight) int {
+	slices.SortFunc(out, func(a, b *attempt) int {
 		return cmp.Or(a.sent.Compare(b.sent), strings.Compare(a.ref.Key, b.ref.Key),
 			strings.Compare(a.ref.Member, b.ref.Member), a.ref.Task-b.ref.Task)
 	})
@@ -133,46 +136,47 @@
 
 // GuardDown implements Machine.
 func (c *Core) GuardDown(now time.Time, inc identity.Incarnation) {
-	g := c.guardAt(inc)
-	if g == nil || !g.up {
+	g := c.findGuard(inc)
+	if g == nil || !g.isConnected {
 		return
 	}
-	g.up = false
-	g.downs++
-	c.setState(g)
-	c.timers.add(now.Add(c.policy.Grace), timer{guard: g, downs: g.downs})
+	g.isConnected = false
+	g.disconnects++
+	c.updateState(g)
+	c.timers.add(now.Add(c.policy.Grace), timer{guard: g, disconnects: g.disconnects})
 }
 
-// graceOver gives up on a guard whose link did not come back.
-func (c *Core) graceOver(now time.Time, g *guard, downs int) {
-	if !g.up && g.downs == downs && c.guards[g.place] == g {
+// expireGrace removes a guard that did not reconnect within its grace period.
+func (c *Core) expireGrace(now time.Time, g *guard, disconnects int) {
+	if !g.isConnected && g.disconnects == disconnects && c.guards[g.workerIndex] == g {
 		c.removeGuard(now, g)
-		c.failUnfit(now)
+		c.failUnplaceableJobs(now)
 	}
 }
 
+// removeGuard fails the jobs with a task at g and frees its worker index.
 func (c *Core) removeGuard(now time.Time, g *guard) {
-	for _, f := range c.flightsOf(g) {
-		t := f.task
-		c.land(f)
+	for _, a := range c.attemptsAt(g) {
+		t := a.task
+		c.removeAttempt(a)
 		if t != nil && t.job.tasks != nil {
-			c.fail(now, t.job, failure{known: true, task: t.index, kind: errkind.WorkerLost,
+			c.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: errkind.WorkerLost,
 				ran: errkind.RanUnknown, detail: "the guard " + string(g.incarnation) + " was lost"})
 		}
 	}
-	delete(c.places, g.incarnation)
-	c.setWant(g, 0)
-	c.guards[g.place] = nil
-	c.pool.Set(g.place, sched.Worker{})
-	c.forgetPlace(int32(g.place))
+	delete(c.workerIndexes, g.incarnation)
+	c.setPendingOffers(g, 0)
+	c.guards[g.workerIndex] = nil
+	c.pool.Set(g.workerIndex, sched.Worker{})
+	c.clearRefusals(int32(g.workerIndex))
 }
 
-// failUnfit answers every job that no guard is left for; all that it still
-// could do is wait for its deadline.
-func (c *Core) failUnfit(now time.Time) {
+// failUnplaceableJobs fails every job for which no fitting worker is left.
+// Otherwise such a job would wait until its deadline.
+func (c *Core) failUnplaceableJobs(now time.Time) {
 	ids := make([]JobID, 0, len(c.jobs))
 	for id, j := range c.jobs {
-		if c.lost(j.spec.Need) {
+		if c.noWorkerFits(j.spec.Need) {
 			ids = append(ids, id)
 		}
 	}
@@ -180,127 +184,130 @@
 		return cmp.Or(strings.Compare(a.Key, b.Key), strings.Compare(a.Member, b.Member))
 	})
 	for _, id := range ids {
-		c.fail(now, c.jobs[id], failure{kind: errkind.NoWorkers, detail: "the last worker that fits was lost"})
+		c.failJob(now, c.jobs[id], failure{kind: errkind.NoWorkers, detail: "the last worker that fits was lost"})
 	}
 }
 
-// lost tells whether no worker is left that fits a need.
-func (c *Core) lost(need Need) bool {
+// noWorkerFits reports whether no remaining worker fits the need.
+func (c *Core) noWorkerFits(need Need) bool {
 	if need == (Need{}) {
-		return len(c.places) == 0
+		return len(c.workerIndexes) == 0
 	}
 	return c.pool.CountFitting(need, 1) == 0
 }
 
-// forgetPlace drops a place from the lists of refusals, as another guard may
-// take it and would be passed over.
-func (c *Core) forgetPlace(place int32) {
+// clearRefusals removes a worker index from all lists of refusals. Another
+// guard may reuse the index and must not be skipped for these tasks.
+func (c *Core) clearRefusals(workerIndex int32) {
 	for _, j := range c.jobs {
 		for i := range j.tasks {
 			t := &j.tasks[i]
-			t.refused = slices.DeleteFunc(t.refused, func(p int32) bool { return p == place })
+			t.refusedBy = slices.DeleteFunc(t.refusedBy, func(index int32) bool { return index == workerIndex })
 		}
 	}
 }
 
 // GuardLeaving implements Machine.
 func (c *Core) GuardLeaving(_ time.Time, inc identity.Incarnation) {
-	if g := c.guardAt(inc); g != nil {
-		g.leaving = true
-		c.setState(g)
+	if g := c.findGuard(inc); g != nil {
+		g.isDraining = true
+		c.updateState(g)
 	}
 }
 
 // Load implements Machine.
 func (c *Core) Load(now time.Time, inc identity.Incarnation, l *wire.Load) {
-	if g := c.guardAt(inc); g != nil {
-		c.takeLoad(now, g, l)
-		c.pump(now)
+	if g := c.findGuard(inc); g != nil {
+		c.applyLoad(now, g, l)
+		c.dispatchWaiting(now)
 	}
 }
 
-// takeLoad notes a guard's report unless a newer one came first: a late one
-// would show slots as free that have been taken since. A guard that takes no
-// new work reports no slots.
-func (c *Core) takeLoad(now time.Time, g *guard, l *wire.Load) {
-	if l.Seq == 0 || l.Seq <= g.seq {
+// applyLoad records a guard's load report unless a newer one was received
+// before: an outdated report would show slots as free that have since been
+// taken. A guard that accepts no new tasks reports no slots.
+func (c *Core) applyLoad(now time.Time, g *guard, l *wire.Load) {
+	if l.Seq == 0 || l.Seq <= g.loadSeq {
 		return
 	}
-	g.seq, g.heard = l.Seq, now
-	w := c.pool.Workers[g.place]
+	g.loadSeq, g.lastReport = l.Seq, now
+	w := c.pool.Workers[g.workerIndex]
 	w.Slots = int32(min(max(0, l.Slots), maxSlots))
 	w.OtherTasks = max(0, int32(l.Running+l.Queued)-w.OwnTasks)
-	c.pool.Set(g.place, w)
-	if unwell := !l.Healthy; g.silent || l.Draining || unwell != g.unwell {
-		g.silent, g.unwell = false, unwell
-		g.leaving = g.leaving || l.Draining
-		c.setState(g)
+	c.pool.Set(g.workerIndex, w)
+	if isUnhealthy := !l.Healthy; g.isUnresponsive || l.Draining || isUnhealthy != g.isUnhealthy {
+		g.isUnresponsive, g.isUnhealthy = false, isUnhealthy
+		g.isDraining = g.isDraining || l.Draining
+		c.updateState(g)
 	}
 }
 
-func (c *Core) setState(g *guard) {
-	w := c.pool.Workers[g.place]
+// updateState derives the state used by placement from the guard's flags.
+func (c *Core) updateState(g *guard) {
+	w := c.pool.Workers[g.workerIndex]
 	switch {
-	case g.leaving || !g.up || g.unwell:
+	case g.isDraining || !g.isConnected || g.isUnhealthy:
 		w.State = sched.Leaving
-	case g.sick:
+	case g.isQuarantined:
 		w.State = sched.Quarantined
-	case g.silent:
+	case g.isUnresponsive:
 		w.State = sched.Unresponsive
 	default:
 		w.State = sched.Usable
 	}
-	c.pool.Set(g.place, w)
+	c.pool.Set(g.workerIndex, w)
 	if w.State != sched.Usable {
-		c.setWant(g, 0)
+		c.setPendingOffers(g, 0)
 	}
 	if c.pool.FleetStats.Usable == 0 && c.pool.FleetStats.Excluded > 0 {
-		c.unbar()
+		c.restoreExcluded()
 	}
 }
 
-// unbar puts every barred worker back to use. Workers are barred while enough
-// others are left; when those leave, the barred ones are all there is, and a slow
-// worker serves better than none. Without this, each request would be refused
-// until the next probe, as if the service had no worker.
-func (c *Core) unbar() {
+// restoreExcluded puts all quarantined and unresponsive workers back into use.
+// Workers are only excluded while enough others are left; when those leave, the
+// excluded ones are all that remains, and a slow worker is better than none.
+// Otherwise every job would be refused until the next probe, as if the service
+// had no worker.
+func (c *Core) restoreExcluded() {
 	for _, g := range c.guards {
-		if g != nil && (g.sick || g.silent) {
-			g.sick, g.silent = false, false
-			c.setState(g)
+		if g != nil && (g.isQuarantined || g.isUnresponsive) {
+			g.isQuarantined, g.isUnresponsive = false, false
+			c.updateState(g)
 		}
 	}
 }
 
-func (c *Core) addOwn(place int, n int32, accelerators int) {
-	w := c.pool.Workers[place]
+// addOwnTasks adds n tasks, which may be negative, to a worker's load.
+func (c *Core) addOwnTasks(workerIndex int, n int32, accelerators int) {
+	w := c.pool.Workers[workerIndex]
 	w.OwnTasks += n
 	w.UsedAccelerators += int16(n) * int16(accelerators)
-	c.pool.Set(place, w)
+	c.pool.Set(workerIndex, w)
 }
 
-func (c *Core) guardAt(inc identity.Incarnation) *guard {
-	if place, ok := c.places[inc]; ok {
-		return c.guards[place]
+func (c *Core) findGuard(inc identity.Incarnation) *guard {
+	if workerIndex, ok := c.workerIndexes[inc]; ok {
+		return c.guards[workerIndex]
 	}
 	return nil
 }
 
-// land takes a flight off the books.
-func (c *Core) land(f *flight) {
-	delete(c.flights, f.ref)
-	c.addOwn(f.guard.place, -1, f.accelerators)
+// removeAttempt deletes an attempt and releases its slot and accelerators.
+func (c *Core) removeAttempt(a *attempt) {
+	delete(c.attempts, a.ref)
+	c.addOwnTasks(a.guard.workerIndex, -1, a.accelerators)
 }
 
-// numbering gives small numbers to names, in order of appearance from 1.
-type numbering struct{ names map[string]uint16 }
+// idTable assigns numeric IDs to names, in order of appearance from 1.
+type idTable struct{ ids map[string]uint16 }
 
-func (n *numbering) number(name string) uint16 {
-	if n.names == nil {
-		n.names = make(map[string]uint16)
+func (t *idTable) id(name string) uint16 {
+	if t.ids == nil {
+		t.ids = make(map[string]uint16)
 	}
-	if _, ok := n.names[name]; !ok {
-		n.names[name] = uint16(len(n.names) + 1)
+	if _, ok := t.ids[name]; !ok {
+		t.ids[name] = uint16(len(t.ids) + 1)
 	}
-	return n.names[name]
+	return t.ids[name]
 }
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -7,95 +7,98 @@
 	"wigeontray/internal/wire"
 )
 
-// noteHealth learns from a guard's word how its worker does.
-func (c *Core) noteHealth(now time.Time, f *flight, r *wire.Result) {
-	g := f.guard
+// recordHealth updates a worker's health from a task's result and quarantines
+// the worker if necessary.
+func (c *Core) recordHealth(now time.Time, a *attempt, r *wire.Result) {
+	g := a.guard
 	switch {
 	case r.Kind == errkind.None:
-		c.noteRun(g, time.Duration(r.RunMs)*time.Millisecond)
-	case blamesWorker(r.Kind):
-		g.health.Failed(f.ref.Key)
+		c.recordRun(g, time.Duration(r.RunMs)*time.Millisecond)
+	case mayBeWorkerFault(r.Kind):
+		g.health.Failed(a.ref.Key)
 	default:
 		return
 	}
-	if !g.sick && g.health.Sick() && c.pool.FleetStats.CanExclude() {
+	if !g.isQuarantined && g.health.Sick() && c.pool.FleetStats.CanExclude() {
 		c.quarantine(now, g)
 	}
 }
 
-// blamesWorker tells which failures may be the worker's own.
-func blamesWorker(k errkind.Kind) bool {
+// mayBeWorkerFault reports whether a failure may be caused by the worker.
+func mayBeWorkerFault(k errkind.Kind) bool {
 	return k == errkind.UpstreamFailed || k == errkind.UpstreamPartial || k == errkind.TimedOut
 }
 
-func (c *Core) noteRun(g *guard, took time.Duration) {
-	slow := c.runs.HasEstimate() && took > c.runs.P90
-	g.health.Ran(slow)
-	c.runs.Observe(took)
-	if w := c.pool.Workers[g.place]; w.MaxOwnTasks > 0 && !g.sick {
-		w.MaxOwnTasks = g.health.Probed(w.MaxOwnTasks, w.Slots, slow)
-		c.pool.Set(g.place, w)
+func (c *Core) recordRun(g *guard, runTime time.Duration) {
+	isSlow := c.runTimes.HasEstimate() && runTime > c.runTimes.P90
+	g.health.Ran(isSlow)
+	c.runTimes.Observe(runTime)
+	if w := c.pool.Workers[g.workerIndex]; w.MaxOwnTasks > 0 && !g.isQuarantined {
+		w.MaxOwnTasks = g.health.Probed(w.MaxOwnTasks, w.Slots, isSlow)
+		c.pool.Set(g.workerIndex, w)
 	}
 }
 
 func (c *Core) quarantine(now time.Time, g *guard) {
-	g.sick = true
-	c.setState(g)
-	c.timers.add(g.health.Quarantine(now), timer{guard: g, probe: true})
+	g.isQuarantined = true
+	c.updateState(g)
+	c.timers.add(g.health.Quarantine(now), timer{guard: g, startProbation: true})
 }
 
-// probe lets a quarantined worker have one task at a time, and more as they
-// succeed.
-func (c *Core) probe(g *guard) {
-	if !g.sick {
-		return // it was needed before its time
+// startProbation ends a quarantine. The worker gets one task at a time at
+// first, and more as they succeed.
+func (c *Core) startProbation(g *guard) {
+	if !g.isQuarantined {
+		return // restoreExcluded ended the quarantine early
 	}
-	g.sick = false
-	w := c.pool.Workers[g.place]
+	g.isQuarantined = false
+	w := c.pool.Workers[g.workerIndex]
 	w.MaxOwnTasks = 1
-	c.pool.Set(g.place, w)
-	c.setState(g)
+	c.pool.Set(g.workerIndex, w)
+	c.updateState(g)
 }
 
-// Watch over silent guards.
+// Parameters of checkResponsiveness.
 const (
-	watchEvery    = 250 * time.Millisecond
-	silentLeast   = 2 * time.Second
-	silentRuns    = 4 // times the 99th percentile of run times
-	silentUnknown = 10 * time.Second
+	responsivenessCheckInterval = 250 * time.Millisecond
+	minUnresponsiveTimeout      = 2 * time.Second
+	unresponsiveRunTimeFactor   = 4 // multiple of the 99th percentile of run times
+	defaultUnresponsiveTimeout  = 10 * time.Second
 )
 
-// watch stops new work to guards that have been silent for long while they hold
-// tasks. A frozen worker keeps its link until the link's own check fails, much
-// later, and looks idle to other entries; until then each task sent to it would
-// be lost.
-func (c *Core) watch(now time.Time) {
-	c.watching = false
-	if len(c.flights) == 0 {
+// checkResponsiveness stops sending tasks to guards that have an overdue task
+// and have sent nothing for too long. A frozen worker keeps its link until the
+// link's own liveness check fails, much later, and meanwhile looks idle to
+// other entries; every task sent to it in that time would be lost.
+func (c *Core) checkResponsiveness(now time.Time) {
+	c.isCheckScheduled = false
+	if len(c.attempts) == 0 {
 		return
 	}
-	c.watching = true
-	c.timers.add(now.Add(watchEvery), timer{watch: true})
-	limit := now.Add(-c.silentAfter())
-	for _, f := range c.flights {
-		f.guard.owes = f.guard.owes || f.sent.Before(limit)
+	c.isCheckScheduled = true
+	c.timers.add(now.Add(responsivenessCheckInterval), timer{checkResponsiveness: true})
+	cutoff := now.Add(-c.unresponsiveTimeout())
+	for _, a := range c.attempts {
+		a.guard.hasOverdueTask = a.guard.hasOverdueTask || a.sent.Before(cutoff)
 	}
 	for _, g := range c.guards {
 		if g == nil {
 			continue
 		}
-		owes := g.owes
-		g.owes = false
-		if owes && g.up && !g.silent && g.heard.Before(limit) && c.pool.FleetStats.CanExclude() {
-			g.silent = true
-			c.setState(g)
+		hasOverdueTask := g.hasOverdueTask
+		g.hasOverdueTask = false
+		if hasOverdueTask && g.isConnected && !g.isUnresponsive && g.lastReport.Before(cutoff) && c.pool.FleetStats.CanExclude() {
+			g.isUnresponsive = true
+			c.updateState(g)
 		}
 	}
 }
 
-func (c *Core) silentAfter() time.Duration {
-	if !c.runs.HasEstimate() {
-		return silentUnknown
+// unresponsiveTimeout returns how long a guard with an open task may send
+// nothing.
+func (c *Core) unresponsiveTimeout() time.Duration {
+	if !c.runTimes.HasEstimate() {
+		return defaultUnresponsiveTimeout
 	}
-	return max(silentLeast, silentRuns*c.runs.P99)
+	return max(minUnresponsiveTimeout, unresponsiveRunTimeFactor*c.runTimes.P99)
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -13,19 +13,19 @@
 
 const (
 	waiting taskState = iota // provably not started
-	sent                     // with a guard, outcome unknown
-	done                     // its result is here
+	sent                     // sent to a guard, result unknown
+	done                     // result received
 )
 
 // task is one task of an unfinished job.
 type task struct {
-	job      *job
-	index    int
-	state    taskState
-	due      int64   // order in its team's queue
-	refused  []int32 // places of guards that gave their final word
-	result   TaskResult
-	backoffs int // waits for the retry budget
+	job          *job
+	index        int
+	state        taskState
+	due          int64   // sort key in its team's queue
+	refusedBy    []int32 // worker indexes of guards that have refused the task for good
+	result       TaskResult
+	backoffCount int // delays caused by an exhausted retry budget
 }
 
 func (t *task) ref() wire.Ref {
@@ -33,20 +33,20 @@
 	return wire.Ref{Member: id.Member, Key: id.Key, Task: t.index}
 }
 
-func (t *task) wasRefusedBy(place int32) bool { return slices.Contains(t.refused, place) }
+func (t *task) wasRefusedBy(workerIndex int32) bool { return slices.Contains(t.refusedBy, workerIndex) }
 
-// job is an accepted submission that has not been answered.
+// job is an admitted job without an outcome.
 type job struct {
-	spec     *Spec
-	tasks    []task
-	open     int // tasks without a result
-	slowest  time.Duration
-	deadline *timer
-	held     sched.LocationSet // where its tasks were sent
+	spec           *Spec
+	tasks          []task
+	unfinished     int // number of tasks without a result
+	longestRunTime time.Duration
+	deadlineTimer  *timer
+	locations      sched.LocationSet // failure domains and racks that its tasks were sent to
 }
 
 func newJob(s *Spec, now time.Time) *job {
-	j := &job{spec: s, tasks: make([]task, len(s.Tasks)), open: len(s.Tasks)}
+	j := &job{spec: s, tasks: make([]task, len(s.Tasks)), unfinished: len(s.Tasks)}
 	spacing := sched.Spacing(s.Deadline.Sub(now), len(s.Tasks))
 	for i := range j.tasks {
 		due := now.Add(time.Duration(i) * spacing)
@@ -55,52 +55,52 @@
 	return j
 }
 
-// failure is why a job failed. task and ran count only when known is set:
-// otherwise the reason concerns the job as a whole.
+// failure describes why a job failed. task and ran are valid only if hasTask is
+// set; otherwise the cause concerns the job as a whole.
 type failure struct {
-	known  bool
-	task   int
-	kind   errkind.Kind
-	ran    errkind.Ran
-	detail string
+	hasTask bool
+	task    int
+	kind    errkind.Kind
+	ran     errkind.Ran
+	detail  string
 }
 
-// fail answers a job as failed, as a whole and at once, and withdraws the rest
-// of its tasks. Waiting for the others would hold back an answer that can no
-// longer change.
-func (c *Core) fail(now time.Time, j *job, why failure) {
-	out := &Outcome{ID: j.spec.ID, Slowest: j.slowest}
+// failJob fails a whole job immediately and withdraws its remaining tasks.
+// Waiting for the other tasks would only delay an answer that can no longer
+// change.
+func (c *Core) failJob(now time.Time, j *job, cause failure) {
+	outcome := &Outcome{ID: j.spec.ID, Slowest: j.longestRunTime}
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.state != done {
-			out.Failures = append(out.Failures, taskFailure(t, why))
+			outcome.Failures = append(outcome.Failures, taskFailure(t, cause))
 		}
 	}
-	kind := why.kind
-	if kind == errkind.DeadlineExpired && !noneRan(j, out.Failures) {
+	kind := cause.kind
+	if kind == errkind.DeadlineExpired && !noneRan(j, outcome.Failures) {
 		kind = errkind.TimedOut
 	}
-	out.Err = errkind.New(kind, "%s", why.detail).WithRan(jobRan(j, out.Failures))
+	outcome.Err = errkind.New(kind, "%s", cause.detail).WithRan(jobRan(j, outcome.Failures))
 	for i := range j.tasks {
-		c.abandon(&j.tasks[i])
+		c.withdrawTask(&j.tasks[i])
 	}
-	c.finish(j, out)
+	c.finishJob(j, outcome)
 }
 
-// taskFailure tells what is known of one task without a result at the moment
-// its job fails. A task that was sent and not answered is unknown: its guard
-// may have started it, whatever happens to the cancel that follows.
-func taskFailure(t *task, why failure) TaskFailure {
-	f := TaskFailure{Task: t.index, Kind: why.kind, Detail: why.detail}
+// taskFailure states what is known of a task without a result when its job
+// fails. A task that was sent and has no result is reported as unknown: its
+// guard may have started it, whatever the subsequent cancel achieves.
+func taskFailure(t *task, cause failure) TaskFailure {
+	f := TaskFailure{Task: t.index, Kind: cause.kind, Detail: cause.detail}
 	switch {
-	case why.known && why.task == t.index:
-		f.Ran = why.ran
-	case why.known:
+	case cause.hasTask && cause.task == t.index:
+		f.Ran = cause.ran
+	case cause.hasTask:
 		f.Kind, f.Detail = errkind.NotRun, "another task of the job failed"
 		f.Ran = errkind.RanNo
 	default:
 		f.Ran = errkind.RanNo
 	}
-	if t.state != sent || why.known && why.task == t.index {
+	if t.state != sent || cause.hasTask && cause.task == t.index {
 		return f
 	}
 	f.Ran = errkind.RanUnknown
@@ -113,54 +113,56 @@
 	return f
 }
 
-// jobRan joins what is known of the tasks: "no" only when no task ran.
+// jobRan combines the state of all tasks: "no" only if no task ran.
 func jobRan(j *job, failures []TaskFailure) errkind.Ran {
 	if len(failures) < len(j.tasks) {
 		return errkind.RanYes
 	}
-	all := errkind.RanNo
+	ran := errkind.RanNo
 	for _, f := range failures {
 		if f.Ran == errkind.RanYes {
 			return errkind.RanYes
 		}
 		if f.Ran == errkind.RanUnknown {
-			all = errkind.RanUnknown
+			ran = errkind.RanUnknown
 		}
 	}
-	return all
+	return ran
 }
 
 func noneRan(j *job, failures []TaskFailure) bool {
 	return jobRan(j, failures) == errkind.RanNo
 }
 
-// succeed answers a job whose every task has a result.
-func (c *Core) succeed(j *job) {
-	out := &Outcome{ID: j.spec.ID, Slowest: j.slowest, Results: make([]TaskResult, len(j.tasks))}
+// succeedJob finishes a job after every task has a result.
+func (c *Core) succeedJob(j *job) {
+	outcome := &Outcome{ID: j.spec.ID, Slowest: j.longestRunTime, Results: make([]TaskResult, len(j.tasks))}
 	for i := range j.tasks {
-		out.Results[i] = j.tasks[i].result
+		outcome.Results[i] = j.tasks[i].result
 	}
-	c.finish(j, out)
+	c.finishJob(j, outcome)
 }
 
-func (c *Core) finish(j *job, out *Outcome) {
-	delete(c.jobs, out.ID)
+// finishJob removes a job and emits its outcome.
+func (c *Core) finishJob(j *job, outcome *Outcome) {
+	delete(c.jobs, outcome.ID)
 	j.tasks = nil
-	// Left to run out, the timer would hold every task's body until a deadline
-	// that may be a minute away: at 5,000 jobs a second, gigabytes.
-	c.timers.remove(j.deadline)
-	c.act(Action{Finish: out})
+	// A timer left in the heap would keep the bodies of all tasks in memory
+	// until the deadline, up to a minute later: gigabytes at 5,000 jobs per
+	// second.
+	c.timers.remove(j.deadlineTimer)
+	c.emit(Action{Finish: outcome})
 }
 
-// abandon withdraws one task of a failed job. A flight stays on the books until
-// its guard answers, since the slot is taken until then.
-func (c *Core) abandon(t *task) {
-	f := c.flights[t.ref()]
-	if f == nil {
-		return // not sent, or answered
+// withdrawTask withdraws one task of a failed job. Its attempt remains until
+// the guard sends a result, because the slot is in use until then.
+func (c *Core) withdrawTask(t *task) {
+	a := c.attempts[t.ref()]
+	if a == nil {
+		return // not sent, or the result was received
 	}
-	f.task = nil
-	if f.queued && f.guard.up {
-		c.act(Action{Guard: f.guard.incarnation, Cancel: &wire.Cancel{Ref: f.ref}})
+	a.task = nil
+	if a.canBeQueued && a.guard.isConnected {
+		c.emit(Action{Guard: a.guard.incarnation, Cancel: &wire.Cancel{Ref: a.ref}})
 	}
 }
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -8,139 +8,143 @@
 	"wigeontray/internal/wire"
 )
 
-// Need is what each task of a job must find on its worker.
+// Need is the resource requirement of each task of a job.
 type Need = sched.Need
 
-// Bounds on what a guard may claim of its worker.
+// Limits on the resources that a guard may announce.
 const (
 	maxAccelerators = 1024
 	maxMemoryMB     = 1 << 30
 )
 
-// describe notes what a guard announces of its worker. Values that do not fit
-// would wrap around, and a large worker would seem to have nothing.
-func describe(w *sched.Worker, h *wire.Hello) {
+// setResources copies the announced resources of a worker. Values are clamped
+// because an integer overflow would make a large worker appear to have none.
+func setResources(w *sched.Worker, h *wire.Hello) {
 	w.Accelerators = int16(min(max(0, h.Accelerator), maxAccelerators))
 	w.MemoryMB = int32(min(max(0, h.MemoryMB), maxMemoryMB))
 }
 
-// mostSizes bounds how many sizes of workers are remembered; a fleet has a few.
-const mostSizes = 64
+// maxWorkerSizes limits the number of stored worker sizes; a fleet has only a
+// few.
+const maxWorkerSizes = 64
 
-// noteSize remembers the size of a worker for as long as this entry runs.
-func (c *Core) noteSize(w *sched.Worker) {
+// recordWorkerSize stores the size of a worker for the lifetime of the Core.
+func (c *Core) recordWorkerSize(w *sched.Worker) {
 	size := sched.Worker{Accelerators: w.Accelerators, MemoryMB: w.MemoryMB}
-	if len(c.sizes) < mostSizes && !slices.Contains(c.sizes, size) {
-		c.sizes = append(c.sizes, size)
+	if len(c.workerSizes) < maxWorkerSizes && !slices.Contains(c.workerSizes, size) {
+		c.workerSizes = append(c.workerSizes, size)
 	}
 }
 
-// fittedOnce tells whether a worker that was here could have met the need. VMs
-// are replaced all day, so that one like it will most likely come back.
-func (c *Core) fittedOnce(n Need) bool {
-	return slices.ContainsFunc(c.sizes, func(w sched.Worker) bool { return w.Fits(n) })
+// fitBefore reports whether any worker that has ever been connected fits the
+// need. VMs are replaced throughout the day, so a similar one will probably
+// connect again.
+func (c *Core) fitBefore(need Need) bool {
+	return slices.ContainsFunc(c.workerSizes, func(w sched.Worker) bool { return w.Fits(need) })
 }
 
-// needClass holds the waiting tasks with one need for which no worker had room.
+// parkedGroup holds waiting tasks with the same need, for which no worker had
+// room.
 //
-// Left in the queue, they would stand in front of tasks that any worker can
-// run, and each event would take all of them out and put them back.
-type needClass struct {
+// If they stayed in the queue, they would block tasks that any worker can run,
+// and each event would dequeue and requeue all of them.
+type parkedGroup struct {
 	need  Need
 	tasks []*task
 }
 
-// mostClasses bounds how many classes one event looks at; the others have their
-// turn at the next ones. Callers choose the needs, and could make many.
-const mostClasses = 4
+// maxGroupsPerEvent limits how many parked groups one event processes; the
+// others follow in later events. Callers choose the needs and could create many
+// groups.
+const maxGroupsPerEvent = 4
 
-// waitingTasks counts the tasks that wait, in the queue and set apart.
-func (c *Core) waitingTasks() int { return c.queue.Len() + c.apart }
+// waitingTasks returns the number of queued and parked tasks.
+func (c *Core) waitingTasks() int { return c.queue.Len() + c.parkedCount }
 
-// setApart moves a task with a need out of the queue's way.
-func (c *Core) setApart(t *task) {
+// park adds a task to the parked group for its need.
+func (c *Core) park(t *task) {
 	need := t.job.spec.Need
-	cl := c.class(need)
-	if cl == nil {
-		cl = &needClass{need: need}
-		c.classes = append(c.classes, cl)
+	group := c.findParked(need)
+	if group == nil {
+		group = &parkedGroup{need: need}
+		c.parked = append(c.parked, group)
 	}
-	cl.tasks = append(cl.tasks, t)
-	c.apart++
+	group.tasks = append(group.tasks, t)
+	c.parkedCount++
 }
 
-// class gives the tasks set apart with a need, or nil.
-func (c *Core) class(need Need) *needClass {
-	for _, cl := range c.classes {
-		if cl.need == need {
-			return cl
+// findParked returns the parked group for a need, or nil.
+func (c *Core) findParked(need Need) *parkedGroup {
+	for _, group := range c.parked {
+		if group.need == need {
+			return group
 		}
 	}
 	return nil
 }
 
-// takeApart takes the first live task of a class, and drops a class that it
-// empties: a class stands for waiting tasks.
-func (c *Core) takeApart(now time.Time, cl *needClass) (*task, bool) {
+// takeParked removes the first runnable task from a group, and the group itself
+// once it is empty: an existing group means that tasks are waiting.
+func (c *Core) takeParked(now time.Time, group *parkedGroup) (*task, bool) {
 	var found *task
-	for len(cl.tasks) > 0 && found == nil {
-		t := cl.tasks[0]
-		cl.tasks[0] = nil // or the array would hold an answered job's bodies
-		cl.tasks = cl.tasks[1:]
-		c.apart--
-		if c.live(now, t) {
+	for len(group.tasks) > 0 && found == nil {
+		t := group.tasks[0]
+		group.tasks[0] = nil // otherwise the array keeps the bodies of a finished job in memory
+		group.tasks = group.tasks[1:]
+		c.parkedCount--
+		if c.checkRunnable(now, t) {
 			found = t
 		}
 	}
-	if len(cl.tasks) == 0 {
-		c.classes = slices.DeleteFunc(c.classes, func(o *needClass) bool { return o == cl })
+	if len(group.tasks) == 0 {
+		c.parked = slices.DeleteFunc(c.parked, func(other *parkedGroup) bool { return other == group })
 	}
 	return found, found != nil
 }
 
-// pumpApart sends tasks that were set apart, before those of the queue: these
-// have few workers, and the queue's tasks can go to the others.
-func (c *Core) pumpApart(now time.Time) {
-	for range min(mostClasses, len(c.classes)) {
-		if len(c.classes) == 0 || !c.mayPlace() {
+// dispatchParked sends parked tasks before queued ones: parked tasks fit only a
+// few workers, and queued tasks can use the others.
+func (c *Core) dispatchParked(now time.Time) {
+	for range min(maxGroupsPerEvent, len(c.parked)) {
+		if len(c.parked) == 0 || !c.canPlace() {
 			return
 		}
-		cl := c.classes[0]
-		copy(c.classes, c.classes[1:])
-		c.classes[len(c.classes)-1] = cl
-		c.pumpClass(now, cl)
+		group := c.parked[0]
+		copy(c.parked, c.parked[1:])
+		c.parked[len(c.parked)-1] = group
+		c.dispatchGroup(now, group)
 	}
 }
 
-func (c *Core) pumpClass(now time.Time, cl *needClass) {
-	for c.mayPlace() {
-		t, ok := c.takeApart(now, cl)
+func (c *Core) dispatchGroup(now time.Time, group *parkedGroup) {
+	for c.canPlace() {
+		t, ok := c.takeParked(now, group)
 		if !ok {
 			return
 		}
-		at := c.place(t)
-		if at == sched.NoWorker {
-			// It goes to the end: a task that the only free worker has refused
-			// must not hold up its likes.
-			c.setApart(t)
+		workerIndex := c.chooseWorker(t)
+		if workerIndex == sched.NoWorker {
+			// The task moves to the end of its group: if the only free worker
+			// has refused it, it must not block the others.
+			c.park(t)
 			return
 		}
-		c.send(now, t, at, 0)
+		c.sendTask(now, t, workerIndex, 0)
 	}
 }
 
-// apartFor takes a task set apart for which a worker has room.
-func (c *Core) apartFor(now time.Time, place int32) (*task, bool) {
-	for i := len(c.classes) - 1; i >= 0; i-- { // backwards, as classes may go
-		cl := c.classes[i]
-		if !c.pool.Workers[place].HasRoom(cl.need) {
+// takeParkedFor removes a parked task for which a given worker has room.
+func (c *Core) takeParkedFor(now time.Time, workerIndex int32) (*task, bool) {
+	for i := len(c.parked) - 1; i >= 0; i-- { // in reverse, because takeParked may remove groups
+		group := c.parked[i]
+		if !c.pool.Workers[workerIndex].HasRoom(group.need) {
 			continue
 		}
-		t, ok := c.takeApart(now, cl)
+		t, ok := c.takeParked(now, group)
 		switch {
 		case !ok:
-		case t.wasRefusedBy(place):
-			c.setApart(t)
+		case t.wasRefusedBy(workerIndex):
+			c.park(t)
 		default:
 			return t, true
 		}
@@ -148,29 +152,29 @@
 	return nil, false
 }
 
-// wantsOffer tells whether a slot of a worker would be of use to a waiting task.
-func (c *Core) wantsOffer(place int) bool {
+// canUseOffer reports whether a waiting task could use a slot of the worker.
+func (c *Core) canUseOffer(workerIndex int) bool {
 	if c.queue.Len() > 0 {
 		return true
 	}
-	return slices.ContainsFunc(c.classes, func(cl *needClass) bool {
-		return c.pool.Workers[place].HasRoom(cl.need)
+	return slices.ContainsFunc(c.parked, func(group *parkedGroup) bool {
+		return c.pool.Workers[workerIndex].HasRoom(group.need)
 	})
 }
 
-// candidates counts the guards whose workers fit a task, those that refused it
-// included. It need not count beyond most.
-func (c *Core) candidates(t *task, most int) int {
+// countCandidates counts the guards whose workers fit the task, including those
+// that refused it. It may stop counting at limit.
+func (c *Core) countCandidates(t *task, limit int) int {
 	if t.job.spec.Need == (Need{}) {
-		return len(c.places)
+		return len(c.workerIndexes)
 	}
-	return c.pool.CountFitting(t.job.spec.Need, most)
+	return c.pool.CountFitting(t.job.spec.Need, limit)
 }
 
-// anyStays tells whether a worker that fits is not about to leave.
-func (c *Core) anyStays(need Need) bool {
+// anyFittingStays reports whether a worker that fits is not draining.
+func (c *Core) anyFittingStays(need Need) bool {
 	for i, g := range c.guards {
-		if g != nil && !g.leaving && c.pool.Workers[i].Fits(need) {
+		if g != nil && !g.isDraining && c.pool.Workers[i].Fits(need) {
 			return true
 		}
 	}
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -8,106 +8,110 @@
 	"wigeontray/internal/wire"
 )
 
-// Late binding: while tasks wait and no slot is believed free, the entry
-// reserves slots at the guards, and a guard offers one when it frees. The task
-// is bound to a worker at that moment, so it never waits behind another one.
+// Late binding: while tasks are waiting and no slot is estimated to be free,
+// the entry reserves slots at the guards, and a guard offers a slot when one
+// becomes free. Only then is a task assigned to that worker, so that it never
+// waits behind another task.
 
-// mostReserved bounds what is reserved at one guard at a time.
-const mostReserved = 4
+// maxReservedPerGuard limits the slots reserved at one guard at a time.
+const maxReservedPerGuard = 4
 
-// reservePerTask is at how many guards each waiting task reserves.
-const reservePerTask = 4
+// reservationsPerTask is the number of reservations made for each waiting task.
+const reservationsPerTask = 4
 
-// renewAfter is when a reservation that brought no offer is made again. Offers
-// and reservations can cross on a link, and the two ends then disagree on what
-// is owed; without the repetition a queue could wait for an offer for good.
-const renewAfter = 250 * time.Millisecond
+// reservationTimeout is the time after which a reservation without an offer is
+// made again. Offers and reservations can cross on a link and leave both ends
+// with different counts of pending offers; without a timeout a queue could wait
+// for an offer forever.
+const reservationTimeout = 250 * time.Millisecond
 
 // Offer implements Machine.
 func (c *Core) Offer(now time.Time, inc identity.Incarnation, o *wire.Offer) {
-	g := c.guardAt(inc)
-	if g == nil || !g.up {
+	g := c.findGuard(inc)
+	if g == nil || !g.isConnected {
 		return
 	}
-	c.setWant(g, g.want-1)
-	g.reserved = now
-	c.takeLoad(now, g, &o.Load)
-	if c.pool.Workers[g.place].State != sched.Usable {
-		c.decline(g)
-	} else if t, ok := c.nextFor(now, int32(g.place)); ok {
-		c.send(now, t, g.place, o.ID)
+	c.setPendingOffers(g, g.pendingOffers-1)
+	g.reservedAt = now
+	c.applyLoad(now, g, &o.Load)
+	if c.pool.Workers[g.workerIndex].State != sched.Usable {
+		c.declineOffers(g)
+	} else if t, ok := c.nextTaskFor(now, int32(g.workerIndex)); ok {
+		c.sendTask(now, t, g.workerIndex, o.ID)
 	} else {
-		c.decline(g)
+		c.declineOffers(g)
 	}
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-// decline withdraws all reservations at g, so that a slot that nobody here
-// needs is not held idle.
-func (c *Core) decline(g *guard) {
-	c.setWant(g, 0)
-	g.declined = c.arrivals
-	c.act(Action{Guard: g.incarnation, Reserve: &wire.Reserve{}})
+// declineOffers withdraws all reservations at g, so that a slot that this entry
+// does not need is not kept idle.
+func (c *Core) declineOffers(g *guard) {
+	c.setPendingOffers(g, 0)
+	g.declinedAt = c.enqueueCount
+	c.emit(Action{Guard: g.incarnation, Reserve: &wire.Reserve{}})
 }
 
-// nextFor takes the next task that fits the worker at a place and that it has
+// nextTaskFor removes the next task that fits the worker and that its guard has
 // not refused.
-func (c *Core) nextFor(now time.Time, place int32) (*task, bool) {
-	if t, ok := c.apartFor(now, place); ok {
+func (c *Core) nextTaskFor(now time.Time, workerIndex int32) (*task, bool) {
+	if t, ok := c.takeParkedFor(now, workerIndex); ok {
 		return t, true
 	}
 	for {
-		t, ok := c.next(now)
+		t, ok := c.nextTask(now)
 		if !ok {
 			return nil, false
 		}
 		need := t.job.spec.Need
 		switch {
-		case !c.pool.Workers[place].HasRoom(need):
-			c.setApart(t)
-		case t.wasRefusedBy(place):
-			c.aside = append(c.aside, t)
+		case !c.pool.Workers[workerIndex].HasRoom(need):
+			c.park(t)
+		case t.wasRefusedBy(workerIndex):
+			c.skipped = append(c.skipped, t)
 		default:
 			return t, true
 		}
 	}
 }
 
-// reserve asks guards for slots for the tasks that wait, beginning at a random
-// one. What is owed already counts: asked anew at each event, a fleet of 820
-// workers was sent six reservations for each task.
-func (c *Core) reserve(now time.Time) {
-	if !c.reserves() {
+// reserveSlots reserves slots for the waiting tasks, starting at a random
+// guard. Pending offers count towards the number needed: without that, each
+// event reserved anew, and a fleet of 820 workers received six reservations per
+// task.
+func (c *Core) reserveSlots(now time.Time) {
+	if !c.usesReservations() {
 		return
 	}
-	n, missing := len(c.guards), reservePerTask*c.waitingTasks()-c.owed
+	n, missing := len(c.guards), reservationsPerTask*c.waitingTasks()-c.totalPendingOffers
 	if missing <= 0 {
 		return
 	}
-	each := min(mostReserved, (missing+n-1)/n)
-	for i, at := 0, c.rng.IntN(n); i < n && missing > 0; i, at = i+1, (at+1)%n {
-		g := c.guards[at]
-		if g == nil || g.want > 0 || c.pool.Workers[at].State != sched.Usable || g.declined == c.arrivals || !c.wantsOffer(at) {
+	perGuard := min(maxReservedPerGuard, (missing+n-1)/n)
+	for i, workerIndex := 0, c.rng.IntN(n); i < n && missing > 0; i, workerIndex = i+1, (workerIndex+1)%n {
+		g := c.guards[workerIndex]
+		if g == nil || g.pendingOffers > 0 || c.pool.Workers[workerIndex].State != sched.Usable || g.declinedAt == c.enqueueCount || !c.canUseOffer(workerIndex) {
 			continue
 		}
-		missing -= each
-		c.setWant(g, each)
-		g.reserved = now
-		c.act(Action{Guard: g.incarnation, Reserve: &wire.Reserve{Want: each}})
+		missing -= perGuard
+		c.setPendingOffers(g, perGuard)
+		g.reservedAt = now
+		c.emit(Action{Guard: g.incarnation, Reserve: &wire.Reserve{Want: perGuard}})
 	}
 }
 
-// forgetReservations lets reservations be made anew that brought no offer for
-// long.
-func (c *Core) forgetReservations(now time.Time) {
+// expireReservations resets reservations that have not led to an offer within
+// reservationTimeout, so that they can be made again.
+func (c *Core) expireReservations(now time.Time) {
 	for _, g := range c.guards {
-		if g != nil && g.want > 0 && now.Sub(g.reserved) > renewAfter {
-			c.setWant(g, 0)
+		if g != nil && g.pendingOffers > 0 && now.Sub(g.reservedAt) > reservationTimeout {
+			c.setPendingOffers(g, 0)
 		}
 	}
 }
 
-func (c *Core) reserves() bool {
+// usesReservations reports whether the policy lets tasks wait for offers.
+func (c *Core) usesReservations() bool {
 	switch c.policy.Placement {
 	case LateBinding:
 		return true
@@ -117,11 +121,13 @@
 	return false
 }
 
-func (c *Core) setWant(g *guard, want int) {
-	want = max(0, want)
-	c.owed += want - g.want
-	g.want = want
-	w := c.pool.Workers[g.place]
-	w.HasReservation = g.want > 0
-	c.pool.Set(g.place, w)
+// setPendingOffers sets the number of offers that g still has to make. While it
+// is not zero, placement treats the worker's slots as taken.
+func (c *Core) setPendingOffers(g *guard, pendingOffers int) {
+	pendingOffers = max(0, pendingOffers)
+	c.totalPendingOffers += pendingOffers - g.pendingOffers
+	g.pendingOffers = pendingOffers
+	w := c.pool.Workers[g.workerIndex]
+	w.HasReservation = g.pendingOffers > 0
+	c.pool.Set(g.workerIndex, w)
 }
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -2,56 +2,59 @@
 
 import "time"
 
-// Weighting is what a policy puts first.
+// Weighting is the optimization goal of a policy.
 type Weighting uint8
 
-// Weightings.
+// Optimization goals, with the member that uses each.
 const (
-	WeighResponse Weighting = iota // response time first (Ayni)
-	WeighMessages                  // fewest messages first (Leeuwin)
+	WeighResponse Weighting = iota // shortest response time (Ayni)
+	WeighMessages                  // fewest messages (Leeuwin)
 )
 
-// String gives the weighting's word.
+// String returns the name of the weighting.
 func (w Weighting) String() string { return [...]string{"response", "messages"}[w] }
 
-// Placement is a way of choosing workers. All but Chosen are there to be
-// measured against.
+// Placement is a method of choosing workers. All methods but Chosen serve as a
+// basis of comparison.
 type Placement uint8
 
-// Placements.
+// Placement methods.
 const (
-	Chosen         Placement = iota // what the product uses; see docs/decisions.md
-	Random                          // any worker; its guard queues
-	TwoChoices                      // of two, the one with fewer tasks of this entry; its guard queues
-	TwoChoicesLoad                  // of two, the one with the lower load by replies; its guard queues
-	LeastKnown                      // least load by replies; refused Busy when full
-	LateBinding                     // only on an offered slot
+	Chosen         Placement = iota // used in production; see docs/decisions.md
+	Random                          // any worker; its guard queues the task
+	TwoChoices                      // of two random workers, the one with fewer tasks of this entry; its guard queues the task
+	TwoChoicesLoad                  // of two random workers, the one with the lower reported load; its guard queues the task
+	LeastKnown                      // least reported load; the guard refuses the task as Busy if no slot is free
+	LateBinding                     // only in response to offers
 )
 
-// String gives the placement's word.
+// String returns the name of the placement method.
 func (p Placement) String() string {
 	return [...]string{"chosen", "random", "two-choices", "two-choices-load", "least-known", "late-binding"}[p]
 }
 
-// Policy is what operators set for one service, already resolved from records.
+// Policy is the configuration of one service, resolved from the operators'
+// records.
 type Policy struct {
 	Weighting Weighting
 	Placement Placement
-	// Entries is how many entries share the quotas; at least 1.
+	// Entries is the number of entries that share the quotas; at least 1.
 	Entries int
 	// Domain is the failure domain of this entry.
 	Domain string
-	// MaxQueued bounds waiting tasks at this entry.
+	// MaxQueued limits the tasks waiting at this entry.
 	MaxQueued int
-	// Teams holds quotas by team; a team that is missing has none of its own.
+	// Teams holds the quota of each team. A team that is not in the map has
+	// no quota of its own.
 	Teams map[string]Quota
-	// RetryRatio is how many retries are allowed per first start (0.1 = 10%).
+	// RetryRatio is the number of retries allowed per first start (0.1 = 10%).
 	RetryRatio float64
-	// Grace is how long a task in doubt waits for its guard's link to return.
+	// Grace is how long tasks sent to a disconnected guard wait for it to
+	// reconnect.
 	Grace time.Duration
 }
 
-// Quota bounds one team over the whole fleet.
+// Quota limits one team over all entries.
 type Quota struct {
 	StartsPerSecond float64
 	Burst           float64
@@ -59,7 +62,7 @@
 	Weight float64
 }
 
-// DefaultPolicy is in force where no record says otherwise.
+// DefaultPolicy returns the policy used where no record sets another value.
 func DefaultPolicy() Policy {
 	return Policy{Entries: 1, MaxQueued: 50_000, RetryRatio: 0.2, Grace: 2 * time.Second}
 }
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -11,91 +11,92 @@
 
 // Result implements Machine.
 func (c *Core) Result(now time.Time, inc identity.Incarnation, r *wire.Result) {
-	g := c.guardAt(inc)
+	g := c.findGuard(inc)
 	if g == nil {
-		return // given up on; its jobs have been answered
+		return // removed; its jobs have been failed
 	}
-	f := c.flights[r.Ref]
-	if f != nil && f.guard == g {
-		c.land(f)
-		c.takeLoad(now, g, &r.Load)
-		c.settle(now, f, r)
+	a := c.attempts[r.Ref]
+	if a != nil && a.guard == g {
+		c.removeAttempt(a)
+		c.applyLoad(now, g, &r.Load)
+		c.applyResult(now, a, r)
 	} else {
-		// A repeated answer, or a late one of another guard: the task's own
-		// flight must not be touched by it.
-		c.takeLoad(now, g, &r.Load)
+		// A duplicate result, or a late one from another guard, must not affect
+		// the task's current attempt.
+		c.applyLoad(now, g, &r.Load)
 	}
-	c.pump(now)
+	c.dispatchWaiting(now)
 }
 
-// settle applies a guard's word to the task of a landed flight.
-func (c *Core) settle(now time.Time, f *flight, r *wire.Result) {
-	c.noteHealth(now, f, r)
-	t := f.task
+// applyResult applies a guard's result to the task of a removed attempt.
+func (c *Core) applyResult(now time.Time, a *attempt, r *wire.Result) {
+	c.recordHealth(now, a, r)
+	t := a.task
 	if t == nil || t.job.tasks == nil {
-		return // the job was answered meanwhile
+		return // the job has finished
 	}
 	switch {
 	case r.Kind == errkind.None:
-		c.complete(t, r)
-	case r.Ran == errkind.RanNo && retryable(r.Kind):
-		c.refused(now, t, f.guard, r)
+		c.completeTask(t, r)
+	case r.Ran == errkind.RanNo && isRetryable(r.Kind):
+		c.refusedBy(now, t, a.guard, r)
 	default:
-		c.fail(now, t.job, failure{known: true, task: t.index, kind: r.Kind, ran: r.Ran, detail: r.Detail})
+		c.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: r.Kind, ran: r.Ran, detail: r.Detail})
 	}
 }
 
-func (c *Core) complete(t *task, r *wire.Result) {
+func (c *Core) completeTask(t *task, r *wire.Result) {
 	j := t.job
 	t.state = done
 	t.result = TaskResult{Status: r.Status, Body: r.Body}
-	j.slowest = max(j.slowest, time.Duration(r.RunMs)*time.Millisecond)
-	if j.open--; j.open == 0 {
-		c.succeed(j)
+	j.longestRunTime = max(j.longestRunTime, time.Duration(r.RunMs)*time.Millisecond)
+	if j.unfinished--; j.unfinished == 0 {
+		c.succeedJob(j)
 	}
 }
 
-// refused puts a task back that its guard has finally refused to start. With no
-// guard left that may still take it, the job is answered at once: waiting for
-// the deadline would hold back an answer that is known.
-func (c *Core) refused(now time.Time, t *task, g *guard, r *wire.Result) {
+// refusedBy requeues a task that a guard has refused for good. If no candidate
+// is left, it fails the job immediately: waiting for the deadline would only
+// delay an answer that is already known.
+func (c *Core) refusedBy(now time.Time, t *task, g *guard, r *wire.Result) {
 	t.state = waiting
-	t.refused = append(t.refused, int32(g.place))
-	if w := c.pool.Workers[g.place]; r.Kind == errkind.Busy {
-		// Its free slots, if it reports any, are held for offers.
+	t.refusedBy = append(t.refusedBy, int32(g.workerIndex))
+	if w := c.pool.Workers[g.workerIndex]; r.Kind == errkind.Busy {
+		// Any free slots that it reports are reserved for offers.
 		w.OtherTasks = max(w.OtherTasks, w.Slots-w.OwnTasks)
-		c.pool.Set(g.place, w)
+		c.pool.Set(g.workerIndex, w)
 	}
-	if n := len(t.refused); n >= c.candidates(t, n+1) {
-		c.fail(now, t.job, failure{known: true, task: t.index, kind: errkind.NotRun,
+	if n := len(t.refusedBy); n >= c.countCandidates(t, n+1) {
+		c.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: errkind.NotRun,
 			ran: errkind.RanNo, detail: "every guard refused the task, the last one with " + r.Kind.String()})
 		return
 	}
-	if r.Kind == errkind.Busy && (c.reserves() || c.policy.Placement != Chosen) {
-		// It goes out on an offer, which is not refused again. The ways that are
-		// there to be measured against have no budget.
-		c.arrivals++
+	if r.Kind == errkind.Busy && (c.usesReservations() || c.policy.Placement != Chosen) {
+		// The task is sent in response to an offer next, which is not refused
+		// as Busy. The comparison methods have no retry budget.
+		c.enqueueCount++
 		c.enqueue(t)
 		return
 	}
-	c.retry(now, t)
+	c.retryTask(now, t)
 }
 
-// retry sends a refused task again if the budget allows it, or sets a moment to
-// ask again.
-func (c *Core) retry(now time.Time, t *task) {
-	if c.budget.TryTake() {
-		c.arrivals++
+// retryTask requeues a refused task if the retry budget allows it, or sets a
+// timer to try again later.
+func (c *Core) retryTask(now time.Time, t *task) {
+	if c.retryBudget.TryTake() {
+		c.enqueueCount++
 		c.enqueue(t)
 		return
 	}
-	t.backoffs++
-	c.timers.add(now.Add(sched.BackoffDelay(t.backoffs, c.rng)), timer{task: t})
+	t.backoffCount++
+	c.timers.add(now.Add(sched.BackoffDelay(t.backoffCount, c.rng)), timer{task: t})
 }
 
-// retryable tells whether another guard may answer otherwise. The kinds left
-// out concern the request or this entry, and are the same everywhere.
-func retryable(k errkind.Kind) bool {
+// isRetryable reports whether another guard may respond differently. The
+// excluded kinds concern the request or this entry and are the same at every
+// guard.
+func isRetryable(k errkind.Kind) bool {
 	switch k {
 	case errkind.Fenced, errkind.Cancelled, errkind.DeadlineExpired, errkind.NeverFits,
 		errkind.TooLarge, errkind.BadRequest:
--- a/internal/dispatch/timer.go
+++ b/internal/dispatch/timer.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// timer is something that falls due: a job's deadline, a guard's grace or
-// probe, a task's retry, or a look at old reports or silent guards.
+// timer is a scheduled event: a job's deadline, a task's retry, the end of a
+// guard's grace period or quarantine, or a periodic check. The bool fields
+// select the method of Core with the same name.
 type timer struct {
-	when  time.Time
-	seq   uint64 // keeps equal moments in order
-	job   *job
-	guard *guard
-	downs int
-	probe bool
-	task  *task
-	poll  bool
-	watch bool
-	index int // place in the heap, or -1
+	dueAt               time.Time
+	seq                 uint64 // orders timers that are due at the same time
+	job                 *job
+	guard               *guard
+	disconnects         int // guard.disconnects when a grace period began
+	startProbation      bool
+	task                *task
+	maintainQueue       bool
+	checkResponsiveness bool
+	heapIndex           int // index in the heap, or -1
 }
 
 type timerHeap struct {
@@ -25,51 +26,52 @@
 	seq   uint64
 }
 
-func (h *timerHeap) add(when time.Time, t timer) *timer {
+func (h *timerHeap) add(dueAt time.Time, t timer) *timer {
 	h.seq++
-	t.when, t.seq = when, h.seq
+	t.dueAt, t.seq = dueAt, h.seq
 	heap.Push(&h.items, &t)
 	return &t
 }
 
-// remove takes out a timer that is still set.
+// remove cancels a timer; it does nothing if the timer is no longer in the
+// heap.
 func (h *timerHeap) remove(t *timer) {
-	if t.index >= 0 {
-		heap.Remove(&h.items, t.index)
+	if t.heapIndex >= 0 {
+		heap.Remove(&h.items, t.heapIndex)
 	}
 }
 
-// due takes the next timer that is due at now.
-func (h *timerHeap) due(now time.Time) (*timer, bool) {
-	if len(h.items) == 0 || h.items[0].when.After(now) {
+// popDue removes the next timer that is due at now.
+func (h *timerHeap) popDue(now time.Time) (*timer, bool) {
+	if len(h.items) == 0 || h.items[0].dueAt.After(now) {
 		return nil, false
 	}
 	return heap.Pop(&h.items).(*timer), true
 }
 
-func (h *timerHeap) next() time.Time {
+func (h *timerHeap) nextDue() time.Time {
 	if len(h.items) == 0 {
 		return time.Time{}
 	}
-	return h.items[0].when
+	return h.items[0].dueAt
 }
 
 type timerItems []*timer
 
 func (s timerItems) Len() int { return len(s) }
 func (s timerItems) Less(i, j int) bool {
-	if !s[i].when.Equal(s[j].when) {
-		return s[i].when.Before(s[j].when)
+	if !s[i].dueAt.Equal(s[j].dueAt) {
+		return s[i].dueAt.Before(s[j].dueAt)
 	}
 	return s[i].seq < s[j].seq
 }
 func (s timerItems) Swap(i, j int) {
 	s[i], s[j] = s[j], s[i]
-	s[i].index, s[j].index = i, j
+	s[i].heapIndex, s[j].heapIndex = i, j
 }
 func (s *timerItems) Push(x any) {
 	t := x.(*timer)
-	t.index = len(*s)
+	t.heapIndex = len(*s)
 	*s = append(*s, t)
 }
 func (s *timerItems) Pop() any {
@@ -77,6 +79,6 @@
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*s = old[:len(old)-1]
-	t.index = -1
+	t.heapIndex = -1
 	return t
 }
