--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -30,7 +30,7 @@
 	queue                  sched.Queue[*task]
 	skipped                []*task        // dequeued tasks that no usable worker may take now
 	workerSizes            []sched.Worker // distinct worker sizes seen so far
-	parked                 []*parkedGroup // tasks for whose resource need no worker has room
+	parked                 []*parkedGroup // tasks that no worker has room for, grouped by need
 	parkedCount            int            // number of tasks in parked
 	timers                 timerHeap
 	runTimes               *sched.RunTimeStats
@@ -135,6 +135,7 @@
 	}
 }
 
+// emit appends an action to those returned by Actions.
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
 // enqueue adds a task that has provably not started to the fair queue.
@@ -155,7 +156,7 @@
 		}
 		need := t.job.spec.Need
 		if need != (Need{}) && c.findParked(need) != nil {
-			c.park(t) // no worker had room for the tasks with the same need that are ahead
+			c.park(t) // behind tasks with the same need, for which no worker had room
 		} else if workerIndex := c.chooseWorker(t); workerIndex != sched.NoWorker {
 			c.sendTask(now, t, workerIndex, 0)
 		} else if need != (Need{}) {
@@ -300,6 +301,7 @@
 	c.emit(Action{Guard: g.incarnation, Start: startMessage})
 }
 
+// startMessage returns the message that asks a guard to start t.
 func (c *Core) startMessage(now time.Time, t *task) *wire.Start {
 	s := t.job.spec
 	leftMs := max(1, s.Deadline.Sub(now).Milliseconds())
--- a/internal/sched/quota.go
+++ b/internal/sched/quota.go
@@ -6,7 +6,7 @@
 // an equal part of the team's quota, so that no request needs a message to
 // another entry. Together the entries never admit more than the quota, with one
 // exception: a job larger than a full bucket is admitted when the bucket is
-// full, and the bucket's balance becomes negative.
+// full, and the negative balance is paid back by later refills.
 type TokenBucket struct {
 	tokens     float64
 	lastRefill time.Time
--- a/internal/sched/runtimes.go
+++ b/internal/sched/runtimes.go
@@ -8,12 +8,12 @@
 
 // Parameters of RunTimeStats.
 const (
-	runTimeWindows      = 4   // windows in the histogram; the oldest is dropped
-	runTimeWindowSize   = 500 // observations per window
-	runTimeRefreshCount = 50  // observations between two updates of the estimates
-	minRunTimeCount     = 20  // observations before the first estimates
-	maxRunTimeMs        = 10 * 60 * 1000
-	runTimeDigits       = 2
+	runTimeWindows      = 4              // windows in the histogram; the oldest is dropped
+	runTimeWindowSize   = 500            // observations per window
+	runTimeRefreshCount = 50             // observations between two updates of the estimates
+	minRunTimeCount     = 20             // observations before the first estimates
+	maxRunTimeMs        = 10 * 60 * 1000 // upper end of the histogram
+	runTimeDigits       = 2              // significant digits that the histogram keeps
 	quantileP10         = 10
 	quantileP90         = 90
 	quantileP99         = 99
