--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -9,8 +9,8 @@
 	"wigeontray/internal/wire"
 )
 
-// newLoadedCore returns a Core with n workers, four fifths of whose slots are
-// in use, and a queue of ten thousand tasks of 81 teams.
+// newLoadedCore returns a dispatcher with n workers, four fifths of whose slots
+// are in use, and a queue of ten thousand tasks of 81 teams.
 func newLoadedCore(n int) *Core {
 	c := New("ayni/reserva", DefaultPolicy(), testSeed)
 	for i := range n {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -47,8 +47,8 @@
 
 var _ Machine = (*Core)(nil)
 
-// New returns a Core for a service with the given policy. seed determines all
-// random choices.
+// New returns the dispatcher of a service with the given policy. seed determines
+// all random choices.
 func New(service string, p Policy, seed uint64) *Core {
 	return &Core{
 		service:       service,
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -16,7 +16,7 @@
 
 var epoch = time.Unix(1_790_000_000, 0)
 
-// harness is a Core with guards g0, g1, ... and a simulated clock.
+// harness is a dispatcher with guards g0, g1, ... and a simulated clock.
 type harness struct {
 	*Core
 	c   *qt.C
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -39,7 +39,7 @@
 	hasOverdueTask bool      // scratch field of checkResponsiveness
 	pendingOffers  int       // reserved slots that it has not offered yet
 	reservedAt     time.Time // time of the latest reservation or offer
-	declinedAt     uint64    // Core.enqueueCount when its latest offer was declined
+	declinedAt     uint64    // value of enqueueCount when its latest offer was declined
 }
 
 // attempt is one task that was sent to a guard and has no result yet.
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -28,7 +28,7 @@
 // few.
 const maxWorkerSizes = 64
 
-// recordWorkerSize stores the size of a worker for the lifetime of the Core.
+// recordWorkerSize stores the size of a worker for as long as the entry runs.
 func (c *Core) recordWorkerSize(w *sched.Worker) {
 	size := sched.Worker{Accelerators: w.Accelerators, MemoryMB: w.MemoryMB}
 	if len(c.workerSizes) < maxWorkerSizes && !slices.Contains(c.workerSizes, size) {
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -14,7 +14,7 @@
 // String returns the name of the weighting.
 func (w Weighting) String() string { return [...]string{"response", "messages"}[w] }
 
-// Placement is a method of choosing workers. All methods but Chosen serve as a
+// Placement is a method of choosing workers. All methods but the first serve as a
 // basis of comparison.
 type Placement uint8
 
--- a/internal/dispatch/timer.go
+++ b/internal/dispatch/timer.go
@@ -7,7 +7,7 @@
 
 // timer is a scheduled event: a job's deadline, a task's retry, the end of a
 // guard's grace period or quarantine, or a periodic check. The bool fields
-// select the method of Core with the same name.
+// select the method that runTimer calls under the same name.
 type timer struct {
 	dueAt               time.Time
 	seq                 uint64 // orders timers that are due at the same time
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits of Spacing.
+// Limits of the spacing between the tasks of a job.
 const (
 	maxSpacing     = 20 * time.Millisecond
 	spacingDivisor = 2
--- a/internal/sched/room.go
+++ b/internal/sched/room.go
@@ -50,11 +50,11 @@
 	Capacity Room
 	Free     Room  // capacity minus the tasks that are running or were sent
 	State    State // only Usable sites get tasks
-	Limit    int   // limit on Own during probation; 0 for no limit
+	Limit    int   // most tasks of this entry during probation; 0 for no limit
 	Own      int   // tasks of this entry on the worker
 }
 
-// Ask describes the requirements of a task to be placed on a Site.
+// Ask describes the requirements of a task to be placed.
 type Ask struct {
 	Service string
 	Need    Room
