--- a/internal/ledger/fence.go
+++ b/internal/ledger/fence.go
@@ -10,25 +10,27 @@
 	"wigeontray/internal/wire"
 )
 
-// Fence notes that an entry is never obeyed again, and reports all starts that
-// were made for it. A Fence beyond MaxFences gets no report: it could only be
-// kept by forgetting an older one, whose entry might then start work again.
+// Fence permanently blocks an entry incarnation: it starts no more tasks here. The
+// reply reports the starts made for it. Once MaxFences fences are stored, a Fence
+// for a further entry is ignored and gets no report. Storing it would require
+// evicting an older fence, and the entry fenced by that one could then start tasks
+// again.
 func (l *Ledger) Fence(now time.Time, from identity.Incarnation, f *wire.Fence) {
-	if !l.fenced[f.Gone] && (len(l.fenced) >= l.opt.MaxFences || len(f.Gone) > maxName) {
+	if !l.fenced[f.Gone] && (len(l.fenced) >= l.opt.MaxFences || len(f.Gone) > maxIncarnationLen) {
 		return
 	}
 	l.fenced[f.Gone] = true
 	if e := l.entry(f.Gone); e != nil {
-		e.want = 0
-		l.releaseOffers(e)
+		e.reserved = 0
+		l.withdrawOffers(e)
 	}
-	l.refuseHome(now, f.Gone)
-	l.assign(now)
-	l.send(from, &wire.Frame{FenceReport: l.report(f.Gone, f.SinceMs)})
+	l.refuseQueuedTasks(now, f.Gone)
+	l.assignSlots(now)
+	l.send(from, &wire.Frame{FenceReport: l.fenceReport(f.Gone, f.SinceMs)})
 }
 
-// refuseHome refuses the waiting tasks of a fenced entry.
-func (l *Ledger) refuseHome(now time.Time, home identity.Incarnation) {
+// refuseQueuedTasks refuses the queued tasks of a fenced entry.
+func (l *Ledger) refuseQueuedTasks(now time.Time, home identity.Incarnation) {
 	for _, w := range slices.Clone(l.queue) {
 		if w.record.home == home {
 			l.dequeue(w.record)
@@ -37,46 +39,50 @@
 	}
 }
 
-// report lists the starts for one home of identities born from sinceMs on, since
-// a whole memory from every guard would swamp the entry. Births before the guard itself began
-// lie below the reported floor: a predecessor on the same worker may have
-// started them, and this guard would not know.
-func (l *Ledger) report(home identity.Incarnation, sinceMs int64) *wire.FenceReport {
+// fenceReport lists the starts made for one home, for identities born at or after
+// sinceMs. Without that bound, the full record tables of all guards would overload
+// the entry that receives the reports.
+//
+// Births before this guard's creation are excluded by the reported floor: an earlier
+// guard process on the same worker may have started such tasks, and this guard has
+// no record of them.
+func (l *Ledger) fenceReport(home identity.Incarnation, sinceMs int64) *wire.FenceReport {
 	var started []*record
-	for _, r := range l.memory.records {
+	for _, r := range l.recordTable.records {
 		if r.home == home && r.started() && r.birthMs >= sinceMs {
 			started = append(started, r)
 		}
 	}
-	slices.SortFunc(started, newestFirst)
-	floor := max(l.memory.floorMs, l.bornMs, sinceMs)
-	if len(started) > maxReported {
-		// What does not fit a frame is the same to the reader as forgotten.
-		floor = max(floor, started[maxReported].birthMs+1)
-		started = started[:maxReported]
+	slices.SortFunc(started, compareNewestFirst)
+	reportFloorMs := max(l.recordTable.floorMs, l.createdMs, sinceMs)
+	if len(started) > maxReportedStarts {
+		// Starts that do not fit in the frame are excluded by raising the floor, as if
+		// their records had been evicted.
+		reportFloorMs = max(reportFloorMs, started[maxReportedStarts].birthMs+1)
+		started = started[:maxReportedStarts]
 	}
-	out := &wire.FenceReport{Gone: home, FloorMs: floor}
+	report := &wire.FenceReport{Gone: home, FloorMs: reportFloorMs}
 	for _, r := range started {
-		out.Started = append(out.Started, wire.Started{Ref: r.ref, Of: int(r.of), Done: r.result != nil})
+		report.Started = append(report.Started, wire.Started{Ref: r.ref, Of: int(r.taskCount), Done: r.result != nil})
 	}
-	return out
+	return report
 }
 
-func newestFirst(a, b *record) int {
+func compareNewestFirst(a, b *record) int {
 	return cmp.Or(cmp.Compare(b.birthMs, a.birthMs), cmp.Compare(a.ref.Member, b.ref.Member),
 		cmp.Compare(a.ref.Key, b.ref.Key), cmp.Compare(a.ref.Task, b.ref.Task))
 }
 
-// Collect sends the held results of a job to the entry that asks. It is empty
-// when none is held.
+// Collect sends the held results of a job to the requesting entry. The reply is
+// empty if no result is held.
 func (l *Ledger) Collect(from identity.Incarnation, c *wire.Collect) {
-	out := &wire.Collected{Member: c.Member, Key: c.Key}
-	for _, r := range l.memory.held {
+	reply := &wire.Collected{Member: c.Member, Key: c.Key}
+	for _, r := range l.recordTable.held {
 		if r.result != nil && r.ref.Member == c.Member && r.ref.Key == c.Key {
-			out.Results = append(out.Results, *r.result)
-			out.Of = int(r.of)
+			reply.Results = append(reply.Results, *r.result)
+			reply.Of = int(r.taskCount)
 		}
 	}
-	slices.SortFunc(out.Results, func(a, b wire.Result) int { return cmp.Compare(a.Ref.Task, b.Ref.Task) })
-	l.send(from, &wire.Frame{Collected: out})
+	slices.SortFunc(reply.Results, func(a, b wire.Result) int { return cmp.Compare(a.Ref.Task, b.Ref.Task) })
+	l.send(from, &wire.Frame{Collected: reply})
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,14 +1,16 @@
-// Package ledger owns a guard's starts: which tasks were accepted, started and
-// finished, who waits for a slot, and what was said of each. It is a state
-// machine under an explicit clock: it has no goroutine, no socket and no lock.
-// A guard feeds it what happens and carries out the actions it returns; replay
-// feeds it recorded traces.
+// Package ledger tracks the tasks that a guard accepts, starts and finishes, its
+// queue, its slot offers and the results it reports. It is a deterministic state
+// machine with an explicit clock: it has no goroutines, sockets or locks. The guard
+// passes events to it and executes the actions it returns; replay feeds it recorded
+// traces.
 //
-// A Ref is started at most once, and a refusal with RanNo is kept like a start,
-// so that it stays true when a duplicate of the same Start arrives later.
-// Memory is bounded: settled Refs are forgotten from the oldest birth on, and
-// every forgotten birth lies below the floor. What is below the floor is never
-// started, and nothing is claimed about whether it ran.
+// A Ref is started at most once. A refusal with RanNo is recorded like a start, so
+// that a duplicate of the same Start that arrives later is refused too.
+//
+// Memory is bounded: settled Refs are evicted in order of birth, oldest first, and
+// the floor is raised above each evicted birth. The birth of a Ref is the creation
+// time in its UUIDv7 key. A Ref born below the floor is never started, and the
+// ledger makes no claim about whether it ran.
 //
 // The package may import errkind, identity and wire.
 package ledger
@@ -21,246 +23,248 @@
 	"wigeontray/internal/wire"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
-	DefaultSlots      = 8
-	DefaultMaxQueued  = 64                    // tasks that wait for a slot
-	DefaultQueueBytes = 4 << 20               // bytes of their bodies
-	DefaultHold       = 25 * time.Millisecond // ten round trips between failure domains
-	DefaultRetention  = 10 * time.Minute
-	DefaultRemembered = 16_000  // settled Refs, 100 s of starts at 160 a second; see RecordBytes
-	DefaultHeldBytes  = 2 << 20 // bytes of results
-	DefaultMaxFences  = 4096    // fenced incarnations in the guard's life
+	DefaultSlots         = 8
+	DefaultMaxQueued     = 64                    // tasks waiting for a slot
+	DefaultMaxQueueBytes = 4 << 20               // total size of their bodies
+	DefaultOfferTimeout  = 25 * time.Millisecond // ten round trips between failure domains
+	DefaultRetention     = 10 * time.Minute
+	DefaultMaxSettled    = 16_000  // settled Refs: 100 s of starts at 160 per second; see MaxRecordBytes
+	DefaultMaxHeldBytes  = 2 << 20 // total size of held results
+	DefaultMaxFences     = 4096    // fenced incarnations over the guard's lifetime
 )
 
-// MaxAhead is how far in the future a birth may lie by this worker's clock.
-// A birth far ahead would outlive every other in memory and push the floor
-// above the present: each later Start would then be refused as expired.
-const MaxAhead = time.Minute
+// MaxClockSkew limits how far a birth may lie ahead of this worker's clock. A record
+// with a birth far in the future would outlive all others and raise the floor above
+// the current time; every later Start would then be refused as expired.
+const MaxClockSkew = time.Minute
 
-// Bounds on what an entry may say. A value beyond them is a bug or an attack,
-// and would overflow a time or fill the memory.
+// Limits on values received from an entry. Larger values indicate a bug or an
+// attack, and would overflow a time or exhaust memory.
 const (
-	maxLeftMs = 24 * 60 * 60 * 1000 // time until a deadline
-	maxName   = identity.MaxKeyLen  // bytes of an incarnation
+	maxDurationMs     = 24 * 60 * 60 * 1000 // time until a deadline, or time in the queue
+	maxIncarnationLen = identity.MaxKeyLen  // bytes
 )
 
-// maxHeldBytes lets a Collected with every held result fit one frame.
-const maxHeldBytes = wire.MaxFrame / 2
+// heldBytesLimit ensures that a Collected with all held results fits in one frame.
+const heldBytesLimit = wire.MaxFrame / 2
 
-// maxReported bounds the starts in one FenceReport, so that it fits a frame.
-const maxReported = 20_000
+// maxReportedStarts limits the starts in one FenceReport so that it fits in a frame.
+const maxReportedStarts = 20_000
 
-// Options configures a Ledger. A zero field takes its default.
+// Options configures a Ledger. Zero fields take their defaults.
 type Options struct {
-	// Member is the only member whose Refs are accepted; empty accepts all.
-	Member     string
-	Slots      int           // tasks on the upstream at once
-	MaxQueued  int           // tasks waiting for a slot
-	QueueBytes int           // bytes of the bodies of waiting tasks
-	Hold       time.Duration // how long an offered slot is kept for its entry
-	Retention  time.Duration // age of a birth after which a settled Ref is forgotten
-	Remembered int           // settled Refs kept at most; when full, Retention is cut short
-	HeldBytes  int           // bytes of results kept for a resent Start or a Collect, at most half a frame
-	MaxFences  int           // fences kept; a further Fence is not answered
+	// Member is the only member whose Refs are accepted; empty accepts all members.
+	Member        string
+	Slots         int           // tasks running on the upstream at once
+	MaxQueued     int           // tasks waiting for a slot
+	MaxQueueBytes int           // total size of the bodies of queued tasks
+	OfferTimeout  time.Duration // how long an offered slot is reserved for its entry
+	Retention     time.Duration // age of a birth after which a settled Ref is evicted
+	Remembered    int           // maximum number of settled Refs; at the limit, Refs are evicted before Retention ends
+	HeldBytes     int           // maximum size of results held for a resent Start or a Collect; at most half a frame
+	MaxFences     int           // maximum number of fences; a Fence for a further entry is ignored
 }
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Slots, DefaultSlots)
 	setDefault(&o.MaxQueued, DefaultMaxQueued)
-	setDefault(&o.QueueBytes, DefaultQueueBytes)
-	setDefault(&o.Hold, DefaultHold)
+	setDefault(&o.MaxQueueBytes, DefaultMaxQueueBytes)
+	setDefault(&o.OfferTimeout, DefaultOfferTimeout)
 	setDefault(&o.Retention, DefaultRetention)
-	setDefault(&o.Remembered, DefaultRemembered)
-	setDefault(&o.HeldBytes, DefaultHeldBytes)
-	o.HeldBytes = min(o.HeldBytes, maxHeldBytes)
+	setDefault(&o.Remembered, DefaultMaxSettled)
+	setDefault(&o.HeldBytes, DefaultMaxHeldBytes)
+	o.HeldBytes = min(o.HeldBytes, heldBytesLimit)
 	setDefault(&o.MaxFences, DefaultMaxFences)
 	return o
 }
 
-func setDefault[T int | time.Duration](v *T, d T) {
-	if *v == 0 {
-		*v = d
+func setDefault[T int | time.Duration](value *T, def T) {
+	if *value == 0 {
+		*value = def
 	}
 }
 
-// Run asks the guard to run a task on the upstream, now and once, and to call
-// Finished with the result.
+// Run directs the guard to run a task on the upstream immediately and only once, and
+// to pass the result to Finished.
 type Run struct {
 	Ref      wire.Ref
 	Body     []byte
 	Deadline time.Time
 }
 
-// Send asks the guard to send a frame on the newest link of an entry.
+// Send directs the guard to send a frame on the newest link of an entry.
 type Send struct {
 	To    identity.Incarnation
 	Frame *wire.Frame
 }
 
-// Action is one thing that the owner of a Ledger must do. Exactly one field is
-// set. Actions are carried out in order.
+// Action is one operation for the owner of a Ledger to execute. Exactly one field is
+// set. Actions are executed in order.
 type Action struct {
 	Run  *Run
 	Send *Send
 }
 
-// entry is one linked entry.
+// entry is the state of one linked entry.
 type entry struct {
-	name    identity.Incarnation
-	want    int // tasks for which it reserved a slot
-	offered int // its offers that are still held
+	incarnation identity.Incarnation
+	reserved    int // tasks for which the entry requested a slot
+	openOffers  int // offers to the entry that are neither used nor expired
 }
 
-// Ledger is a guard's state. Its methods take the current time, which never
-// runs backwards. The zero value is not usable; see New.
+// Ledger is a guard's task state. Its methods take the current time, which must not
+// go backwards. The zero value is not usable; use New.
 type Ledger struct {
-	opt     Options
-	bornMs  int64 // when this guard began, milliseconds of the Unix epoch
-	memory  memory
-	entries []*entry // in the order in which they linked
-	turn    int      // index into entries of the next offer
-	fenced  map[identity.Incarnation]bool
-
-	running    int
-	queue      []*waiter
-	queueBytes int
-	offers     []offer
-	offerID    uint64
-
-	healthy  bool
-	draining bool
-	loadSeq  uint64
-	actions  []Action
+	opt         Options
+	createdMs   int64 // creation time of this guard, in Unix milliseconds
+	recordTable recordTable
+	entries     []*entry // in the order in which they linked
+	nextEntry   int      // index into entries at which the search for the next offer begins
+	fenced      map[identity.Incarnation]bool
+
+	running     int
+	queue       []*queuedTask
+	queueBytes  int
+	offers      []offer
+	lastOfferID uint64
+
+	isHealthy  bool
+	isDraining bool
+	loadSeq    uint64
+	actions    []Action
 }
 
-// New returns the ledger of a guard that starts now. Its upstream counts as
-// unhealthy until Health says otherwise.
+// New returns the ledger of a guard that starts at the given time. The upstream
+// counts as unhealthy until Health reports otherwise.
 func New(now time.Time, opt Options) *Ledger {
 	opt = opt.withDefaults()
 	return &Ledger{
-		opt:    opt,
-		bornMs: now.UnixMilli(),
-		memory: newMemory(opt),
-		fenced: make(map[identity.Incarnation]bool),
+		opt:         opt,
+		createdMs:   now.UnixMilli(),
+		recordTable: newRecordTable(opt),
+		fenced:      make(map[identity.Incarnation]bool),
 	}
 }
 
-// Actions returns the actions since the last call, for the caller to keep.
+// Actions returns the actions since the last call and clears them. The caller owns
+// the returned slice.
 func (l *Ledger) Actions() []Action {
 	out := l.actions
 	l.actions = nil
 	return out
 }
 
-// Stats is a reading of a Ledger for counters and status pages.
+// Stats is a snapshot of a Ledger for metrics and status pages.
 type Stats struct {
 	Running, Queued, Offered int
-	Remembered               int   // Refs in memory, settled or not
-	HeldBytes                int   // bytes of held results
-	FloorMs                  int64 // birth below which Refs may be forgotten
+	Remembered               int   // Refs with a record, settled or not
+	HeldBytes                int   // total size of held results
+	FloorMs                  int64 // birth below which records may have been evicted
 	Healthy, Draining        bool
 }
 
-// Stats reads the ledger.
+// Stats returns a snapshot of the ledger.
 func (l *Ledger) Stats() Stats {
 	return Stats{
 		Running: l.running, Queued: len(l.queue), Offered: len(l.offers),
-		Remembered: len(l.memory.records), HeldBytes: l.memory.heldBytes, FloorMs: l.memory.floorMs,
-		Healthy: l.healthy, Draining: l.draining,
+		Remembered: len(l.recordTable.records), HeldBytes: l.recordTable.heldBytes, FloorMs: l.recordTable.floorMs,
+		Healthy: l.isHealthy, Draining: l.isDraining,
 	}
 }
 
-// Idle tells whether no task runs or waits.
+// Idle reports whether no task is running or queued.
 func (l *Ledger) Idle() bool { return l.running == 0 && len(l.queue) == 0 }
 
-// Load makes a new load report; each has a greater Seq than the one before. A
-// guard that takes no new work reports no slots.
-func (l *Ledger) Load() wire.Load { return l.loadFor("") }
+// Load returns a new load report. Each report has a greater Seq than the previous
+// one. A guard that accepts no new work reports zero slots.
+func (l *Ledger) Load() wire.Load { return l.loadReportFor("") }
 
-// loadFor is a report for one entry. Slots that are held for offers to other
-// entries count as queued: the entry would take them for free, send tasks there
-// and have them refused as busy.
-func (l *Ledger) loadFor(to identity.Incarnation) wire.Load {
+// loadReportFor returns a load report for one entry. Slots reserved for offers to
+// other entries are added to the queued count. Otherwise the recipient would treat
+// them as free, send tasks to them and get Busy refusals.
+func (l *Ledger) loadReportFor(recipient identity.Incarnation) wire.Load {
 	l.loadSeq++
-	held := len(l.offers)
+	offeredToOthers := len(l.offers)
 	for _, o := range l.offers {
-		if o.to.name == to {
-			held--
+		if o.recipient.incarnation == recipient {
+			offeredToOthers--
 		}
 	}
 	load := wire.Load{
-		Seq: l.loadSeq, Running: l.running, Queued: len(l.queue) + held,
-		Draining: l.draining, Healthy: l.healthy,
+		Seq: l.loadSeq, Running: l.running, Queued: len(l.queue) + offeredToOthers,
+		Draining: l.isDraining, Healthy: l.isHealthy,
 	}
-	if l.open() {
+	if l.acceptsWork() {
 		load.Slots = l.opt.Slots
 	}
 	return load
 }
 
-// open tells whether new work is taken.
-func (l *Ledger) open() bool { return l.healthy && !l.draining }
+// acceptsWork reports whether new tasks are accepted.
+func (l *Ledger) acceptsWork() bool { return l.isHealthy && !l.isDraining }
 
-// LinkUp notes that an entry's link is ready, or was replaced by a newer one.
-// What it had reserved on the older link is withdrawn. A load report follows,
-// since the one in Hello may be out of date by now.
-func (l *Ledger) LinkUp(now time.Time, name identity.Incarnation) {
-	l.LinkDown(now, name)
-	l.entries = append(l.entries, &entry{name: name})
-	l.sendLoad(name)
+// LinkUp records that an entry's link is ready or was replaced by a newer one.
+// Reservations made on the older link are withdrawn. A load report is sent, since
+// the one in Hello may be out of date.
+func (l *Ledger) LinkUp(now time.Time, incarnation identity.Incarnation) {
+	l.LinkDown(now, incarnation)
+	l.entries = append(l.entries, &entry{incarnation: incarnation})
+	l.sendLoad(incarnation)
 }
 
-// LinkDown notes that an entry has no link any more. Its offered slots become
-// free; its waiting and running tasks stay, as it may link again.
-func (l *Ledger) LinkDown(now time.Time, name identity.Incarnation) {
+// LinkDown records that an entry has no link. Slots offered to it are released; its
+// queued and running tasks stay, since it may link again.
+func (l *Ledger) LinkDown(now time.Time, incarnation identity.Incarnation) {
 	for i, e := range l.entries {
-		if e.name == name {
-			l.releaseOffers(e)
+		if e.incarnation == incarnation {
+			l.withdrawOffers(e)
 			l.entries = append(l.entries[:i], l.entries[i+1:]...)
 			break
 		}
 	}
-	l.assign(now)
+	l.assignSlots(now)
 }
 
-func (l *Ledger) entry(name identity.Incarnation) *entry {
+func (l *Ledger) entry(incarnation identity.Incarnation) *entry {
 	for _, e := range l.entries {
-		if e.name == name {
+		if e.incarnation == incarnation {
 			return e
 		}
 	}
 	return nil
 }
 
-// Health notes whether the upstream takes requests. While it does not, waiting
-// tasks are refused, so that their entries can send them elsewhere in time.
-func (l *Ledger) Health(now time.Time, healthy bool) {
-	if l.healthy == healthy {
+// Health records whether the upstream accepts requests. When it becomes unhealthy,
+// queued tasks are refused so that their entries can send them to other guards
+// before the deadline.
+func (l *Ledger) Health(now time.Time, isHealthy bool) {
+	if l.isHealthy == isHealthy {
 		return
 	}
-	l.healthy = healthy
-	if !healthy {
+	l.isHealthy = isHealthy
+	if !isHealthy {
 		l.refuseQueue(now, errkind.Busy)
-		l.releaseAllOffers()
+		l.withdrawAllOffers()
 	}
 	l.sendLoads()
-	l.assign(now)
+	l.assignSlots(now)
 }
 
-// Drain begins a planned stop, for good: new and waiting tasks are refused,
-// running ones finish. The announcement goes out before the refusals, so that
-// no entry sends a refused task back to this guard.
+// Drain begins a planned, irreversible stop: new and queued tasks are refused, and
+// running tasks finish. Goodbye and the load reports are sent before the refusals,
+// so that no entry sends a refused task back to this guard.
 func (l *Ledger) Drain(now time.Time, reason string) {
-	if l.draining {
+	if l.isDraining {
 		return
 	}
-	l.draining = true
+	l.isDraining = true
 	for _, e := range l.entries {
-		l.send(e.name, &wire.Frame{Goodbye: &wire.Goodbye{Reason: reason}})
+		l.send(e.incarnation, &wire.Frame{Goodbye: &wire.Goodbye{Reason: reason}})
 	}
 	l.sendLoads()
-	l.releaseAllOffers()
+	l.withdrawAllOffers()
 	l.refuseQueue(now, errkind.Draining)
 }
 
@@ -271,12 +275,12 @@
 }
 
 func (l *Ledger) sendLoad(to identity.Incarnation) {
-	load := l.loadFor(to)
+	load := l.loadReportFor(to)
 	l.send(to, &wire.Frame{Load: &load})
 }
 
 func (l *Ledger) sendLoads() {
 	for _, e := range l.entries {
-		l.sendLoad(e.name)
+		l.sendLoad(e.incarnation)
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,9 +14,9 @@
 	"wigeontray/internal/wire"
 )
 
-// rig is a ledger with two linked entries, a and b, and a clock that the test
-// moves. Its tasks are numbered from 1.
-type rig struct {
+// harness wraps a ledger with two linked entries, entryA and entryB, and a clock
+// that the test advances. Tasks are numbered from 1.
+type harness struct {
 	*Ledger
 	t      testing.TB
 	now    time.Time
@@ -24,61 +24,62 @@
 }
 
 const (
-	a = identity.Incarnation("entry-a-1")
-	b = identity.Incarnation("entry-b-1")
+	entryA = identity.Incarnation("entry-a-1")
+	entryB = identity.Incarnation("entry-b-1")
 )
 
-func newRig(t testing.TB, opt Options) *rig {
-	r := &rig{Ledger: New(epoch, opt), t: t, now: epoch}
-	r.Health(epoch, true)
-	r.LinkUp(epoch, a)
-	r.LinkUp(epoch, b)
-	r.Actions()
-	return r
+func newHarness(t testing.TB, opt Options) *harness {
+	h := &harness{Ledger: New(epoch, opt), t: t, now: epoch}
+	h.Health(epoch, true)
+	h.LinkUp(epoch, entryA)
+	h.LinkUp(epoch, entryB)
+	h.Actions()
+	return h
 }
 
-// next makes a Start of a fresh task of home, born now and due in a second.
-func (r *rig) next(home identity.Incarnation) *wire.Start {
-	n := len(r.starts) + 1
-	ref := wire.Ref{Member: "ayni", Key: ticket(home, r.now, n), Task: n}
+// newStart returns a Start for a new task of home, with a birth of now and a
+// deadline one second later.
+func (h *harness) newStart(home identity.Incarnation) *wire.Start {
+	n := len(h.starts) + 1
+	ref := wire.Ref{Member: "ayni", Key: newTicket(home, h.now, n), Task: n}
 	s := &wire.Start{Ref: ref, Of: 1, Home: home, LeftMs: 1000}
-	r.starts = append(r.starts, s)
+	h.starts = append(h.starts, s)
 	return s
 }
 
-// send feeds the Start of a fresh task; waitMs is its WaitMs.
-func (r *rig) send(home identity.Incarnation, waitMs int64) *wire.Start {
-	s := r.next(home)
+// startNew passes the Start of a new task to the ledger; waitMs is its WaitMs.
+func (h *harness) startNew(home identity.Incarnation, waitMs int64) *wire.Start {
+	s := h.newStart(home)
 	s.WaitMs = waitMs
-	r.Start(r.now, home, s)
+	h.Start(h.now, home, s)
 	return s
 }
 
-func (r *rig) resend(s *wire.Start) { r.Start(r.now, s.Home, s) }
+func (h *harness) resend(s *wire.Start) { h.Start(h.now, s.Home, s) }
 
-func (r *rig) pass(d time.Duration) {
-	r.now = r.now.Add(d)
-	r.Tick(r.now)
+func (h *harness) advance(d time.Duration) {
+	h.now = h.now.Add(d)
+	h.Tick(h.now)
 }
 
-func (r *rig) finish(s *wire.Start, body string) {
-	r.Finished(r.now, wire.Result{Ref: s.Ref, Status: 200, Body: []byte(body)})
+func (h *harness) finish(s *wire.Start, body string) {
+	h.Finished(h.now, wire.Result{Ref: s.Ref, Status: 200, Body: []byte(body)})
 }
 
-// expect compares the actions since the last call with their written form,
-// without load reports.
-func (r *rig) expect(want ...string) {
-	r.t.Helper()
+// assertActions compares the actions since the last call, formatted by formatAction,
+// with want. Load reports are left out.
+func (h *harness) assertActions(want ...string) {
+	h.t.Helper()
 	var got []string
-	for _, act := range r.Actions() {
-		if text := written(act); text != "" {
+	for _, act := range h.Actions() {
+		if text := formatAction(act); text != "" {
 			got = append(got, text)
 		}
 	}
-	qt.Assert(r.t, got, qt.DeepEquals, want)
+	qt.Assert(h.t, got, qt.DeepEquals, want)
 }
 
-func written(act Action) string {
+func formatAction(act Action) string {
 	if act.Run != nil {
 		return fmt.Sprintf("run %d", act.Run.Ref.Task)
 	}
@@ -96,239 +97,239 @@
 	return ""
 }
 
-// The link to an entry breaks while its task runs; the entry links again and
-// sends the Start again, as it cannot know whether it arrived. A second start
-// would send a second escort; no answer would leave the agent waiting.
+// The link to an entry breaks while its task runs. The entry links again and resends
+// the Start, because it cannot tell whether the first one arrived. A second start
+// would duplicate the work; without an answer the caller would keep waiting.
 func TestResentStartRunsOnce(t *testing.T) {
-	r := newRig(t, Options{})
-	s := r.send(a, 0)
-	r.LinkDown(r.now, a)
-	r.LinkUp(r.now, a)
-	r.resend(s)
-	r.expect("run 1")
-	r.finish(s, "booked")
-	r.resend(s)
-	r.expect("a: 1 none, ran yes", "a: 1 none, ran yes")
+	h := newHarness(t, Options{})
+	s := h.startNew(entryA, 0)
+	h.LinkDown(h.now, entryA)
+	h.LinkUp(h.now, entryA)
+	h.resend(s)
+	h.assertActions("run 1")
+	h.finish(s, "booked")
+	h.resend(s)
+	h.assertActions("a: 1 none, ran yes", "a: 1 none, ran yes")
 }
 
-// Every slot is taken, so a Start is refused and its entry sends the task to
-// another guard. A duplicate of the Start, held up on a dying link, arrives
-// here once a slot is free. If it ran, the task would run on both workers.
-func TestRefusalStaysTrue(t *testing.T) {
-	r := newRig(t, Options{Slots: 1})
-	first, second := r.send(a, 0), r.send(a, 0)
-	r.expect("run 1", "a: 2 busy, ran no")
-	r.finish(first, "")
-	r.resend(second)
-	r.expect("a: 1 none, ran yes", "a: 2 busy, ran no")
+// All slots are in use, so a Start is refused and its entry sends the task to
+// another guard. A duplicate of the Start, delayed on a failing link, arrives once a
+// slot is free. If it ran, the task would run on both workers.
+func TestRefusalIsFinal(t *testing.T) {
+	h := newHarness(t, Options{Slots: 1})
+	first, second := h.startNew(entryA, 0), h.startNew(entryA, 0)
+	h.assertActions("run 1", "a: 2 busy, ran no")
+	h.finish(first, "")
+	h.resend(second)
+	h.assertActions("a: 1 none, ran yes", "a: 2 busy, ran no")
 }
 
-// A caller cancels while the Start is still on an older, slower link. The guard
-// answers that the task was not run; the Start that comes after must not make
-// that a lie.
-func TestCancelBeforeItsStart(t *testing.T) {
-	r := newRig(t, Options{})
-	s := r.next(a)
-	r.Cancel(r.now, a, &wire.Cancel{Ref: s.Ref})
-	r.resend(s)
-	r.expect("a: 1 cancelled, ran no", "a: 1 cancelled, ran no")
+// A caller cancels while the Start is still in transit on an older, slower link. The
+// guard answers that the task did not run, so the Start that arrives afterwards must
+// be refused.
+func TestCancelBeforeStart(t *testing.T) {
+	h := newHarness(t, Options{})
+	s := h.newStart(entryA)
+	h.Cancel(h.now, entryA, &wire.Cancel{Ref: s.Ref})
+	h.resend(s)
+	h.assertActions("a: 1 cancelled, ran no", "a: 1 cancelled, ran no")
 }
 
-// A cancel comes too late: the task runs already. Calling it "not run" would
-// let the agent book a second escort, so it finishes and is answered as run.
-func TestCancelOfARunningTaskLetsItFinish(t *testing.T) {
-	r := newRig(t, Options{Slots: 1})
-	running, waiting := r.send(a, 0), r.send(a, 500)
-	r.Cancel(r.now, a, &wire.Cancel{Ref: running.Ref})
-	r.Cancel(r.now, a, &wire.Cancel{Ref: waiting.Ref})
-	r.finish(running, "booked")
-	r.expect("run 1", "a: 2 cancelled, ran no", "a: 1 none, ran yes")
+// A cancel arrives when the task is already running. Reporting it as not run would
+// let the caller submit it again, so it finishes and is reported as run.
+func TestCancelOfRunningTaskIsIgnored(t *testing.T) {
+	h := newHarness(t, Options{Slots: 1})
+	running, waiting := h.startNew(entryA, 0), h.startNew(entryA, 500)
+	h.Cancel(h.now, entryA, &wire.Cancel{Ref: running.Ref})
+	h.Cancel(h.now, entryA, &wire.Cancel{Ref: waiting.Ref})
+	h.finish(running, "booked")
+	h.assertActions("run 1", "a: 2 cancelled, ran no", "a: 1 none, ran yes")
 }
 
-// Memory is full, and an old start was forgotten. Its Start is sent again after
-// a long cut. The guard can neither run it nor say that it never ran: the
-// caller reads that the outcome is unknown.
-func TestBelowTheFloorNothingIsClaimed(t *testing.T) {
-	r := newRig(t, Options{Remembered: 1})
-	first := r.send(a, 0)
-	r.finish(first, "")
-	r.pass(time.Millisecond)
-	r.finish(r.send(a, 0), "")
-	r.Actions()
-	r.resend(first)
-	r.expect("a: 1 identity_expired, ran unknown")
+// The table is full and the record of an old start was evicted. Its Start is resent
+// after a long link failure. The guard can neither run it nor claim that it never
+// ran, so it answers that the outcome is unknown.
+func TestStartBelowFloorReportsRanUnknown(t *testing.T) {
+	h := newHarness(t, Options{Remembered: 1})
+	first := h.startNew(entryA, 0)
+	h.finish(first, "")
+	h.advance(time.Millisecond)
+	h.finish(h.startNew(entryA, 0), "")
+	h.Actions()
+	h.resend(first)
+	h.assertActions("a: 1 identity_expired, ran unknown")
 }
 
-// A caller's clock is an hour ahead. Remembered, its births would outlive all
-// others and lift the floor above the present, and every later booking on this
-// worker would be refused.
-func TestBirthsInTheFutureAreRefused(t *testing.T) {
-	r := newRig(t, Options{})
-	s := r.next(a)
-	s.Ref.Key = ticket(a, r.now.Add(time.Hour), 1)
-	r.resend(s)
-	r.expect("a: 1 identity_expired, ran unknown")
-	qt.Assert(t, r.Stats().Remembered, qt.Equals, 0)
+// A caller's clock is an hour ahead. If its births were recorded, they would outlive
+// all others and raise the floor above the current time, and every later task on
+// this worker would be refused.
+func TestFutureBirthIsRefused(t *testing.T) {
+	h := newHarness(t, Options{})
+	s := h.newStart(entryA)
+	s.Ref.Key = newTicket(entryA, h.now.Add(time.Hour), 1)
+	h.resend(s)
+	h.assertActions("a: 1 identity_expired, ran unknown")
+	qt.Assert(t, h.Stats().Remembered, qt.Equals, 0)
 }
 
-// An entry was declared gone while it was only paused. One of its tasks runs,
-// one waits, and on waking it sends a third. Only the first may ever run, and
-// the report must name it, or another entry would call it "not run". A fence
-// too many gets no report: it could only be kept by dropping this one.
-func TestFence(t *testing.T) {
-	r := newRig(t, Options{Slots: 1, MaxFences: 1})
-	running := r.send(a, 0)
-	r.send(a, 500)
-	r.Fence(r.now, b, &wire.Fence{Gone: a})
-	r.expect("run 1", "a: 2 fenced, ran no", "b: started 1, floor +0")
-	r.finish(running, "booked")
-	r.send(a, 0)
-	r.Collect(b, &wire.Collect{Member: "ayni", Key: running.Ref.Key})
-	r.Fence(r.now, b, &wire.Fence{Gone: "entry-c-1"})
-	r.expect("a: 1 none, ran yes", "a: 3 fenced, ran no", "b: collected 1")
+// An entry was declared gone while it was only paused. One of its tasks is running,
+// one is queued, and it sends a third after it resumes. Only the first may run, and
+// the report must list it, or another entry would report it as not run. A Fence
+// above MaxFences gets no report, since storing it would require dropping this one.
+func TestFenceStopsStartsAndReportsThem(t *testing.T) {
+	h := newHarness(t, Options{Slots: 1, MaxFences: 1})
+	running := h.startNew(entryA, 0)
+	h.startNew(entryA, 500)
+	h.Fence(h.now, entryB, &wire.Fence{Gone: entryA})
+	h.assertActions("run 1", "a: 2 fenced, ran no", "b: started 1, floor +0")
+	h.finish(running, "booked")
+	h.startNew(entryA, 0)
+	h.Collect(entryB, &wire.Collect{Member: "ayni", Key: running.Ref.Key})
+	h.Fence(h.now, entryB, &wire.Fence{Gone: "entry-c-1"})
+	h.assertActions("a: 1 none, ran yes", "a: 3 fenced, ran no", "b: collected 1")
 }
 
-// A task comes from an entry that is not its home, and one comes for another
-// member's upstream. Running either would double work or show it to a rival,
-// and so would handing out the answer that the home was given. Nor may another
-// entry withdraw a booking that waits.
-func TestStrangersTasksAreRefused(t *testing.T) {
-	r := newRig(t, Options{Member: "ayni", Slots: 1})
-	s := r.send(a, 0)
-	r.Cancel(r.now, b, &wire.Cancel{Ref: r.send(a, 500).Ref})
-	qt.Assert(t, r.Stats().Queued, qt.Equals, 1)
-	r.finish(s, "secret")
-	r.Start(r.now, b, s)
-	other := r.next(a)
+// A task arrives from an entry that is not its home, and another one for the
+// upstream of a different member. Running either would duplicate work or expose it
+// to another member, and so would returning the result to an entry other than the
+// home. An entry must not be able to cancel another entry's queued task either.
+func TestTasksOfOtherEntriesAndMembersAreRefused(t *testing.T) {
+	h := newHarness(t, Options{Member: "ayni", Slots: 1})
+	s := h.startNew(entryA, 0)
+	h.Cancel(h.now, entryB, &wire.Cancel{Ref: h.startNew(entryA, 500).Ref})
+	qt.Assert(t, h.Stats().Queued, qt.Equals, 1)
+	h.finish(s, "secret")
+	h.Start(h.now, entryB, s)
+	other := h.newStart(entryA)
 	other.Ref.Member = "leeuwin"
-	r.resend(other)
-	r.expect("run 1", "run 2", "a: 1 none, ran yes", "b: 1 outcome_unknown, ran yes", "a: 3 forbidden, ran no")
+	h.resend(other)
+	h.assertActions("run 1", "run 2", "a: 1 none, ran yes", "b: 1 outcome_unknown, ran yes", "a: 3 forbidden, ran no")
 }
 
-// Tasks wait for a slot that does not come free. Each must be refused when its
-// wait or its deadline is over, and at once when the upstream dies, or it could
-// not run on another worker in time.
-func TestWaitEnds(t *testing.T) {
-	r := newRig(t, Options{Slots: 1})
-	r.send(a, 0)
-	r.send(a, 50)
-	late := r.next(a)
+// Tasks wait for a slot that never becomes free. Each must be refused when its wait
+// or its deadline ends, and at once when the upstream becomes unhealthy; otherwise
+// it could not run on another worker in time.
+func TestQueuedTaskExpires(t *testing.T) {
+	h := newHarness(t, Options{Slots: 1})
+	h.startNew(entryA, 0)
+	h.startNew(entryA, 50)
+	late := h.newStart(entryA)
 	late.WaitMs, late.LeftMs = 500, 80
-	r.resend(late)
-	qt.Assert(t, r.NextTick(), qt.Equals, epoch.Add(50*time.Millisecond))
-	r.pass(50 * time.Millisecond)
-	r.expect("run 1", "a: 2 busy, ran no")
-	r.pass(30 * time.Millisecond)
-	r.expect("a: 3 deadline_expired, ran no")
-	r.send(a, 900)
-	r.Health(r.now, false)
-	r.expect("a: 4 busy, ran no")
+	h.resend(late)
+	qt.Assert(t, h.NextTick(), qt.Equals, epoch.Add(50*time.Millisecond))
+	h.advance(50 * time.Millisecond)
+	h.assertActions("run 1", "a: 2 busy, ran no")
+	h.advance(30 * time.Millisecond)
+	h.assertActions("a: 3 deadline_expired, ran no")
+	h.startNew(entryA, 900)
+	h.Health(h.now, false)
+	h.assertActions("a: 4 busy, ran no")
 }
 
-// A broken entry sends large bodies that wait, and times that overflow. The
-// guard must neither outgrow its 32 MB nor refuse a task as expired, which
-// would be false.
+// A faulty entry sends large bodies that are queued, and durations that overflow.
+// The guard must neither exceed its 32 MB nor falsely refuse a task as expired.
 func TestQueueIsBounded(t *testing.T) {
-	r := newRig(t, Options{Slots: 1, QueueBytes: 10})
+	h := newHarness(t, Options{Slots: 1, MaxQueueBytes: 10})
 	for range 3 {
-		s := r.next(a)
+		s := h.newStart(entryA)
 		s.Body, s.LeftMs, s.WaitMs, s.Of = make([]byte, 6), math.MaxInt64, math.MaxInt64, math.MaxInt
-		r.resend(s)
+		h.resend(s)
 	}
-	r.pass(time.Hour)
-	r.expect("run 1", "a: 3 busy, ran no")
-	qt.Assert(t, r.Stats().Queued, qt.Equals, 1)
+	h.advance(time.Hour)
+	h.assertActions("run 1", "a: 3 busy, ran no")
+	qt.Assert(t, h.Stats().Queued, qt.Equals, 1)
 }
 
-// One entry has a long queue and another a short one. If the longer took every
-// slot that comes free, callers of the other would wait for all of it.
-func TestOffersGoRound(t *testing.T) {
-	r := newRig(t, Options{Slots: 2})
-	running := []*wire.Start{r.send(a, 0), r.send(a, 0)}
-	r.Reserve(r.now, a, &wire.Reserve{Want: 100})
-	r.Reserve(r.now, b, &wire.Reserve{Want: 2})
-	r.Actions()
-	r.finish(running[0], "")
-	r.finish(running[1], "")
-	r.expect("a: offer 1", "a: 1 none, ran yes", "b: offer 2", "a: 2 none, ran yes")
+// One entry has many waiting tasks and another has few. If the first received every
+// free slot, the callers of the second would have to wait for all of the first
+// entry's tasks.
+func TestOffersAreRoundRobin(t *testing.T) {
+	h := newHarness(t, Options{Slots: 2})
+	running := []*wire.Start{h.startNew(entryA, 0), h.startNew(entryA, 0)}
+	h.Reserve(h.now, entryA, &wire.Reserve{Want: 100})
+	h.Reserve(h.now, entryB, &wire.Reserve{Want: 2})
+	h.Actions()
+	h.finish(running[0], "")
+	h.finish(running[1], "")
+	h.assertActions("a: offer 1", "a: 1 none, ran yes", "b: offer 2", "a: 2 none, ran yes")
 }
 
-// An offered slot is kept for its entry, so that a task which another entry
-// sends at that moment cannot take it; the offer would be worth nothing. If the
-// entry is frozen, the slot comes free after the hold time and is not offered
-// to it again, or the worker would idle.
-func TestOfferIsHeldForATime(t *testing.T) {
-	r := newRig(t, Options{Slots: 1, Hold: 20 * time.Millisecond})
-	r.Reserve(r.now, a, &wire.Reserve{Want: 2})
-	r.send(b, 0)
-	s := r.next(a)
+// An offered slot is reserved for its entry, so that a task which another entry
+// sends at that moment cannot take it; otherwise the offer would be worthless. If
+// the entry does not respond, the slot becomes free after the offer timeout and is
+// not offered to it again, or the worker would stay idle.
+func TestOfferExpires(t *testing.T) {
+	h := newHarness(t, Options{Slots: 1, OfferTimeout: 20 * time.Millisecond})
+	h.Reserve(h.now, entryA, &wire.Reserve{Want: 2})
+	h.startNew(entryB, 0)
+	s := h.newStart(entryA)
 	s.Offered = 1
-	r.resend(s)
-	r.expect("a: offer 1", "b: 1 busy, ran no", "run 2")
-	r.finish(s, "")
-	r.expect("a: offer 2", "a: 2 none, ran yes")
-	r.pass(20 * time.Millisecond)
-	r.send(b, 0)
-	r.expect("run 3")
+	h.resend(s)
+	h.assertActions("a: offer 1", "b: 1 busy, ran no", "run 2")
+	h.finish(s, "")
+	h.assertActions("a: offer 2", "a: 2 none, ran yes")
+	h.advance(20 * time.Millisecond)
+	h.startNew(entryB, 0)
+	h.assertActions("run 3")
 }
 
-// An entry withdraws its reservation, loses its link or is declared gone while
-// it holds an offer. The slot must go to the next one at once.
-func TestWithdrawnOfferFreesItsSlot(t *testing.T) {
-	for _, withdraw := range []func(*rig){
-		func(r *rig) { r.Reserve(r.now, a, &wire.Reserve{}) },
-		func(r *rig) { r.LinkDown(r.now, a) },
-		func(r *rig) { r.Fence(r.now, "entry-c-1", &wire.Fence{Gone: a}) },
+// An entry withdraws its reservation, loses its link or is declared gone while it
+// holds an offer. The slot must be offered to the next entry at once.
+func TestWithdrawnOfferFreesSlot(t *testing.T) {
+	for _, withdraw := range []func(*harness){
+		func(h *harness) { h.Reserve(h.now, entryA, &wire.Reserve{}) },
+		func(h *harness) { h.LinkDown(h.now, entryA) },
+		func(h *harness) { h.Fence(h.now, "entry-c-1", &wire.Fence{Gone: entryA}) },
 	} {
-		r := newRig(t, Options{Slots: 1})
-		r.Reserve(r.now, a, &wire.Reserve{Want: 3})
-		r.Reserve(r.now, b, &wire.Reserve{Want: 1})
-		withdraw(r)
-		r.expect("a: offer 1", "b: offer 2")
+		h := newHarness(t, Options{Slots: 1})
+		h.Reserve(h.now, entryA, &wire.Reserve{Want: 3})
+		h.Reserve(h.now, entryB, &wire.Reserve{Want: 1})
+		withdraw(h)
+		h.assertActions("a: offer 1", "b: offer 2")
 	}
 }
 
-// Results are held for entries that lost their link, and bodies are large. The
-// oldest make room; a Start that is resent then reads that the answer is gone,
-// and never that the task did not run.
+// Results with large bodies are held for entries that lost their link. When the
+// limit is exceeded, the oldest are dropped. A resent Start is then answered with
+// answer_gone, never with a claim that the task did not run.
 func TestHeldResultsAreBounded(t *testing.T) {
-	r := newRig(t, Options{HeldBytes: 2 * (heldOverhead + 100)})
+	h := newHarness(t, Options{HeldBytes: 2 * (resultOverheadBytes + 100)})
 	for range 3 {
-		r.finish(r.send(a, 0), strings.Repeat("x", 100))
+		h.finish(h.startNew(entryA, 0), strings.Repeat("x", 100))
 	}
-	r.Actions()
-	r.resend(r.starts[0])
-	r.resend(r.starts[2])
-	r.expect("a: 1 answer_gone, ran yes", "a: 3 none, ran yes")
+	h.Actions()
+	h.resend(h.starts[0])
+	h.resend(h.starts[2])
+	h.assertActions("a: 1 answer_gone, ran yes", "a: 3 none, ran yes")
 
-	r = newRig(t, Options{Remembered: 2})
-	r.finish(r.send(a, 0), "")
-	r.starts[0].Ref.Key = ticket(a, r.now.Add(MaxAhead), 0)
-	r.resend(r.starts[0])
-	r.finish(r.starts[0], "outlives the others")
+	h = newHarness(t, Options{Remembered: 2})
+	h.finish(h.startNew(entryA, 0), "")
+	h.starts[0].Ref.Key = newTicket(entryA, h.now.Add(MaxClockSkew), 0)
+	h.resend(h.starts[0])
+	h.finish(h.starts[0], "outlives the others")
 	for range 500 {
-		r.pass(time.Millisecond)
-		r.finish(r.send(a, 0), "")
+		h.advance(time.Millisecond)
+		h.finish(h.startNew(entryA, 0), "")
 	}
-	qt.Assert(t, len(r.memory.held) < 100, qt.IsTrue)
+	qt.Assert(t, len(h.recordTable.held) < 100, qt.IsTrue)
 }
 
-// A guard's memory is bounded by a count of records, so the bytes of one must
-// be known; if a field grew it unnoticed, the guard would pass its 32 MB.
-func TestRecordBytes(t *testing.T) {
+// A guard limits its memory by the number of records, so the size of one record must
+// be known. If a new field enlarged it unnoticed, the guard would exceed its 32 MB.
+func TestRecordSizeIsBounded(t *testing.T) {
 	const n = 20_000
-	r := newRig(t, Options{Remembered: n, HeldBytes: heldOverhead})
+	h := newHarness(t, Options{Remembered: n, HeldBytes: resultOverheadBytes})
 	before := heapBytes()
 	for range n {
-		r.finish(r.send(a, 0), "")
-		r.Actions()
-		r.starts = r.starts[:0]
-		r.now = r.now.Add(time.Millisecond)
+		h.finish(h.startNew(entryA, 0), "")
+		h.Actions()
+		h.starts = h.starts[:0]
+		h.now = h.now.Add(time.Millisecond)
 	}
-	each := int(heapBytes()-before) / n
-	qt.Assert(t, r.Stats().Remembered, qt.Equals, n)
-	t.Logf("%d bytes a remembered start", each)
-	qt.Assert(t, each <= RecordBytes, qt.IsTrue, qt.Commentf("%d bytes", each))
+	bytesPerRecord := int(heapBytes()-before) / n
+	qt.Assert(t, h.Stats().Remembered, qt.Equals, n)
+	t.Logf("%d bytes per record", bytesPerRecord)
+	qt.Assert(t, bytesPerRecord <= MaxRecordBytes, qt.IsTrue, qt.Commentf("%d bytes", bytesPerRecord))
 }
 
 func heapBytes() uint64 {
@@ -338,12 +339,13 @@
 	return m.HeapAlloc
 }
 
-// A slot is held for an offer to one entry. Told that it is free, another entry
-// sends a task there and is refused, which shuts this guard for the task.
-func TestHeldOffersAreNotReportedFree(t *testing.T) {
-	r := newRig(t, Options{Slots: 2, Hold: time.Second})
-	r.Reserve(r.now, a, &wire.Reserve{Want: 1})
-	r.Actions()
-	qt.Assert(t, r.loadFor(b).Queued, qt.Equals, 1)
-	qt.Assert(t, r.loadFor(a).Queued, qt.Equals, 0)
+// A slot is reserved for an offer to one entry. If load reports showed it as free,
+// another entry would send a task there and be refused, and would not try this guard
+// again for that task.
+func TestOfferedSlotsAreNotReportedFree(t *testing.T) {
+	h := newHarness(t, Options{Slots: 2, OfferTimeout: time.Second})
+	h.Reserve(h.now, entryA, &wire.Reserve{Want: 1})
+	h.Actions()
+	qt.Assert(t, h.loadReportFor(entryB).Queued, qt.Equals, 1)
+	qt.Assert(t, h.loadReportFor(entryA).Queued, qt.Equals, 0)
 }
--- a/internal/ledger/memory.go
+++ b/internal/ledger/memory.go
@@ -10,42 +10,45 @@
 	"wigeontray/internal/wire"
 )
 
-// RecordBytes bounds the memory that one remembered Ref takes, in bytes,
-// without its held result and with a ticket of usual length (46 to 61 bytes);
-// TestRecordBytes measures it. DefaultRemembered Refs so take at most 6 MB.
-const RecordBytes = 350
+// MaxRecordBytes is an upper bound on the memory of one Ref's record, without its
+// held result, for a ticket of the usual length (46 to 61 bytes).
+// TestRecordSizeIsBounded measures it. At this bound, DefaultMaxSettled records take
+// at most 6 MB.
+const MaxRecordBytes = 350
 
-// heldOverhead is what a held result takes besides its body and detail.
-const heldOverhead = 256
+// resultOverheadBytes is the memory that a held result takes besides its body and
+// detail.
+const resultOverheadBytes = 256
 
-// state is how far a Ref has come.
+// state is the lifecycle state of a Ref.
 type state uint8
 
 const (
-	queued  state = iota // accepted, waits for a slot
-	running              // given to the upstream
-	done                 // given to the upstream, and an answer or error came
-	refused              // never started, and never will be
+	queued  state = iota // accepted, waiting for a slot
+	running              // sent to the upstream
+	done                 // sent to the upstream, which answered or failed
+	refused              // not started, and never will be
 )
 
-// record is what is remembered of one Ref.
+// record is the stored state of one Ref.
 type record struct {
-	ref     wire.Ref
-	home    identity.Incarnation
-	birthMs int64
-	result  *wire.Result // held result; nil when it never came or was dropped
-	of      int32
-	state   state
-	kind    errkind.Kind // of the settled result
-	ran     errkind.Ran
+	ref       wire.Ref
+	home      identity.Incarnation
+	birthMs   int64
+	result    *wire.Result // held result; nil if none was received or it was dropped
+	taskCount int32
+	state     state
+	kind      errkind.Kind // error kind of the final result
+	ran       errkind.Ran
 }
 
 func (r *record) settled() bool { return r.state == done || r.state == refused }
 
 func (r *record) started() bool { return r.state == running || r.state == done }
 
-// answer rebuilds the result of a settled record.
-func (r *record) answer() wire.Result {
+// finalResult returns the result of a settled record, rebuilt if it is no longer
+// held.
+func (r *record) finalResult() wire.Result {
 	switch {
 	case r.result != nil:
 		return *r.result
@@ -56,102 +59,104 @@
 	}
 }
 
-// memory holds the records. Only settled ones are ever forgotten, oldest birth
-// first, and each forgotten birth is below floorMs. Without the floor, a Start
-// that is sent again after its record was dropped would run a second time.
-type memory struct {
-	opt       Options
-	records   map[wire.Ref]*record
-	settled   birthHeap
-	floorMs   int64
-	members   map[string]string // one copy of each member's name
-	held      []*record         // records with a result, oldest first
-	heldCount int
-	heldBytes int
+// recordTable stores the records. Only settled records are evicted, oldest birth
+// first, and floorMs is raised above each evicted birth. Without the floor, a Start
+// that is resent after its record was evicted would run a second time.
+type recordTable struct {
+	opt            Options
+	records        map[wire.Ref]*record
+	settledByBirth birthHeap
+	floorMs        int64
+	memberNames    map[string]string // interned names, shared by all records
+	held           []*record         // records with a result, oldest first
+	heldCount      int
+	heldBytes      int
 }
 
-func newMemory(opt Options) memory {
-	return memory{opt: opt, records: make(map[wire.Ref]*record), members: make(map[string]string)}
+func newRecordTable(opt Options) recordTable {
+	return recordTable{opt: opt, records: make(map[wire.Ref]*record), memberNames: make(map[string]string)}
 }
 
-// add remembers a new Ref.
-func (m *memory) add(ref wire.Ref, of int, home identity.Incarnation, birthMs int64) *record {
-	if name, ok := m.members[ref.Member]; ok {
+// add stores a record for a new Ref.
+func (t *recordTable) add(ref wire.Ref, taskCount int, home identity.Incarnation, birthMs int64) *record {
+	if name, ok := t.memberNames[ref.Member]; ok {
 		ref.Member = name
 	} else {
-		m.members[ref.Member] = ref.Member
+		t.memberNames[ref.Member] = ref.Member
 	}
-	r := &record{ref: ref, home: home, birthMs: birthMs, of: int32(min(of, math.MaxInt32))}
-	m.records[ref] = r
+	r := &record{ref: ref, home: home, birthMs: birthMs, taskCount: int32(min(taskCount, math.MaxInt32))}
+	t.records[ref] = r
 	return r
 }
 
-// settle notes the final word on r, and forgets what is due.
-func (m *memory) settle(now time.Time, r *record, s state, res *wire.Result) {
-	r.state, r.kind, r.ran = s, res.Kind, res.Ran
-	if s == done {
-		m.hold(r, res)
+// settle stores the final state of r and evicts records that are over the limits.
+func (t *recordTable) settle(now time.Time, r *record, final state, res *wire.Result) {
+	r.state, r.kind, r.ran = final, res.Kind, res.Ran
+	if final == done {
+		t.holdResult(r, res)
 	}
-	heap.Push(&m.settled, r)
-	oldest := now.Add(-m.opt.Retention).UnixMilli()
-	for len(m.settled) > m.opt.Remembered || len(m.settled) > 0 && m.settled[0].birthMs < oldest {
-		m.forget(heap.Pop(&m.settled).(*record))
+	heap.Push(&t.settledByBirth, r)
+	cutoffMs := now.Add(-t.opt.Retention).UnixMilli()
+	for len(t.settledByBirth) > t.opt.Remembered || len(t.settledByBirth) > 0 && t.settledByBirth[0].birthMs < cutoffMs {
+		t.evict(heap.Pop(&t.settledByBirth).(*record))
 	}
 }
 
-func (m *memory) forget(r *record) {
-	delete(m.records, r.ref)
-	m.drop(r)
-	// The floor follows what was forgotten, never the clock: a clock that jumps
-	// an hour ahead must not refuse the births of that hour.
-	m.floorMs = max(m.floorMs, r.birthMs+1)
+func (t *recordTable) evict(r *record) {
+	delete(t.records, r.ref)
+	t.dropResult(r)
+	// The floor follows the evicted births, not the clock: a clock that jumps an hour
+	// ahead must not cause the births of that hour to be refused.
+	t.floorMs = max(t.floorMs, r.birthMs+1)
 }
 
-// hold keeps a result for a resent Start or a Collect; the oldest results make
-// room for it.
-func (m *memory) hold(r *record, res *wire.Result) {
-	if heldCost(res) > m.opt.HeldBytes {
+// holdResult keeps a result for a resent Start or a Collect. When the limit is
+// exceeded, the oldest results are dropped.
+func (t *recordTable) holdResult(r *record, res *wire.Result) {
+	if heldResultBytes(res) > t.opt.HeldBytes {
 		return
 	}
 	r.result = res
-	m.held = append(m.held, r)
-	m.heldCount++
-	m.heldBytes += heldCost(res)
-	for m.heldBytes > m.opt.HeldBytes {
-		m.drop(m.held[0])
-		m.held = m.held[1:]
+	t.held = append(t.held, r)
+	t.heldCount++
+	t.heldBytes += heldResultBytes(res)
+	for t.heldBytes > t.opt.HeldBytes {
+		t.dropResult(t.held[0])
+		t.held = t.held[1:]
 	}
-	m.compactHeld()
+	t.compactHeld()
 }
 
-// compactHeld removes records whose result was dropped out of order. Without
-// it the list would keep every forgotten record alive behind one long-lived one.
-func (m *memory) compactHeld() {
+// compactHeld removes records whose result was dropped out of order. Otherwise the
+// list would keep every evicted record in memory behind one long-lived record.
+func (t *recordTable) compactHeld() {
 	const slack = 64
-	if len(m.held) <= 2*m.heldCount+slack {
+	if len(t.held) <= 2*t.heldCount+slack {
 		return
 	}
-	live := make([]*record, 0, m.heldCount)
-	for _, r := range m.held {
+	kept := make([]*record, 0, t.heldCount)
+	for _, r := range t.held {
 		if r.result != nil {
-			live = append(live, r)
+			kept = append(kept, r)
 		}
 	}
-	m.held = live
+	t.held = kept
 }
 
-func (m *memory) drop(r *record) {
+func (t *recordTable) dropResult(r *record) {
 	if r.result == nil {
 		return
 	}
-	m.heldBytes -= heldCost(r.result)
-	m.heldCount--
+	t.heldBytes -= heldResultBytes(r.result)
+	t.heldCount--
 	r.result = nil
 }
 
-func heldCost(res *wire.Result) int { return len(res.Body) + len(res.Detail) + heldOverhead }
+func heldResultBytes(res *wire.Result) int {
+	return len(res.Body) + len(res.Detail) + resultOverheadBytes
+}
 
-// birthHeap is a heap of settled records, oldest birth on top.
+// birthHeap is a min-heap of settled records by birth.
 type birthHeap []*record
 
 func (h birthHeap) Len() int           { return len(h) }
--- a/internal/ledger/model_test.go
+++ b/internal/ledger/model_test.go
@@ -15,102 +15,104 @@
 
 var (
 	epoch = time.UnixMilli(1_790_000_000_000)
-	homes = []identity.Incarnation{a, b}
+	homes = []identity.Incarnation{entryA, entryB}
 )
 
-// ticket makes a ticket with a given birth; n tells equal births apart.
-func ticket(home identity.Incarnation, born time.Time, n int) string {
+// newTicket returns a ticket with the given birth; n makes tickets with equal births
+// distinct.
+func newTicket(home identity.Incarnation, born time.Time, n int) string {
 	ms := born.UnixMilli()
 	return fmt.Sprintf("%s.%08x-%04x-7000-8000-%012x", home, ms>>16, ms&0xffff, n)
 }
 
-// model drives a ledger at random and keeps what an outside observer knows of
-// it: which tasks reached the upstream, and what was claimed of them.
+// model drives a ledger with random operations and records what is observable from
+// outside: which tasks reached the upstream, and what the ledger claimed about them.
 type model struct {
-	l       *Ledger
-	now     time.Time
-	jobs    []wire.Ref
-	home    map[wire.Ref]identity.Incarnation
-	runs    map[wire.Ref]int
-	undone  map[wire.Ref]bool // its one run provably never reached the upstream
-	claimed map[wire.Ref]bool // a RanNo was sent
-	running []wire.Ref
-	fenced  map[identity.Incarnation]bool
-	offerID uint64
-	loadSeq uint64
-	wrong   error // the first broken promise
+	ledger        *Ledger
+	now           time.Time
+	refs          []wire.Ref
+	home          map[wire.Ref]identity.Incarnation
+	runs          map[wire.Ref]int
+	notReached    map[wire.Ref]bool // its only run provably did not reach the upstream
+	claimedNotRun map[wire.Ref]bool // a result with RanNo was sent
+	running       []wire.Ref
+	fenced        map[identity.Incarnation]bool
+	lastOfferID   uint64
+	lastLoadSeq   uint64
+	violation     error // the first violated invariant
 }
 
 func newModel() *model {
-	l := New(epoch, Options{Slots: 2, MaxQueued: 3, Remembered: 20, Retention: 3 * time.Second, HeldBytes: 2000})
+	ledger := New(epoch, Options{Slots: 2, MaxQueued: 3, Remembered: 20, Retention: 3 * time.Second, HeldBytes: 2000})
 	m := &model{
-		l: l, now: epoch, home: make(map[wire.Ref]identity.Incarnation), runs: make(map[wire.Ref]int),
-		undone: make(map[wire.Ref]bool), claimed: make(map[wire.Ref]bool), fenced: make(map[identity.Incarnation]bool),
+		ledger: ledger, now: epoch, home: make(map[wire.Ref]identity.Incarnation), runs: make(map[wire.Ref]int),
+		notReached: make(map[wire.Ref]bool), claimedNotRun: make(map[wire.Ref]bool), fenced: make(map[identity.Incarnation]bool),
 	}
 	for _, h := range homes {
-		l.LinkUp(m.now, h)
+		ledger.LinkUp(m.now, h)
 	}
-	l.Health(m.now, true)
+	ledger.Health(m.now, true)
 	return m
 }
 
-// step does one operation that op and arg choose, and checks all promises.
+// step executes one operation chosen by op and arg, and checks all invariants.
 func (m *model) step(op, arg byte) {
 	home := homes[int(arg)%len(homes)]
 	switch op % 16 {
 	case 0, 1, 2:
-		m.start(m.fresh(home), arg)
+		m.start(m.newTask(home), arg)
 	case 3, 4, 5:
-		m.start(m.known(arg), arg)
+		m.start(m.recentTask(arg), arg)
 	case 6:
-		ref := m.known(arg)
-		m.l.Cancel(m.now, m.home[ref], &wire.Cancel{Ref: ref})
+		ref := m.recentTask(arg)
+		m.ledger.Cancel(m.now, m.home[ref], &wire.Cancel{Ref: ref})
 	case 7, 8, 9:
 		m.finish(arg)
 	case 10:
 		m.now = m.now.Add(time.Duration(arg) * time.Millisecond)
 	case 11:
-		m.l.Tick(m.now)
+		m.ledger.Tick(m.now)
 	case 12:
-		m.l.Reserve(m.now, home, &wire.Reserve{Want: int(arg % 4)})
+		m.ledger.Reserve(m.now, home, &wire.Reserve{Want: int(arg % 4)})
 	case 13:
-		m.l.LinkDown(m.now, home)
-		m.l.LinkUp(m.now, home)
+		m.ledger.LinkDown(m.now, home)
+		m.ledger.LinkUp(m.now, home)
 	case 14:
-		m.l.Health(m.now, arg%4 != 0)
+		m.ledger.Health(m.now, arg%4 != 0)
 	case 15:
-		m.rare(home, arg)
+		m.rareStep(home, arg)
 	}
-	m.observe()
+	m.checkActions()
 }
 
-func (m *model) rare(home identity.Incarnation, arg byte) {
+func (m *model) rareStep(home identity.Incarnation, arg byte) {
 	switch {
 	case arg == 7:
-		m.l.Drain(m.now, "model")
+		m.ledger.Drain(m.now, "model")
 	case arg%64 == 8:
 		m.fenced[home] = true
-		m.l.Fence(m.now, homes[1], &wire.Fence{Gone: home})
+		m.ledger.Fence(m.now, homes[1], &wire.Fence{Gone: home})
 	default:
-		ref := m.known(arg)
-		m.l.Collect(home, &wire.Collect{Member: ref.Member, Key: ref.Key})
+		ref := m.recentTask(arg)
+		m.ledger.Collect(home, &wire.Collect{Member: ref.Member, Key: ref.Key})
 	}
 }
 
-func (m *model) fresh(home identity.Incarnation) wire.Ref {
-	ref := wire.Ref{Member: "ayni", Key: ticket(home, m.now, len(m.jobs))}
-	m.jobs = append(m.jobs, ref)
+func (m *model) newTask(home identity.Incarnation) wire.Ref {
+	ref := wire.Ref{Member: "ayni", Key: newTicket(home, m.now, len(m.refs))}
+	m.refs = append(m.refs, ref)
 	m.home[ref] = home
 	return ref
 }
 
-// known picks one of the last jobs, so that some are already forgotten.
-func (m *model) known(arg byte) wire.Ref {
+// recentTask selects one of the most recent tasks. The window is larger than the
+// table, so that some of them are already evicted.
+func (m *model) recentTask(arg byte) wire.Ref {
 	const window = 64
-	if len(m.jobs) == 0 {
-		return m.fresh(homes[0])
+	if len(m.refs) == 0 {
+		return m.newTask(homes[0])
 	}
-	return m.jobs[len(m.jobs)-1-int(arg)%min(window, len(m.jobs))]
+	return m.refs[len(m.refs)-1-int(arg)%min(window, len(m.refs))]
 }
 
 func (m *model) start(ref wire.Ref, arg byte) {
@@ -119,9 +121,9 @@
 		s.WaitMs = 200
 	}
 	if arg%2 == 0 {
-		s.Offered = m.offerID
+		s.Offered = m.lastOfferID
 	}
-	m.l.Start(m.now, s.Home, s)
+	m.ledger.Start(m.now, s.Home, s)
 }
 
 func (m *model) finish(arg byte) {
@@ -135,182 +137,182 @@
 	switch arg % 5 {
 	case 0:
 		res = wire.Result{Ref: ref, Kind: errkind.UpstreamFailed, Ran: errkind.RanNo}
-		m.undone[ref] = true
+		m.notReached[ref] = true
 	case 1:
 		res = wire.Result{Ref: ref, Kind: errkind.TimedOut}
 	}
-	m.l.Finished(m.now, res)
+	m.ledger.Finished(m.now, res)
 }
 
-// observe checks the ledger's actions against what was seen before.
-func (m *model) observe() {
-	for _, a := range m.l.Actions() {
+// checkActions checks the ledger's actions against the earlier observations.
+func (m *model) checkActions() {
+	for _, a := range m.ledger.Actions() {
 		switch {
 		case a.Run != nil:
-			m.ran(a.Run)
+			m.checkRun(a.Run)
 		case a.Send.Frame.Result != nil:
-			m.answered(a.Send.Frame.Result)
+			m.checkResult(a.Send.Frame.Result)
 		case a.Send.Frame.Offer != nil:
-			m.offerID = a.Send.Frame.Offer.ID
+			m.lastOfferID = a.Send.Frame.Offer.ID
 		case a.Send.Frame.FenceReport != nil:
-			m.reported(a.Send.Frame.FenceReport)
+			m.checkFenceReport(a.Send.Frame.FenceReport)
 		case a.Send.Frame.Load != nil:
-			m.loaded(a.Send.Frame.Load)
+			m.checkLoad(a.Send.Frame.Load)
 		}
 	}
-	if s := m.l.Stats(); s.Running != len(m.running) || s.Running+s.Offered > 2 || s.HeldBytes > 2000 || s.Remembered > 20+3+2 {
-		m.fail("counts out of bounds: %+v", s)
+	if s := m.ledger.Stats(); s.Running != len(m.running) || s.Running+s.Offered > 2 || s.HeldBytes > 2000 || s.Remembered > 20+3+2 {
+		m.recordViolation("counts exceed their limits: %+v", s)
 	}
 }
 
-func (m *model) fail(format string, args ...any) {
-	if m.wrong == nil {
-		m.wrong = fmt.Errorf(format, args...)
+func (m *model) recordViolation(format string, args ...any) {
+	if m.violation == nil {
+		m.violation = fmt.Errorf(format, args...)
 	}
 }
 
-func (m *model) ran(r *Run) {
+func (m *model) checkRun(r *Run) {
 	m.runs[r.Ref]++
 	m.running = append(m.running, r.Ref)
 	switch {
 	case m.runs[r.Ref] > 1:
-		m.fail("%v was started twice", r.Ref)
-	case m.claimed[r.Ref]:
-		m.fail("%v was started after a refusal said that it never would", r.Ref)
+		m.recordViolation("%v was started twice", r.Ref)
+	case m.claimedNotRun[r.Ref]:
+		m.recordViolation("%v was started after a final refusal", r.Ref)
 	case m.fenced[m.home[r.Ref]]:
-		m.fail("%v was started for a fenced entry", r.Ref)
+		m.recordViolation("%v was started for a fenced entry", r.Ref)
 	case !r.Deadline.After(m.now):
-		m.fail("%v was started after its deadline", r.Ref)
+		m.recordViolation("%v was started after its deadline", r.Ref)
 	}
 }
 
-func (m *model) answered(r *wire.Result) {
-	m.loaded(&r.Load)
+func (m *model) checkResult(r *wire.Result) {
+	m.checkLoad(&r.Load)
 	if r.Ran != errkind.RanNo {
 		return
 	}
-	m.claimed[r.Ref] = true
-	if m.runs[r.Ref] > 0 && !m.undone[r.Ref] {
-		m.fail("%v was called not run, and it ran", r.Ref)
+	m.claimedNotRun[r.Ref] = true
+	if m.runs[r.Ref] > 0 && !m.notReached[r.Ref] {
+		m.recordViolation("%v was reported as not run, but it ran", r.Ref)
 	}
 }
 
-func (m *model) reported(r *wire.FenceReport) {
-	in := make(map[wire.Ref]bool)
+func (m *model) checkFenceReport(r *wire.FenceReport) {
+	isReported := make(map[wire.Ref]bool)
 	for _, s := range r.Started {
-		in[s.Ref] = true
+		isReported[s.Ref] = true
 	}
 	for ref := range m.runs {
 		key, _ := identity.Parse(ref.Key)
-		if m.home[ref] == r.Gone && !m.undone[ref] && key.BirthMs >= r.FloorMs && !in[ref] {
-			m.fail("%v ran, and the fence report leaves it out", ref)
+		if m.home[ref] == r.Gone && !m.notReached[ref] && key.BirthMs >= r.FloorMs && !isReported[ref] {
+			m.recordViolation("%v ran, but the fence report omits it", ref)
 		}
 	}
 }
 
-func (m *model) loaded(l *wire.Load) {
-	if l.Seq <= m.loadSeq {
-		m.fail("load report %d came after %d", l.Seq, m.loadSeq)
+func (m *model) checkLoad(l *wire.Load) {
+	if l.Seq <= m.lastLoadSeq {
+		m.recordViolation("load report %d was sent after %d", l.Seq, m.lastLoadSeq)
 	}
-	m.loadSeq = l.Seq
+	m.lastLoadSeq = l.Seq
 }
 
-// settle lets everything finish and every wait run out, and checks that each
-// task that comes again is then answered or run.
-func (m *model) settle() {
+// finishAll completes all running tasks, lets every wait expire, and checks that
+// each task that is sent again is either answered or run.
+func (m *model) finishAll() {
 	for len(m.running) > 0 {
 		m.finish(2)
-		m.observe()
+		m.checkActions()
 	}
 	m.now = m.now.Add(time.Minute)
-	m.l.Tick(m.now)
-	m.observe()
-	if s := m.l.Stats(); s.Running+s.Queued > 0 {
-		m.fail("left over: %+v", s)
+	m.ledger.Tick(m.now)
+	m.checkActions()
+	if s := m.ledger.Stats(); s.Running+s.Queued > 0 {
+		m.recordViolation("tasks still running or queued: %+v", s)
 	}
-	for i := range min(16, len(m.jobs)) {
-		m.start(m.known(byte(i)), 255)
-		if len(m.l.actions) == 0 && len(m.l.queue) == 0 {
-			m.fail("%v got no answer", m.known(byte(i)))
+	for i := range min(16, len(m.refs)) {
+		m.start(m.recentTask(byte(i)), 255)
+		if len(m.ledger.actions) == 0 && len(m.ledger.queue) == 0 {
+			m.recordViolation("%v was not answered", m.recentTask(byte(i)))
 		}
-		m.observe()
+		m.checkActions()
 	}
 }
 
-// forget drops one record in the given state and leaves the floor as it is,
-// which is the error that the floor exists to prevent.
-func (m *model) forget(in state) {
-	for ref, r := range m.l.memory.records {
-		if r.state == in {
-			delete(m.l.memory.records, ref)
+// dropRecord deletes one record in the wanted state without raising the floor. This
+// is the fault that the floor prevents.
+func (m *model) dropRecord(wanted state) {
+	for ref, r := range m.ledger.recordTable.records {
+		if r.state == wanted {
+			delete(m.ledger.recordTable.records, ref)
 			return
 		}
 	}
 }
 
 const (
-	modelRuns  = 300
+	modelSeeds = 300
 	modelSteps = 400
 )
 
-// runModel drives one model from a seed; sabotage, if any, strikes every tenth
-// step.
-func runModel(seed uint64, sabotage func(*model)) *model {
+// runModel runs one model from a seed. injectFault, if not nil, is called every
+// tenth step.
+func runModel(seed uint64, injectFault func(*model)) *model {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	m := newModel()
 	for i := range modelSteps {
 		m.step(byte(rnd.Uint32()), byte(rnd.Uint32()))
-		if sabotage != nil && i%10 == 0 {
-			sabotage(m)
+		if injectFault != nil && i%10 == 0 {
+			injectFault(m)
 		}
 	}
-	m.settle()
+	m.finishAll()
 	return m
 }
 
-// Links break and come back, entries send the same Start again, cancel, fence
-// one another and collect, the upstream fails, and memory overflows, in any
-// order. If one order started a task twice or called a started task "not run",
-// two escorts would be sent, or a booking made that the agent was told is not.
-func TestModelKeepsItsPromises(t *testing.T) {
-	runs, claims, floors := 0, 0, 0
-	for seed := range uint64(modelRuns) {
+// Links break and reconnect; entries resend Starts, cancel, fence each other and
+// collect; the upstream fails and records are evicted, in random order. If any order
+// started a task twice or reported a started task as not run, work would be done
+// twice.
+func TestModelInvariants(t *testing.T) {
+	runs, refusals, runsWithFloor := 0, 0, 0
+	for seed := range uint64(modelSeeds) {
 		m := runModel(seed, nil)
-		qt.Assert(t, m.wrong, qt.IsNil, qt.Commentf("seed %d", seed))
+		qt.Assert(t, m.violation, qt.IsNil, qt.Commentf("seed %d", seed))
 		runs += len(m.runs)
-		claims += len(m.claimed)
-		if m.l.Stats().FloorMs > 0 {
-			floors++
+		refusals += len(m.claimedNotRun)
+		if m.ledger.Stats().FloorMs > 0 {
+			runsWithFloor++
 		}
 	}
-	t.Logf("%d starts, %d refusals as not run, %d runs that forgot something", runs, claims, floors)
-	qt.Assert(t, min(runs, claims) > 10*modelRuns && floors > modelRuns/2, qt.IsTrue)
+	t.Logf("%d starts, %d refusals as not run, %d runs that evicted records", runs, refusals, runsWithFloor)
+	qt.Assert(t, min(runs, refusals) > 10*modelSeeds && runsWithFloor > modelSeeds/2, qt.IsTrue)
 }
 
-// A ledger that loses a start, loses a refusal, or loses its floor starts a
-// task again when its Start is resent. The model must notice each; if it did
-// not, its green runs would prove nothing.
-func TestModelSeesSabotage(t *testing.T) {
-	for name, sabotage := range map[string]func(*model){
-		"a start is forgotten":   func(m *model) { m.forget(done) },
-		"a refusal is forgotten": func(m *model) { m.forget(refused) },
-		"the floor is forgotten": func(m *model) { m.l.memory.floorMs = 0 },
-		"a fence is forgotten":   func(m *model) { clear(m.l.fenced) },
+// A ledger that loses a start, a refusal or its floor starts a task again when its
+// Start is resent; one that loses a fence starts tasks for a fenced entry. The model
+// must detect each of these faults; otherwise its successful runs prove nothing.
+func TestModelDetectsInjectedFaults(t *testing.T) {
+	for name, injectFault := range map[string]func(*model){
+		"a start is dropped":   func(m *model) { m.dropRecord(done) },
+		"a refusal is dropped": func(m *model) { m.dropRecord(refused) },
+		"the floor is reset":   func(m *model) { m.ledger.recordTable.floorMs = 0 },
+		"a fence is dropped":   func(m *model) { clear(m.ledger.fenced) },
 	} {
-		seen, first := 0, error(nil)
-		for seed := range uint64(modelRuns) {
-			if err := runModel(seed, sabotage).wrong; err != nil {
+		detected, first := 0, error(nil)
+		for seed := range uint64(modelSeeds) {
+			if err := runModel(seed, injectFault).violation; err != nil {
 				first = err
-				seen++
+				detected++
 			}
 		}
-		t.Logf("%s: seen in %d of %d runs, such as: %v", name, seen, modelRuns, first)
-		qt.Check(t, seen > modelRuns/10, qt.IsTrue, qt.Commentf(name))
+		t.Logf("%s: detected in %d of %d runs, for example: %v", name, detected, modelSeeds, first)
+		qt.Check(t, detected > modelSeeds/10, qt.IsTrue, qt.Commentf(name))
 	}
 }
 
-// The fuzzer searches for an order of events that breaks a promise of the
-// ledger, beyond those that the seeds above reach.
+// The fuzzer searches for an order of events that violates an invariant of the
+// ledger, beyond the orders that the seeds above reach.
 func FuzzModel(f *testing.F) {
 	f.Add([]byte{0, 3, 3, 0, 7, 2, 3, 0, 15, 8, 0, 0, 15, 7})
 	f.Add([]byte{12, 2, 0, 2, 3, 0, 10, 255, 11, 0, 3, 0})
@@ -319,21 +321,21 @@
 		for i := 0; i+1 < len(ops); i += 2 {
 			m.step(ops[i], ops[i+1])
 		}
-		m.settle()
-		if m.wrong != nil {
-			t.Fatal(m.wrong)
+		m.finishAll()
+		if m.violation != nil {
+			t.Fatal(m.violation)
 		}
 	})
 }
 
-// A hostile or broken entry sends any message that decodes. A panic would take
-// down the guard with every task in flight, and a count that goes astray would
-// let it run more tasks than its upstream has slots.
+// A malicious or faulty entry sends any message that can be decoded. A panic would
+// crash the guard with all its running tasks, and a wrong count would let it run
+// more tasks than the upstream has slots.
 func FuzzFrames(f *testing.F) {
-	ref := wire.Ref{Member: "ayni", Key: ticket(a, epoch, 1)}
+	ref := wire.Ref{Member: "ayni", Key: newTicket(entryA, epoch, 1)}
 	for _, fr := range []wire.Frame{
-		{Start: &wire.Start{Ref: ref, Home: a, LeftMs: 1000, WaitMs: 10, Offered: 1}, Reserve: &wire.Reserve{Want: -1}},
-		{Cancel: &wire.Cancel{Ref: ref}, Fence: &wire.Fence{Gone: b}, Collect: &wire.Collect{Member: "ayni", Key: ref.Key}},
+		{Start: &wire.Start{Ref: ref, Home: entryA, LeftMs: 1000, WaitMs: 10, Offered: 1}, Reserve: &wire.Reserve{Want: -1}},
+		{Cancel: &wire.Cancel{Ref: ref}, Fence: &wire.Fence{Gone: entryB}, Collect: &wire.Collect{Member: "ayni", Key: ref.Key}},
 	} {
 		bytes, _ := wire.Encode(&fr)
 		f.Add(bytes)
@@ -344,26 +346,26 @@
 			return
 		}
 		m := newModel()
-		for range 3 { // duplicates meet what the first left behind
+		for range 3 { // later rounds send duplicates to the resulting state
 			if fr.Start != nil {
-				m.l.Start(m.now, a, fr.Start)
+				m.ledger.Start(m.now, entryA, fr.Start)
 			}
 			if fr.Reserve != nil {
-				m.l.Reserve(m.now, a, fr.Reserve)
+				m.ledger.Reserve(m.now, entryA, fr.Reserve)
 			}
 			if fr.Cancel != nil {
-				m.l.Cancel(m.now, a, fr.Cancel)
+				m.ledger.Cancel(m.now, entryA, fr.Cancel)
 			}
 			if fr.Fence != nil {
-				m.l.Fence(m.now, b, fr.Fence)
+				m.ledger.Fence(m.now, entryB, fr.Fence)
 			}
 			if fr.Collect != nil {
-				m.l.Collect(a, fr.Collect)
+				m.ledger.Collect(entryA, fr.Collect)
 			}
-			m.observe()
+			m.checkActions()
 		}
-		if m.wrong != nil {
-			t.Fatal(m.wrong)
+		if m.violation != nil {
+			t.Fatal(m.violation)
 		}
 	})
 }
--- a/internal/ledger/slots.go
+++ b/internal/ledger/slots.go
@@ -9,42 +9,42 @@
 	"wigeontray/internal/wire"
 )
 
-// maxWant bounds what one entry can reserve.
-const maxWant = 1 << 16
+// maxReservedSlots limits the slots that one entry can reserve.
+const maxReservedSlots = 1 << 16
 
-// waiter is a task in the queue.
-type waiter struct {
-	record   *record
-	body     []byte
-	deadline time.Time
-	until    time.Time // end of the wait; never after deadline
+// queuedTask is a task that waits for a slot.
+type queuedTask struct {
+	record    *record
+	body      []byte
+	deadline  time.Time
+	expiresAt time.Time // end of the wait; not after deadline
 }
 
-// offer is a free slot that is held for one entry.
+// offer is a free slot that is reserved for one entry.
 type offer struct {
-	id    uint64
-	to    *entry
-	until time.Time
+	id        uint64
+	recipient *entry
+	expiresAt time.Time
 }
 
-// free counts slots that neither a task nor an offer takes.
-func (l *Ledger) free() int {
-	if !l.open() {
+// freeSlots returns the number of slots that are neither in use nor offered.
+func (l *Ledger) freeSlots() int {
+	if !l.acceptsWork() {
 		return 0
 	}
 	return l.opt.Slots - l.running - len(l.offers)
 }
 
-func (l *Ledger) roomInQueue(body []byte) bool {
-	return len(l.queue) < l.opt.MaxQueued && l.queueBytes+len(body) <= l.opt.QueueBytes
+func (l *Ledger) hasQueueRoom(body []byte) bool {
+	return len(l.queue) < l.opt.MaxQueued && l.queueBytes+len(body) <= l.opt.MaxQueueBytes
 }
 
 func (l *Ledger) enqueue(now time.Time, r *record, s *wire.Start, deadline time.Time) {
-	until := now.Add(milliseconds(s.WaitMs))
-	if until.After(deadline) {
-		until = deadline
+	expiresAt := now.Add(cappedMilliseconds(s.WaitMs))
+	if expiresAt.After(deadline) {
+		expiresAt = deadline
 	}
-	l.queue = append(l.queue, &waiter{record: r, body: s.Body, deadline: deadline, until: until})
+	l.queue = append(l.queue, &queuedTask{record: r, body: s.Body, deadline: deadline, expiresAt: expiresAt})
 	l.queueBytes += len(s.Body)
 }
 
@@ -66,17 +66,17 @@
 	}
 }
 
-// assign gives free slots to waiting tasks in order of arrival, then offers the
-// rest to entries that reserved one.
-func (l *Ledger) assign(now time.Time) {
-	l.expireQueue(now)
-	for l.free() > 0 && len(l.queue) > 0 {
+// assignSlots gives free slots to queued tasks in order of arrival, then offers the
+// remaining slots to entries with reservations.
+func (l *Ledger) assignSlots(now time.Time) {
+	l.refuseExpired(now)
+	for l.freeSlots() > 0 && len(l.queue) > 0 {
 		w := l.queue[0]
 		l.dequeue(w.record)
-		l.run(w.record, w.body, w.deadline)
+		l.startTask(w.record, w.body, w.deadline)
 	}
-	for l.free() > 0 {
-		e := l.nextReserved()
+	for l.freeSlots() > 0 {
+		e := l.nextEntryToOffer()
 		if e == nil {
 			return
 		}
@@ -84,13 +84,13 @@
 	}
 }
 
-// nextReserved goes round the entries, so that one with many waiting tasks
-// cannot keep the others from every slot.
-func (l *Ledger) nextReserved() *entry {
+// nextEntryToOffer selects entries in round-robin order, so that an entry with many
+// waiting tasks cannot starve the others.
+func (l *Ledger) nextEntryToOffer() *entry {
 	for i := range l.entries {
-		at := (l.turn + i) % len(l.entries)
-		if e := l.entries[at]; e.want > e.offered {
-			l.turn = at + 1
+		index := (l.nextEntry + i) % len(l.entries)
+		if e := l.entries[index]; e.reserved > e.openOffers {
+			l.nextEntry = index + 1
 			return e
 		}
 	}
@@ -98,80 +98,83 @@
 }
 
 func (l *Ledger) offer(now time.Time, e *entry) {
-	l.offerID++
-	e.offered++
-	l.offers = append(l.offers, offer{id: l.offerID, to: e, until: now.Add(l.opt.Hold)})
-	msg := &wire.Offer{ID: l.offerID, HoldMs: l.opt.Hold.Milliseconds(), Load: l.loadFor(e.name)}
-	l.send(e.name, &wire.Frame{Offer: msg})
+	l.lastOfferID++
+	e.openOffers++
+	l.offers = append(l.offers, offer{id: l.lastOfferID, recipient: e, expiresAt: now.Add(l.opt.OfferTimeout)})
+	msg := &wire.Offer{ID: l.lastOfferID, HoldMs: l.opt.OfferTimeout.Milliseconds(), Load: l.loadReportFor(e.incarnation)}
+	l.send(e.incarnation, &wire.Frame{Offer: msg})
 }
 
-// takeOffer uses up the offer id if it is still held for the entry.
-func (l *Ledger) takeOffer(name identity.Incarnation, id uint64) bool {
+// consumeOffer removes the offer with this ID if it is still open for the entry, and
+// reports whether it was.
+func (l *Ledger) consumeOffer(incarnation identity.Incarnation, id uint64) bool {
 	if id == 0 {
 		return false
 	}
 	for i, o := range l.offers {
-		if o.id == id && o.to.name == name {
-			l.endOffer(i)
+		if o.id == id && o.recipient.incarnation == incarnation {
+			l.removeOffer(i)
 			return true
 		}
 	}
 	return false
 }
 
-// endOffer removes an offer and the reservation that it answered, used or not:
-// an entry that is frozen would otherwise be offered the same slot for ever.
-func (l *Ledger) endOffer(i int) {
-	e := l.offers[i].to
-	e.offered--
-	e.want--
+// removeOffer removes an offer and the reservation that it fulfilled, whether or not
+// it was used. Otherwise an unresponsive entry would be offered the same slot
+// indefinitely.
+func (l *Ledger) removeOffer(i int) {
+	e := l.offers[i].recipient
+	e.openOffers--
+	e.reserved--
 	l.offers = slices.Delete(l.offers, i, i+1)
 }
 
-func (l *Ledger) releaseOffers(e *entry) {
-	l.offers = slices.DeleteFunc(l.offers, func(o offer) bool { return o.to == e })
-	e.offered = 0
+func (l *Ledger) withdrawOffers(e *entry) {
+	l.offers = slices.DeleteFunc(l.offers, func(o offer) bool { return o.recipient == e })
+	e.openOffers = 0
 }
 
-func (l *Ledger) releaseAllOffers() {
+func (l *Ledger) withdrawAllOffers() {
 	for _, e := range l.entries {
-		l.releaseOffers(e)
+		l.withdrawOffers(e)
 	}
 }
 
-// Reserve takes an entry's count of tasks that wait for a slot. It replaces the
-// earlier one; offers that are still held count against it.
+// Reserve stores the number of tasks that wait for a slot at an entry. It replaces
+// the previous number; open offers count against it.
 func (l *Ledger) Reserve(now time.Time, from identity.Incarnation, r *wire.Reserve) {
 	e := l.entry(from)
 	if e == nil || l.fenced[from] {
 		return
 	}
-	e.want = min(max(r.Want, 0), maxWant)
-	if e.want == 0 {
-		l.releaseOffers(e)
+	e.reserved = min(max(r.Want, 0), maxReservedSlots)
+	if e.reserved == 0 {
+		l.withdrawOffers(e)
 	}
-	l.assign(now)
+	l.assignSlots(now)
 }
 
-// Tick refuses tasks whose wait is over and frees slots whose offer lapsed.
+// Tick refuses queued tasks whose wait has ended and releases the slots of expired
+// offers.
 func (l *Ledger) Tick(now time.Time) {
 	for i := len(l.offers) - 1; i >= 0; i-- {
-		if !l.offers[i].until.After(now) {
-			l.endOffer(i)
+		if !l.offers[i].expiresAt.After(now) {
+			l.removeOffer(i)
 		}
 	}
-	l.assign(now)
+	l.assignSlots(now)
 }
 
-// expireQueue refuses each waiting task whose wait is over.
-func (l *Ledger) expireQueue(now time.Time) {
-	var over []*waiter
+// refuseExpired refuses each queued task whose wait has ended.
+func (l *Ledger) refuseExpired(now time.Time) {
+	var expired []*queuedTask
 	for _, w := range l.queue {
-		if !w.until.After(now) {
-			over = append(over, w)
+		if !w.expiresAt.After(now) {
+			expired = append(expired, w)
 		}
 	}
-	for _, w := range over {
+	for _, w := range expired {
 		l.dequeue(w.record)
 		kind := errkind.Busy
 		if !w.deadline.After(now) {
@@ -181,19 +184,20 @@
 	}
 }
 
-// NextTick tells when Tick is next due; zero for never.
+// NextTick returns the time when Tick is next due, or the zero time if nothing is
+// pending.
 func (l *Ledger) NextTick() time.Time {
 	var next time.Time
-	sooner := func(t time.Time) {
+	keepEarliest := func(t time.Time) {
 		if next.IsZero() || t.Before(next) {
 			next = t
 		}
 	}
 	for _, w := range l.queue {
-		sooner(w.until)
+		keepEarliest(w.expiresAt)
 	}
 	for _, o := range l.offers {
-		sooner(o.until)
+		keepEarliest(o.expiresAt)
 	}
 	return next
 }
