--- a/internal/ledger/fence.go
+++ b/internal/ledger/fence.go
@@ -13,8 +13,8 @@
 // Fence permanently blocks an entry incarnation: it starts no more tasks here. The
 // reply reports the starts made for it. Once MaxFences fences are stored, a Fence
 // for a further entry is ignored and gets no report. Storing it would require
-// evicting an older fence, and the entry fenced by that one could then start tasks
-// again.
+// evicting an older fence, and the entry blocked by the older one could then start
+// tasks again.
 func (l *Ledger) Fence(now time.Time, from identity.Incarnation, f *wire.Fence) {
 	if !l.fenced[f.Gone] && (len(l.fenced) >= l.opt.MaxFences || len(f.Gone) > maxIncarnationLen) {
 		return
@@ -31,10 +31,10 @@
 
 // refuseQueuedTasks refuses the queued tasks of a fenced entry.
 func (l *Ledger) refuseQueuedTasks(now time.Time, home identity.Incarnation) {
-	for _, w := range slices.Clone(l.queue) {
-		if w.record.home == home {
-			l.dequeue(w.record)
-			l.refuse(now, w.record, errkind.Fenced)
+	for _, task := range slices.Clone(l.queue) {
+		if task.record.home == home {
+			l.dequeue(task.record)
+			l.refuse(now, task.record, errkind.Fenced)
 		}
 	}
 }
--- a/internal/ledger/slots.go
+++ b/internal/ledger/slots.go
@@ -49,10 +49,10 @@
 }
 
 func (l *Ledger) dequeue(r *record) {
-	for i, w := range l.queue {
-		if w.record == r {
+	for i, task := range l.queue {
+		if task.record == r {
 			l.queue = slices.Delete(l.queue, i, i+1)
-			l.queueBytes -= len(w.body)
+			l.queueBytes -= len(task.body)
 			return
 		}
 	}
@@ -61,8 +61,8 @@
 func (l *Ledger) refuseQueue(now time.Time, kind errkind.Kind) {
 	waiting := l.queue
 	l.queue, l.queueBytes = nil, 0
-	for _, w := range waiting {
-		l.refuse(now, w.record, kind)
+	for _, task := range waiting {
+		l.refuse(now, task.record, kind)
 	}
 }
 
@@ -71,9 +71,9 @@
 func (l *Ledger) assignSlots(now time.Time) {
 	l.refuseExpired(now)
 	for l.freeSlots() > 0 && len(l.queue) > 0 {
-		w := l.queue[0]
-		l.dequeue(w.record)
-		l.startTask(w.record, w.body, w.deadline)
+		task := l.queue[0]
+		l.dequeue(task.record)
+		l.startTask(task.record, task.body, task.deadline)
 	}
 	for l.freeSlots() > 0 {
 		e := l.nextEntryToOffer()
@@ -169,18 +169,18 @@
 // refuseExpired refuses each queued task whose wait has ended.
 func (l *Ledger) refuseExpired(now time.Time) {
 	var expired []*queuedTask
-	for _, w := range l.queue {
-		if !w.expiresAt.After(now) {
-			expired = append(expired, w)
+	for _, task := range l.queue {
+		if !task.expiresAt.After(now) {
+			expired = append(expired, task)
 		}
 	}
-	for _, w := range expired {
-		l.dequeue(w.record)
+	for _, task := range expired {
+		l.dequeue(task.record)
 		kind := errkind.Busy
-		if !w.deadline.After(now) {
+		if !task.deadline.After(now) {
 			kind = errkind.DeadlineExpired
 		}
-		l.refuse(now, w.record, kind)
+		l.refuse(now, task.record, kind)
 	}
 }
 
@@ -193,8 +193,8 @@
 			next = t
 		}
 	}
-	for _, w := range l.queue {
-		keepEarliest(w.expiresAt)
+	for _, task := range l.queue {
+		keepEarliest(task.expiresAt)
 	}
 	for _, o := range l.offers {
 		keepEarliest(o.expiresAt)
--- a/internal/ledger/start.go
+++ b/internal/ledger/start.go
@@ -30,8 +30,8 @@
 }
 
 // answerDuplicate answers a Start of a Ref that has a record. An entry other than
-// its home learns from it at most that the task ran; once the home is fenced, it
-// uses Collect to get the results.
+// its home is only informed whether the task is known to have run; once the home is
+// fenced, it uses Collect to get the results.
 func (l *Ledger) answerDuplicate(from identity.Incarnation, r *record) {
 	switch {
 	case r.settled() && (from == r.home || r.state == refused):
@@ -44,7 +44,7 @@
 
 // validateStart makes the checks whose refusals need no record. It claims RanNo only
 // if every later Start of the Ref is refused too. A task refused for its birth or
-// its sender may have run before, or its home may still send it, so the refusal says
+// its sender may have run before, or its home may still send it, so the refusal claims
 // RanUnknown.
 func (l *Ledger) validateStart(now time.Time, from identity.Incarnation, s *wire.Start) (int64, *wire.Result) {
 	if l.opt.Member != "" && s.Ref.Member != l.opt.Member {
--- a/internal/recovery/announcer.go
+++ b/internal/recovery/announcer.go
@@ -8,55 +8,54 @@
 	"wigeontray/internal/wire"
 )
 
-// Announcer is the side of an entry that is still alive: it tells its peers at
-// which guards it starts tasks, and holds a new guard back until its witnesses
-// know of it.
+// Announcer announces to the peers of an entry at which guards the entry starts
+// tasks, and delays the use of a new guard until all witnesses have acknowledged it.
 //
-// If it did not, an entry could start a task at a guard that just came up and
-// die with it; a peer that never heard of this guard would ask all the others
-// and answer "not run" about a task that ran.
+// Without it, an entry could start a task at a new guard and then crash together
+// with that guard. A peer that had never received the guard's name would query all
+// other guards and answer "not run" for a task that ran.
 type Announcer struct {
-	guards  map[identity.Incarnation]bool // by guard: handed out as ready
-	peers   map[identity.Incarnation]*listener
-	seq     uint64
-	actions []AnnounceAction
-	fenced  bool
+	guards   map[identity.Incarnation]bool // value: whether the guard was released for use
+	peers    map[identity.Incarnation]*witnessState
+	seq      uint64
+	actions  []AnnounceAction
+	isFenced bool
 }
 
-// listener is what one peer has been told.
-type listener struct {
-	linked  bool
-	sent    map[uint64][]identity.Incarnation // unacknowledged
-	acked   map[identity.Incarnation]bool
-	sinceMs int64 // 0: not a witness
-	version int64 // roster version of the grant
+// witnessState is the announcement state of one peer.
+type witnessState struct {
+	linked        bool
+	unacked       map[uint64][]identity.Incarnation // guards in each unacknowledged frame, by Seq
+	acked         map[identity.Incarnation]bool
+	sinceMs       int64 // start of the witness period; 0 if the peer is not a witness
+	rosterVersion int64 // roster version when it became a witness
 }
 
-// AnnounceAction is one thing to do: exactly one field is set, but for Peer,
-// which receives Witness.
+// AnnounceAction is one operation for the owner of an Announcer to execute: send
+// Witness to Peer, or release Ready. Exactly one of Witness and Ready is set.
 type AnnounceAction struct {
 	Peer    identity.Incarnation
 	Witness *wire.Witness
 	Ready   identity.Incarnation // a guard that may be used from now on
 }
 
-// NewAnnouncer returns an announcer that knows no guard and no peer.
+// NewAnnouncer returns an announcer without guards and peers.
 func NewAnnouncer() *Announcer {
 	return &Announcer{
 		guards: make(map[identity.Incarnation]bool),
-		peers:  make(map[identity.Incarnation]*listener),
+		peers:  make(map[identity.Incarnation]*witnessState),
 	}
 }
 
-// Actions returns the actions since the last call.
+// Actions returns the actions since the last call and clears them.
 func (a *Announcer) Actions() []AnnounceAction {
 	out := a.actions
 	a.actions = nil
 	return out
 }
 
-// GuardUp adds a guard. A Ready action follows, at once when nobody has to
-// acknowledge it.
+// GuardUp adds a guard. A Ready action follows once all witnesses have acknowledged
+// it, or at once if there are none.
 func (a *Announcer) GuardUp(g identity.Incarnation) {
 	if _, known := a.guards[g]; known {
 		return
@@ -65,112 +64,115 @@
 	for _, p := range a.linked() {
 		a.send(p, &wire.Witness{Guards: []identity.Incarnation{g}})
 	}
-	a.release()
+	a.releaseGuards()
 }
 
-// GuardLost drops a guard that this entry never uses again. beyondMs is above
-// the birth of every identity that it may have admitted so far.
-func (a *Announcer) GuardLost(g identity.Incarnation, beyondMs int64) {
+// GuardLost removes a guard that this entry no longer uses. If the guard comes back,
+// GuardUp announces it anew. admittedBeforeMs is greater than the birth of every
+// identity that this entry may have admitted so far.
+func (a *Announcer) GuardLost(g identity.Incarnation, admittedBeforeMs int64) {
 	if _, known := a.guards[g]; !known {
 		return
 	}
 	delete(a.guards, g)
-	for _, l := range a.peers {
-		l.forget(g)
+	for _, state := range a.peers {
+		state.clearAcks(g)
 	}
 	for _, p := range a.linked() {
-		a.send(p, &wire.Witness{Dropped: []wire.DroppedGuard{{Guard: g, AfterMs: beyondMs}}})
+		a.send(p, &wire.Witness{Dropped: []wire.DroppedGuard{{Guard: g, AfterMs: admittedBeforeMs}}})
 	}
 }
 
-// forget voids acknowledgements of g, also those that are still on their way: if
-// the guard comes back, one of the earlier announcement must not pass for one of
-// the new, which the peer may never hear.
-func (l *listener) forget(g identity.Incarnation) {
-	delete(l.acked, g)
-	for seq, guards := range l.sent {
-		l.sent[seq] = slices.DeleteFunc(guards, func(x identity.Incarnation) bool { return x == g })
+// clearAcks discards the acknowledgements of g, including those still in transit. If
+// the guard is added again, an acknowledgement of the earlier announcement must not
+// count for the new one, which the peer may never receive.
+func (state *witnessState) clearAcks(g identity.Incarnation) {
+	delete(state.acked, g)
+	for seq, guards := range state.unacked {
+		state.unacked[seq] = slices.DeleteFunc(guards, func(x identity.Incarnation) bool { return x == g })
 	}
 }
 
-// PeerUp begins or repeats the telling after a link was made.
+// PeerUp sends the announcement of all guards when a link to a peer is established,
+// and again when it is re-established.
 func (a *Announcer) PeerUp(p identity.Incarnation) {
-	l := a.peers[p]
-	if l == nil {
-		l = &listener{acked: make(map[identity.Incarnation]bool)}
-		a.peers[p] = l
+	state := a.peers[p]
+	if state == nil {
+		state = &witnessState{acked: make(map[identity.Incarnation]bool)}
+		a.peers[p] = state
 	}
-	l.linked = true
-	l.sent = make(map[uint64][]identity.Incarnation)
+	state.linked = true
+	state.unacked = make(map[uint64][]identity.Incarnation)
 	a.send(p, &wire.Witness{
-		Guards: slices.Sorted(maps.Keys(a.guards)), SinceMs: l.sinceMs, Version: l.version,
+		Guards: slices.Sorted(maps.Keys(a.guards)), SinceMs: state.sinceMs, Version: state.rosterVersion,
 	})
 }
 
-// PeerDown notes a lost link. A witness stays one: it may be alive, and act as a
-// witness, behind a cut cable.
+// PeerDown records a lost link. A witness remains one: it may still run on the other
+// side of a failed network link and act as a witness.
 func (a *Announcer) PeerDown(p identity.Incarnation) {
-	l := a.peers[p]
-	if l == nil {
+	state := a.peers[p]
+	if state == nil {
 		return
 	}
-	l.linked = false
-	if l.sinceMs == 0 {
+	state.linked = false
+	if state.sinceMs == 0 {
 		delete(a.peers, p)
 	}
 }
 
-// Acknowledged takes a peer's answer.
+// Acknowledged handles a peer's acknowledgement of a Witness.
 func (a *Announcer) Acknowledged(p identity.Incarnation, seq uint64) {
-	l := a.peers[p]
-	if l == nil {
+	state := a.peers[p]
+	if state == nil {
 		return
 	}
-	for _, g := range l.sent[seq] {
+	for _, g := range state.unacked[seq] {
 		if _, known := a.guards[g]; known {
-			l.acked[g] = true
+			state.acked[g] = true
 		}
 	}
-	delete(l.sent, seq)
-	a.release()
+	delete(state.unacked, seq)
+	a.releaseGuards()
 }
 
-// Grant makes a witness of every linked member of the last roster version that
-// has acknowledged all guards. beyondMs is above the birth of every identity
-// that this entry may have admitted so far.
-func (a *Announcer) Grant(version int64, isMember func(identity.Incarnation) bool, beyondMs int64) {
-	if a.fenced || version == 0 {
+// Grant makes each linked member of the latest roster version a witness if it has
+// acknowledged all guards. admittedBeforeMs is greater than the birth of every
+// identity that this entry may have admitted so far.
+func (a *Announcer) Grant(rosterVersion int64, isMember func(identity.Incarnation) bool, admittedBeforeMs int64) {
+	if a.isFenced || rosterVersion == 0 {
 		return
 	}
 	for _, p := range a.linked() {
-		l := a.peers[p]
-		if l.sinceMs != 0 || len(l.acked) != len(a.guards) || !isMember(p) {
+		state := a.peers[p]
+		if state.sinceMs != 0 || len(state.acked) != len(a.guards) || !isMember(p) {
 			continue
 		}
-		l.sinceMs, l.version = beyondMs, version
-		a.send(p, &wire.Witness{SinceMs: l.sinceMs, Version: l.version})
+		state.sinceMs, state.rosterVersion = admittedBeforeMs, rosterVersion
+		a.send(p, &wire.Witness{SinceMs: state.sinceMs, Version: state.rosterVersion})
 	}
 }
 
-// Roster takes a newly learned version. A witness that it leaves out is waited
-// for no longer: the peer loses its standing by the same version. A fenced entry
-// gets no new guard at all.
-func (a *Announcer) Roster(version int64, isMember func(identity.Incarnation) bool, fenced bool) {
-	a.fenced = a.fenced || fenced
-	for p, l := range a.peers {
-		if l.sinceMs == 0 || version <= l.version || isMember(p) {
+// Roster handles a new roster version. Acknowledgements of a witness that is not a
+// member of it are no longer required: the same version ends the peer's role as a
+// witness. A fenced entry gets no new guard.
+func (a *Announcer) Roster(rosterVersion int64, isMember func(identity.Incarnation) bool, isFenced bool) {
+	a.isFenced = a.isFenced || isFenced
+	for p, state := range a.peers {
+		if state.sinceMs == 0 || rosterVersion <= state.rosterVersion || isMember(p) {
 			continue
 		}
-		l.sinceMs, l.version = 0, 0
-		if !l.linked {
+		state.sinceMs, state.rosterVersion = 0, 0
+		if !state.linked {
 			delete(a.peers, p)
 		}
 	}
-	a.release()
+	a.releaseGuards()
 }
 
-// Held counts guards that wait for a witness.
-func (a *Announcer) Held() (n int) {
+// PendingGuards returns the number of guards that wait for acknowledgements of
+// witnesses.
+func (a *Announcer) PendingGuards() (n int) {
 	for _, ready := range a.guards {
 		if !ready {
 			n++
@@ -179,22 +181,22 @@
 	return n
 }
 
-// release hands out the guards that every witness knows.
-func (a *Announcer) release() {
-	if a.fenced {
+// releaseGuards releases the guards that every witness has acknowledged.
+func (a *Announcer) releaseGuards() {
+	if a.isFenced {
 		return
 	}
 	for _, g := range slices.Sorted(maps.Keys(a.guards)) {
-		if !a.guards[g] && a.everyWitnessKnows(g) {
+		if !a.guards[g] && a.isAckedByAllWitnesses(g) {
 			a.guards[g] = true
 			a.actions = append(a.actions, AnnounceAction{Ready: g})
 		}
 	}
 }
 
-func (a *Announcer) everyWitnessKnows(g identity.Incarnation) bool {
-	for _, l := range a.peers {
-		if l.sinceMs != 0 && !l.acked[g] {
+func (a *Announcer) isAckedByAllWitnesses(g identity.Incarnation) bool {
+	for _, state := range a.peers {
+		if state.sinceMs != 0 && !state.acked[g] {
 			return false
 		}
 	}
@@ -203,8 +205,8 @@
 
 func (a *Announcer) linked() []identity.Incarnation {
 	var out []identity.Incarnation
-	for p, l := range a.peers {
-		if l.linked {
+	for p, state := range a.peers {
+		if state.linked {
 			out = append(out, p)
 		}
 	}
@@ -215,6 +217,6 @@
 func (a *Announcer) send(p identity.Incarnation, w *wire.Witness) {
 	a.seq++
 	w.Seq = a.seq
-	a.peers[p].sent[w.Seq] = slices.Clone(w.Guards)
+	a.peers[p].unacked[w.Seq] = slices.Clone(w.Guards)
 	a.actions = append(a.actions, AnnounceAction{Peer: p, Witness: w})
 }
--- a/internal/recovery/explore_test.go
+++ b/internal/recovery/explore_test.go
@@ -12,26 +12,26 @@
 	"wigeontray/internal/roster"
 )
 
-// The bounds of the random search.
+// Limits of the random search.
 const (
-	seeds = 1500
-	moves = 200
+	seedCount = 1500
+	moveCount = 200
 )
 
-// rule is the way in which a model breaks the rule on purpose.
-type rule uint8
+// injectedFault selects the rule of the protocol that a model violates on purpose.
+type injectedFault uint8
 
 const (
-	soundRule      rule = iota
-	noWitness           // a guard is used before the witnesses know of it
-	trustLeftOut        // a witness that a roster left out trusts its old list
-	ownerNotFinal       // a recovery begins while the owner may change
-	fenceForgotten      // a guard reports but goes on obeying the fenced entry
+	noFault             injectedFault = iota
+	skipWitnessAcks                   // a guard is used before the witnesses have acknowledged it
+	trustRemovedWitness               // a witness removed by a roster relies on its old list
+	nonFinalOwner                     // a recovery begins while the owner may still change
+	ignoreFence                       // a guard sends its report but continues to accept tasks of the fenced entry
 )
 
-// move makes one random thing happen.
-func (m *model) move() {
-	n, o := m.pick(m.names()), m.pick(m.names())
+// randomMove executes one random event.
+func (m *model) randomMove() {
+	n, o := m.pick(m.entryNames()), m.pick(m.entryNames())
 	e := m.entries[n]
 	g := m.pick(slices.Sorted(maps.Keys(m.guards)))
 	switch k := m.rng.IntN(100); {
@@ -39,17 +39,17 @@
 		m.deliver()
 	case k < 54:
 		m.now = m.now.Add(time.Duration(m.rng.IntN(800)) * time.Millisecond)
-		m.tick(n)
+		m.tickEntry(n)
 	case k < 62:
-		m.store()
+		m.stepStore()
 	case k < 65:
-		e.paused = !e.paused
-	case e.dead || e.paused:
+		e.isPaused = !e.isPaused
+	case e.hasCrashed || e.isPaused:
 	case k < 81:
 		m.submit(n, m.keys[m.rng.IntN(len(m.keys))])
 	case k < 84:
-		_ = e.roster.Stored(m.now, m.value, m.rev)
-		m.after(n)
+		_ = e.roster.Stored(m.now, m.storeValue, m.storeRevision)
+		m.runActions(n)
 	case k < 86:
 		m.unlink(n, o)
 	case k < 89:
@@ -60,125 +60,125 @@
 		} else {
 			e.roster.Gone(m.now, o)
 		}
-		m.after(n)
+		m.runActions(n)
 	case k < 92:
 		m.unlinkGuard(n, g, m.rng.IntN(2) == 0)
 	case k < 96:
 		m.linkGuard(n, g)
 	case k < 98:
-		m.rare(n, g)
+		m.rareMove(n, g)
 	}
 }
 
-func (m *model) tick(n name) {
-	if e := m.entries[n]; !e.dead && !e.paused {
+func (m *model) tickEntry(n incarnation) {
+	if e := m.entries[n]; !e.hasCrashed && !e.isPaused {
 		e.roster.Tick(m.now)
-		e.recover.Tick(m.now)
-		m.after(n)
+		e.recoveryMachine.Tick(m.now)
+		m.runActions(n)
 	}
 }
 
-// rare kills and starts processes. An entry that is killed never comes back, and
-// its frames may still arrive; a successor starts in its place.
-func (m *model) rare(n, g name) {
+// rareMove crashes and starts processes. A crashed entry never restarts, but its
+// frames may still arrive; a successor with another name starts in its place.
+func (m *model) rareMove(n, g incarnation) {
 	switch m.rng.IntN(4) {
 	case 0:
-		m.entries[n].dead = true
-		for _, o := range m.names() {
+		m.entries[n].hasCrashed = true
+		for _, o := range m.entryNames() {
 			m.unlink(n, o)
 		}
 		fallthrough
 	case 1:
-		if next := name("d" + fmt.Sprint(len(m.entries))); len(m.entries) < 5 {
-			m.entryStarts(next)
+		if next := incarnation("d" + fmt.Sprint(len(m.entries))); len(m.entries) < 5 {
+			m.startEntry(next)
 		}
 	case 2:
-		m.newGuard()
+		m.addGuard()
 	default:
-		m.guards[g].dead = true
-		for _, o := range m.names() {
+		m.guards[g].hasCrashed = true
+		for _, o := range m.entryNames() {
 			m.unlinkGuard(o, g, false)
 		}
 	}
 }
 
-func (m *model) newGuard() {
+func (m *model) addGuard() {
 	if len(m.guards) < 4 {
-		m.guardStarts(name("y" + fmt.Sprint(len(m.guards))))
+		m.startGuard(incarnation("y" + fmt.Sprint(len(m.guards))))
 	}
 }
 
-// store carries out one compare-and-swap, out of order at times, or delivers an
-// answer that was held up. The answer may be lost, or the sender may give up
-// before the write is carried out.
-func (m *model) store() {
+// stepStore executes one compare-and-swap, sometimes out of order, or delivers a
+// delayed answer. The answer may be lost, or the sender may give up before the write
+// is executed.
+func (m *model) stepStore() {
 	switch {
-	case len(m.answers) > 0 && m.rng.IntN(2) == 0:
-		a := m.answers[0]
-		m.answers = m.answers[1:]
-		m.answer(a)
+	case len(m.delayedAnswers) > 0 && m.rng.IntN(2) == 0:
+		a := m.delayedAnswers[0]
+		m.delayedAnswers = m.delayedAnswers[1:]
+		m.storeAnswer(a)
 		return
-	case len(m.swaps) == 0:
+	case len(m.pendingWrites) == 0:
 		return
 	}
-	i := m.rng.IntN(len(m.swaps))
-	s := m.swaps[i]
-	if !s.silent && m.rng.IntN(5) == 0 {
-		m.swaps[i].silent = true
-		m.answer(answer{s.from, s.s.ID, roster.OutcomeUnknown, 0})
+	i := m.rng.IntN(len(m.pendingWrites))
+	s := m.pendingWrites[i]
+	if !s.isAbandoned && m.rng.IntN(5) == 0 {
+		m.pendingWrites[i].isAbandoned = true
+		m.storeAnswer(storeAnswer{s.from, s.s.ID, roster.OutcomeUnknown, 0})
 		return
 	}
-	m.swaps = slices.Delete(m.swaps, i, i+1)
-	a := answer{s.from, s.s.ID, roster.OutcomeConflict, 0}
-	if s.s.Expect == m.rev {
-		m.value, m.rev = s.s.Value, m.rev+1
-		a.outcome, a.revision = roster.OutcomeDone, m.rev
+	m.pendingWrites = slices.Delete(m.pendingWrites, i, i+1)
+	a := storeAnswer{s.from, s.s.ID, roster.OutcomeConflict, 0}
+	if s.s.Expect == m.storeRevision {
+		m.storeValue, m.storeRevision = s.s.Value, m.storeRevision+1
+		a.outcome, a.revision = roster.OutcomeDone, m.storeRevision
 	}
 	if m.rng.IntN(3) == 0 {
 		a.outcome = roster.OutcomeUnknown
 	}
 	switch {
-	case s.silent:
+	case s.isAbandoned:
 	case m.rng.IntN(2) == 0:
-		m.answer(a)
+		m.storeAnswer(a)
 	default:
-		m.answers = append(m.answers, a)
+		m.delayedAnswers = append(m.delayedAnswers, a)
 	}
 }
 
-func (m *model) answer(a answer) {
-	if e := m.entries[a.to]; !e.dead {
+func (m *model) storeAnswer(a storeAnswer) {
+	if e := m.entries[a.to]; !e.hasCrashed {
 		e.roster.Swapped(m.now, a.id, a.outcome, a.revision)
-		m.after(a.to)
+		m.runActions(a.to)
 	}
 }
 
-// cutOff takes an entry away from the others, who leave it out of the roster or
-// declare it gone. It goes on alone, or is paused until a later move.
-func (m *model) cutOff(declare bool) {
-	victim := m.pick(slices.DeleteFunc(m.names(), func(n name) bool { return n == m.leftOut }))
-	if !declare {
-		m.leftOut = victim
+// isolateEntry disconnects an entry from the others, which remove it from the roster
+// or declare it gone. It continues alone, or is paused until a later move.
+func (m *model) isolateEntry(isDeclaredGone bool) {
+	victim := m.pick(slices.DeleteFunc(m.entryNames(), func(n incarnation) bool { return n == m.removedEntry }))
+	if !isDeclaredGone {
+		m.removedEntry = victim
 	}
-	for _, o := range m.names() {
+	for _, o := range m.entryNames() {
 		m.unlink(victim, o)
 	}
-	m.entries[victim].paused = declare && m.rng.IntN(2) == 0
-	m.newGuard()
+	m.entries[victim].isPaused = isDeclaredGone && m.rng.IntN(2) == 0
+	m.addGuard()
 	for range 6 {
-		m.now = m.now.Add(timing.Period)
-		for _, n := range m.names() {
+		m.now = m.now.Add(rosterOptions.Period)
+		for _, n := range m.entryNames() {
 			e := m.entries[n]
-			if n == victim || e.dead || e.paused {
+			if n == victim || e.hasCrashed || e.isPaused {
 				continue
 			}
-			if declare {
+			if isDeclaredGone {
 				e.roster.Gone(m.now, victim)
 			} else {
 				e.roster.Suspect(m.now, victim)
 			}
-			m.tick(n)
-			m.store()
+			m.tickEntry(n)
+			m.stepStore()
 		}
 		for range 8 {
 			m.deliver()
@@ -186,66 +186,67 @@
 	}
 }
 
-// submitAll brings each key to some entry.
+// submitAll submits each key to a random entry.
 func (m *model) submitAll() {
 	for _, key := range m.keys {
-		if n := m.pick(m.names()); !m.entries[n].dead && !m.entries[n].paused {
+		if n := m.pick(m.entryNames()); !m.entries[n].hasCrashed && !m.entries[n].isPaused {
 			m.submit(n, key)
 		}
 	}
 }
 
-// run mixes random moves with an entry that is left out and one that is declared
-// gone, after which callers ask for all keys.
-func run(r rule, seed uint64) (m *model) {
-	m = newModel(r, seed)
-	for i := range moves {
+// runModel combines random moves with an entry that is removed from the roster and
+// one that is declared gone, after which callers submit all keys.
+func runModel(fault injectedFault, seed uint64) (m *model) {
+	m = newModel(fault, seed)
+	for i := range moveCount {
 		switch {
-		case i == moves/4 && m.rng.IntN(2) == 0:
-			m.cutOff(false)
+		case i == moveCount/4 && m.rng.IntN(2) == 0:
+			m.isolateEntry(false)
 			m.submitAll()
-		case i == moves/2:
-			m.cutOff(true)
-		case i > moves/2 && i%8 == 0:
+		case i == moveCount/2:
+			m.isolateEntry(true)
+		case i > moveCount/2 && i%8 == 0:
 			m.submitAll()
 		}
-		if m.move(); m.err != nil {
+		if m.randomMove(); m.violation != nil {
 			break
 		}
 	}
 	return m
 }
 
-// Entries and guards die, are paused, cut off, taken for dead while they live
-// and replaced; frames are lost with links, and writes to the store come late,
-// in another order or without an answer. A task that starts twice is a second
-// escort; a false "not run" makes the caller book one.
-func TestNothingStartsTwiceAndNotRunIsTrue(t *testing.T) {
+// Entries and guards crash, are paused, disconnected, declared gone while still
+// running, and replaced. Frames are lost with their links, and store writes are
+// delayed, reordered or not answered. A task that starts twice duplicates work; a
+// false "not run" makes the caller submit it again.
+func TestNoDoubleStartAndNoFalseNotRun(t *testing.T) {
 	ran, proved := 0, 0
-	for seed := range uint64(seeds) {
-		m := run(soundRule, seed)
-		qt.Assert(t, m.err, qt.IsNil, qt.Commentf("seed %d", seed))
-		ran, proved = ran+len(m.starts), proved+len(m.notRun)
+	for seed := range uint64(seedCount) {
+		m := runModel(noFault, seed)
+		qt.Assert(t, m.violation, qt.IsNil, qt.Commentf("seed %d", seed))
+		ran, proved = ran+len(m.startCount), proved+len(m.reportedNotRun)
 	}
-	t.Logf("%d seeds, %d moves each: %d tasks ran, %d were proved not run", seeds, moves, ran, proved)
-	qt.Assert(t, ran > seeds/4 && proved > seeds/50, qt.IsTrue, qt.Commentf("%d ran, %d proved", ran, proved))
+	t.Logf("%d seeds, %d moves each: %d tasks ran, %d were proved not run", seedCount, moveCount, ran, proved)
+	qt.Assert(t, ran > seedCount/4 && proved > seedCount/50, qt.IsTrue, qt.Commentf("%d ran, %d proved", ran, proved))
 }
 
-// The search must be able to find a broken rule, or its silence means nothing.
-func TestSearchFindsBrokenRules(t *testing.T) {
-	for r, what := range map[rule]string{
-		noWitness: "guards used before witnesses know", trustLeftOut: "left-out witness trusted",
-		ownerNotFinal: "owner not final", fenceForgotten: "fence forgotten",
+// The search must detect each injected fault; otherwise a run without violations
+// would prove nothing.
+func TestSearchDetectsInjectedFaults(t *testing.T) {
+	for fault, description := range map[injectedFault]string{
+		skipWitnessAcks: "guards used without acknowledgements", trustRemovedWitness: "removed witness trusted",
+		nonFinalOwner: "owner not final", ignoreFence: "fence ignored",
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(description, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(seeds) {
-				if m := run(r, seed); m.err != nil {
-					t.Logf("found with seed %d: %v", seed, m.err)
+			for seed := range uint64(seedCount) {
+				if m := runModel(fault, seed); m.violation != nil {
+					t.Logf("found with seed %d: %v", seed, m.violation)
 					return
 				}
 			}
-			t.Errorf("not found with %d seeds", seeds)
+			t.Errorf("not found with %d seeds", seedCount)
 		})
 	}
 }
--- a/internal/recovery/home.go
+++ b/internal/recovery/home.go
@@ -8,173 +8,177 @@
 	"wigeontray/internal/wire"
 )
 
-// home is what is known of another entry, alive or gone.
-type home struct {
-	seq     uint64                         // last Witness taken
-	guards  map[identity.Incarnation]int64 // 0, or the birth from which it was not used
-	sinceMs int64                          // 0: this entry is no witness
-	version int64                          // roster version of the grant
-	pruned  int64                          // greatest AfterMs among dropped guards that were forgotten
-	seen    time.Time                      // last sign of life
-
-	gone     time.Time // zero while not declared gone
-	complete bool      // the guards are all there ever were, from sinceMs on
-	// reports are the guards' answers to the fence: the birth below which each of
-	// them says nothing. They are final: the guard starts nothing more for this
-	// home.
-	reports map[identity.Incarnation]int64
-	started map[jobName]starts
-	kept    int // starts kept
-
-	// What follows sums up guards and reports, so that a job need not look at
-	// each guard; see summarise.
-	stale   bool
-	floorMs int64                  // greatest floor of the guards that were never dropped
-	topMs   int64                  // greatest floor of all that reported
-	silent  []identity.Incarnation // guards on the list that have not reported
-	dropped []identity.Incarnation // guards on the list that were dropped
+// entryState is the stored state of another entry, whether or not it has been
+// declared gone. The comments call that entry the home, since it is the home of the
+// jobs to recover; this entry is the one that runs the Machine.
+type entryState struct {
+	lastSeq       uint64                         // Seq of the last Witness received
+	guards        map[identity.Incarnation]int64 // 0, or the birth from which on the guard was not used
+	sinceMs       int64                          // start of the witness period; 0 if this entry is not its witness
+	rosterVersion int64                          // roster version when this entry became its witness
+	prunedMs      int64                          // greatest AfterMs of the dropped guards removed from the list
+	lastSeen      time.Time                      // last contact with the entry
+
+	gone         time.Time // when it was declared gone; zero if it was not
+	hasAllGuards bool      // the list holds every guard used since sinceMs
+	// reportFloors are the floors of the guards' fence reports: a report does
+	// not cover births below its floor. The reports are final, since the guard starts
+	// nothing more for this home.
+	reportFloors map[identity.Incarnation]int64
+	started      map[jobKey]startsByGuard
+	startCount   int // number of stored starts
+
+	// The remaining fields summarize guards and reportFloors, so that a job need not
+	// examine each guard; see updateSummary.
+	isSummaryStale   bool
+	maxActiveFloorMs int64                  // greatest floor of the guards that were never dropped
+	maxFloorMs       int64                  // greatest floor of all reports
+	missingReports   []identity.Incarnation // guards in the list that have not reported
+	dropped          []identity.Incarnation // guards in the list that were dropped
 }
 
-// starts are those of one job, by guard.
-type starts map[identity.Incarnation][]wire.Started
+// startsByGuard holds the starts of one job by guard.
+type startsByGuard map[identity.Incarnation][]wire.Started
 
-// nothingKnown is the floor of a guard whose report could not be kept.
-const nothingKnown = int64(math.MaxInt64)
+// unknownFloorMs is the floor of a guard whose report was too large to be stored.
+const unknownFloorMs = int64(math.MaxInt64)
 
-type jobName struct{ member, key string }
+type jobKey struct{ member, key string }
 
-// witnessed takes an announcement; it tells whether to acknowledge. After the
-// home was declared gone nothing is acknowledged: the home would use a guard
-// that this entry has already left out of a proof.
-func (h *home) witnessed(w *wire.Witness) bool {
-	if !h.gone.IsZero() || w.Seq <= h.seq {
+// applyWitness stores an announcement and reports whether to acknowledge it. After
+// the home was declared gone, nothing is acknowledged, because the home would then
+// use a guard that this entry has already omitted from a proof.
+func (e *entryState) applyWitness(w *wire.Witness) bool {
+	if !e.gone.IsZero() || w.Seq <= e.lastSeq {
 		return false
 	}
-	h.seq = w.Seq
+	e.lastSeq = w.Seq
 	for _, g := range w.Guards {
-		h.guards[g] = 0
+		e.guards[g] = 0
 	}
 	for _, d := range w.Dropped {
-		if _, known := h.guards[d.Guard]; known {
-			h.guards[d.Guard] = d.AfterMs
+		if _, known := e.guards[d.Guard]; known {
+			e.guards[d.Guard] = d.AfterMs
 		}
 	}
 	if w.SinceMs != 0 {
-		h.sinceMs, h.version = w.SinceMs, w.Version
+		e.sinceMs, e.rosterVersion = w.SinceMs, w.Version
 	}
 	return true
 }
 
-// prune forgets guards that were dropped before floorMs, as an entry that lives
-// for months sees thousands come and go.
-func (h *home) prune(floorMs int64) {
-	for g, dropped := range h.guards {
-		if dropped != 0 && dropped < floorMs {
-			h.pruned = max(h.pruned, dropped)
-			delete(h.guards, g)
+// pruneDropped removes guards that were dropped before cutoffMs, since an entry that
+// runs for months sees thousands of guards come and go.
+func (e *entryState) pruneDropped(cutoffMs int64) {
+	for g, dropped := range e.guards {
+		if dropped != 0 && dropped < cutoffMs {
+			e.prunedMs = max(e.prunedMs, dropped)
+			delete(e.guards, g)
 		}
 	}
 }
 
-// declare notes that a roster declared the home gone. absent is the last version
-// that left this entry out: the home may have stopped waiting for this entry's
-// acknowledgements by then, so an older grant proves nothing.
-func (h *home) declare(now time.Time, absent int64) {
-	if !h.gone.IsZero() {
+// declareGone records that a roster declared the home gone. lastAbsentVersion is the
+// last version that this entry was not a member of: the home may have stopped
+// requiring this entry's acknowledgements by then, so an older witness grant proves
+// nothing.
+func (e *entryState) declareGone(now time.Time, lastAbsentVersion int64) {
+	if !e.gone.IsZero() {
 		return
 	}
-	h.gone = now
-	h.complete = h.sinceMs != 0 && h.version > absent
-	h.reports = make(map[identity.Incarnation]int64)
-	h.started = make(map[jobName]starts)
-	h.stale = true
+	e.gone = now
+	e.hasAllGuards = e.sinceMs != 0 && e.rosterVersion > lastAbsentVersion
+	e.reportFloors = make(map[identity.Incarnation]int64)
+	e.started = make(map[jobKey]startsByGuard)
+	e.isSummaryStale = true
 }
 
-// take keeps a guard's report and names the jobs that it speaks of.
-func (h *home) take(g identity.Incarnation, r *wire.FenceReport) {
-	if _, again := h.reports[g]; again || h.gone.IsZero() {
+// addReport stores a guard's report and indexes its starts by job.
+func (e *entryState) addReport(g identity.Incarnation, r *wire.FenceReport) {
+	if _, again := e.reportFloors[g]; again || e.gone.IsZero() {
 		return
 	}
-	h.stale = true
-	if h.kept+len(r.Started) > maxStarted {
-		h.reports[g] = nothingKnown
+	e.isSummaryStale = true
+	if e.startCount+len(r.Started) > maxReportedStarts {
+		e.reportFloors[g] = unknownFloorMs
 		return
 	}
-	h.reports[g] = r.FloorMs
-	h.kept += len(r.Started)
+	e.reportFloors[g] = r.FloorMs
+	e.startCount += len(r.Started)
 	for _, s := range r.Started {
-		n := jobName{s.Ref.Member, s.Ref.Key}
-		if h.started[n] == nil {
-			h.started[n] = make(starts)
+		key := jobKey{s.Ref.Member, s.Ref.Key}
+		if e.started[key] == nil {
+			e.started[key] = make(startsByGuard)
 		}
-		h.started[n][g] = append(h.started[n][g], s)
+		e.started[key][g] = append(e.started[key][g], s)
 	}
 }
 
-// summarise brings the sums up to date.
-func (h *home) summarise() {
-	if !h.stale {
+// updateSummary recomputes the summary if it is out of date.
+func (e *entryState) updateSummary() {
+	if !e.isSummaryStale {
 		return
 	}
-	h.stale, h.floorMs, h.topMs, h.silent, h.dropped = false, 0, 0, nil, nil
-	for _, floor := range h.reports {
-		h.topMs = max(h.topMs, floor)
+	e.isSummaryStale, e.maxActiveFloorMs, e.maxFloorMs, e.missingReports, e.dropped = false, 0, 0, nil, nil
+	for _, floor := range e.reportFloors {
+		e.maxFloorMs = max(e.maxFloorMs, floor)
 	}
-	for g, dropped := range h.guards {
-		floor, reported := h.reports[g]
+	for g, dropped := range e.guards {
+		floor, reported := e.reportFloors[g]
 		if dropped != 0 {
-			h.dropped = append(h.dropped, g)
+			e.dropped = append(e.dropped, g)
 		}
 		if !reported {
-			h.silent = append(h.silent, g)
+			e.missingReports = append(e.missingReports, g)
 		} else if dropped == 0 {
-			h.floorMs = max(h.floorMs, floor)
+			e.maxActiveFloorMs = max(e.maxActiveFloorMs, floor)
 		}
 	}
 }
 
-// couldHaveUsed tells whether the home may have sent a job born at birthMs to g.
-func (h *home) couldHaveUsed(g identity.Incarnation, birthMs int64) bool {
-	dropped, known := h.guards[g]
+// mayHaveUsed reports whether the home may have sent a job born at birthMs to g.
+func (e *entryState) mayHaveUsed(g identity.Incarnation, birthMs int64) bool {
+	dropped, known := e.guards[g]
 	return known && (dropped == 0 || birthMs < dropped)
 }
 
-// falls tells whether g's report falls short of a job born at birthMs.
-func (h *home) falls(g identity.Incarnation, birthMs int64) bool {
-	floor, reported := h.reports[g]
+// isBelowFloor reports whether g has reported, but its report does not cover a job
+// born at birthMs.
+func (e *entryState) isBelowFloor(g identity.Incarnation, birthMs int64) bool {
+	floor, reported := e.reportFloors[g]
 	return reported && birthMs < floor
 }
 
-// proof is what the reports say about one job.
-type proof struct {
-	possible bool // the list of guards is complete for the job, and those that reported remember its time
-	silent   bool // a guard that could have started it has not reported
-	awaited  bool // such a guard may still report
-	started  starts
+// evidence is the information that the reports provide about one job.
+type evidence struct {
+	coversJob      bool // the list of guards is complete for the job, and the reports received cover its birth
+	missingReports bool // a guard that could have started it has not reported
+	mayStillReport bool // such a guard may still report
+	started        startsByGuard
 }
 
-// evidence collects what is known about a job. lost tells which guards need not
-// be waited for.
-func (h *home) evidence(j Job, lost func(identity.Incarnation) bool) proof {
-	h.summarise()
-	p := proof{
-		possible: h.complete && j.BirthMs >= max(h.sinceMs, h.pruned, h.floorMs),
-		started:  h.started[jobName{j.Member, j.Key}],
+// evidenceFor collects the evidence about a job. isLost reports whether a guard
+// should not be waited for.
+func (e *entryState) evidenceFor(j Job, isLost func(identity.Incarnation) bool) evidence {
+	e.updateSummary()
+	ev := evidence{
+		coversJob: e.hasAllGuards && j.BirthMs >= max(e.sinceMs, e.prunedMs, e.maxActiveFloorMs),
+		started:   e.started[jobKey{j.Member, j.Key}],
 	}
-	for _, g := range h.dropped {
-		if h.couldHaveUsed(g, j.BirthMs) && h.falls(g, j.BirthMs) {
-			p.possible = false
+	for _, g := range e.dropped {
+		if e.mayHaveUsed(g, j.BirthMs) && e.isBelowFloor(g, j.BirthMs) {
+			ev.coversJob = false
 		}
 	}
-	for _, g := range h.silent {
-		if !h.couldHaveUsed(g, j.BirthMs) {
+	for _, g := range e.missingReports {
+		if !e.mayHaveUsed(g, j.BirthMs) {
 			continue
 		}
-		p.silent = true
-		if !lost(g) {
-			p.awaited = true
+		ev.missingReports = true
+		if !isLost(g) {
+			ev.mayStillReport = true
 			break
 		}
 	}
-	return p
+	return ev
 }
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -11,37 +11,38 @@
 	"wigeontray/internal/wire"
 )
 
-// Machine is the side of an entry that outlives another: it keeps what its peers
-// announce, and recovers jobs of those that a roster declared gone.
+// Machine stores the announcements of an entry's peers and recovers the jobs of
+// peers that a roster has declared gone.
 type Machine struct {
-	self    identity.Incarnation
-	opt     Options
-	homes   map[identity.Incarnation]*home
-	guards  map[identity.Incarnation]time.Time // zero while linked, else when lost
-	jobs    map[jobName]*recovery
-	version int64 // last roster version taken
-	absent  int64 // last one that left this entry out
-	actions []Action
-
-	budget     int // questions left in the second that began at budgetFrom
-	budgetFrom time.Time
+	self              identity.Incarnation
+	opt               Options
+	entries           map[identity.Incarnation]*entryState
+	guardDownSince    map[identity.Incarnation]time.Time // zero while linked, else when its link was lost
+	recoveries        map[jobKey]*jobRecovery
+	rosterVersion     int64 // last roster version received
+	lastAbsentVersion int64 // last version that this entry was not a member of, or that followed a gap
+	actions           []Action
+
+	collectBudget     int // queries left in the second that began at budgetWindowStart
+	budgetWindowStart time.Time
 }
 
-// recovery is one job under way.
-type recovery struct {
-	job      Job
-	began    time.Time
-	deadline time.Time
-	nextPoll time.Time
-	of       int
-	results  map[int]wire.Result
-	// asked holds the guards that were asked for results: true once answered.
-	asked map[identity.Incarnation]bool
-	held  bool // a question waits for the budget
+// jobRecovery is the recovery of one job in progress.
+type jobRecovery struct {
+	job       Job
+	startedAt time.Time
+	deadline  time.Time
+	nextPoll  time.Time
+	taskCount int
+	results   map[int]wire.Result
+	// queried holds the guards that were asked for results; the value reports whether
+	// they answered.
+	queried     map[identity.Incarnation]bool
+	isThrottled bool // a query waits for the collect budget
 }
 
-// failure gives the first result of a task that ran badly, or nil.
-func (r *recovery) failure() *wire.Result {
+// firstFailure returns the result of the first failed task, or nil.
+func (r *jobRecovery) firstFailure() *wire.Result {
 	for _, task := range slices.Sorted(maps.Keys(r.results)) {
 		if res := r.results[task]; res.Kind != errkind.None {
 			return &res
@@ -53,155 +54,156 @@
 // NewMachine returns the machine of the entry self.
 func NewMachine(self identity.Incarnation, opt Options) *Machine {
 	return &Machine{
-		self:   self,
-		opt:    opt.withDefaults(),
-		homes:  make(map[identity.Incarnation]*home),
-		guards: make(map[identity.Incarnation]time.Time),
-		jobs:   make(map[jobName]*recovery),
+		self:           self,
+		opt:            opt.withDefaults(),
+		entries:        make(map[identity.Incarnation]*entryState),
+		guardDownSince: make(map[identity.Incarnation]time.Time),
+		recoveries:     make(map[jobKey]*jobRecovery),
 	}
 }
 
-// Actions returns the actions since the last call.
+// Actions returns the actions since the last call and clears them.
 func (m *Machine) Actions() []Action {
 	out := m.actions
 	m.actions = nil
 	return out
 }
 
-// Seen notes a sign of life of an entry.
-func (m *Machine) Seen(now time.Time, peer identity.Incarnation) { m.home(peer).seen = now }
+// Seen records contact with an entry.
+func (m *Machine) Seen(now time.Time, peer identity.Incarnation) { m.entryState(peer).lastSeen = now }
 
-func (m *Machine) home(inc identity.Incarnation) *home {
-	h := m.homes[inc]
-	if h == nil {
-		h = &home{guards: make(map[identity.Incarnation]int64)}
-		m.homes[inc] = h
+func (m *Machine) entryState(inc identity.Incarnation) *entryState {
+	e := m.entries[inc]
+	if e == nil {
+		e = &entryState{guards: make(map[identity.Incarnation]int64)}
+		m.entries[inc] = e
 	}
-	return h
+	return e
 }
 
-// unheard stands for a home that nothing is known of. Callers make up the names
-// in their tickets, and must not fill the memory with them.
-var unheard = new(home)
+// unknownEntry is returned for a home without stored state. Callers choose the names
+// in their tickets and must not be able to exhaust memory with invented ones.
+var unknownEntry = new(entryState)
 
-func (m *Machine) lookup(inc identity.Incarnation) *home {
-	if h := m.homes[inc]; h != nil {
-		return h
+func (m *Machine) lookupEntry(inc identity.Incarnation) *entryState {
+	if e := m.entries[inc]; e != nil {
+		return e
 	}
-	return unheard
+	return unknownEntry
 }
 
-// Witness takes a peer's announcement and acknowledges it.
+// Witness handles a peer's announcement and acknowledges it.
 func (m *Machine) Witness(now time.Time, from identity.Incarnation, w *wire.Witness) {
-	h := m.home(from)
-	h.seen = now
-	if h.witnessed(w) {
+	e := m.entryState(from)
+	e.lastSeen = now
+	if e.applyWitness(w) {
 		m.actions = append(m.actions, Action{Peer: from, Acknowledge: &wire.Witnessed{Seq: w.Seq}})
 	}
 }
 
-// Roster takes a roster version, each once and in order. gap tells that versions
-// before it were missed: this entry may have been left out in one of them.
-func (m *Machine) Roster(now time.Time, r *wire.Roster, gap bool) {
-	if r.Version <= m.version {
+// Roster handles a roster version. Versions must be passed once each and in order.
+// hasGap reports that earlier versions were missed, in which this entry may not have
+// been a member.
+func (m *Machine) Roster(now time.Time, r *wire.Roster, hasGap bool) {
+	if r.Version <= m.rosterVersion {
 		return
 	}
-	m.version = r.Version
-	if gap || !slices.ContainsFunc(r.Members, func(e wire.EntryAddr) bool { return e.Incarnation == m.self }) {
-		m.absent = r.Version
+	m.rosterVersion = r.Version
+	if hasGap || !slices.ContainsFunc(r.Members, func(e wire.EntryAddr) bool { return e.Incarnation == m.self }) {
+		m.lastAbsentVersion = r.Version
 	}
 	for _, inc := range r.Gone {
-		m.declare(now, inc)
+		m.declareGone(now, inc)
 	}
 }
 
-func (m *Machine) declare(now time.Time, gone identity.Incarnation) {
-	h := m.home(gone)
-	if !h.gone.IsZero() {
+func (m *Machine) declareGone(now time.Time, gone identity.Incarnation) {
+	e := m.entryState(gone)
+	if !e.gone.IsZero() {
 		return
 	}
-	h.declare(now, m.absent)
-	for _, g := range slices.Sorted(maps.Keys(m.guards)) {
-		if m.guards[g].IsZero() {
-			m.fence(g, gone, h)
+	e.declareGone(now, m.lastAbsentVersion)
+	for _, g := range slices.Sorted(maps.Keys(m.guardDownSince)) {
+		if m.guardDownSince[g].IsZero() {
+			m.sendFence(g, gone, e)
 		}
 	}
 }
 
-func (m *Machine) fence(g, gone identity.Incarnation, h *home) {
-	seen := h.seen
-	if seen.IsZero() {
-		seen = h.gone
+func (m *Machine) sendFence(g, gone identity.Incarnation, e *entryState) {
+	lastSeen := e.lastSeen
+	if lastSeen.IsZero() {
+		lastSeen = e.gone
 	}
-	since := seen.Add(-m.opt.Window).UnixMilli()
-	m.actions = append(m.actions, Action{Guard: g, Fence: &wire.Fence{Gone: gone, SinceMs: since}})
+	sinceMs := lastSeen.Add(-m.opt.ReportWindow).UnixMilli()
+	m.actions = append(m.actions, Action{Guard: g, Fence: &wire.Fence{Gone: gone, SinceMs: sinceMs}})
 }
 
-// GuardUp notes a guard's link. A guard that has not reported yet, or has just
-// come up, is told at once who is gone.
+// GuardUp records a guard's link. The guard is sent a Fence at once for each gone
+// entry about which it has not reported.
 func (m *Machine) GuardUp(now time.Time, g identity.Incarnation) {
-	m.guards[g] = time.Time{}
-	for _, inc := range slices.Sorted(maps.Keys(m.homes)) {
-		h := m.homes[inc]
-		if _, reported := h.reports[g]; !h.gone.IsZero() && !reported {
-			m.fence(g, inc, h)
+	m.guardDownSince[g] = time.Time{}
+	for _, inc := range slices.Sorted(maps.Keys(m.entries)) {
+		e := m.entries[inc]
+		if _, reported := e.reportFloors[g]; !e.gone.IsZero() && !reported {
+			m.sendFence(g, inc, e)
 		}
 	}
 	m.Tick(now)
 }
 
-// GuardDown notes a lost link.
+// GuardDown records a lost link.
 func (m *Machine) GuardDown(now time.Time, g identity.Incarnation) {
-	if since, known := m.guards[g]; known && since.IsZero() {
-		m.guards[g] = now
+	if downSince, known := m.guardDownSince[g]; known && downSince.IsZero() {
+		m.guardDownSince[g] = now
 	}
 	m.Tick(now)
 }
 
-// Report takes a guard's answer to a fence.
+// Report handles a guard's answer to a Fence.
 func (m *Machine) Report(now time.Time, g identity.Incarnation, r *wire.FenceReport) {
-	h := m.lookup(r.Gone)
-	h.take(g, r)
-	if h.summarise(); len(h.silent) == 0 {
+	e := m.lookupEntry(r.Gone)
+	e.addReport(g, r)
+	if e.updateSummary(); len(e.missingReports) == 0 {
 		m.Tick(now)
 		return
 	}
-	// The others wait for the next tick: looking at every job for every report
-	// would cost seconds of a processor at hundreds of guards.
+	// All other jobs wait for the next tick: examining every job for every report
+	// would take seconds of CPU time with hundreds of guards.
 	for _, s := range r.Started {
-		if job := m.jobs[jobName{s.Ref.Member, s.Ref.Key}]; job != nil {
+		if job := m.recoveries[jobKey{s.Ref.Member, s.Ref.Key}]; job != nil {
 			m.advance(now, job)
 		}
 	}
 }
 
-// Recover begins to find out about j; a Finding follows at the deadline at the
-// latest. j.Home must be the final owner.
+// Recover starts the recovery of j. A Finding follows by the deadline at the latest.
+// j.Home must be the final owner.
 func (m *Machine) Recover(now time.Time, j Job, deadline time.Time) {
-	name := jobName{j.Member, j.Key}
-	if underway := m.jobs[name]; underway != nil && underway.job == j {
+	key := jobKey{j.Member, j.Key}
+	if underway := m.recoveries[key]; underway != nil && underway.job == j {
 		return
 	}
-	if m.jobs[name] != nil || len(m.jobs) >= maxJobs {
-		m.finish(j, Later, nil)
+	if m.recoveries[key] != nil || len(m.recoveries) >= maxRecoveries {
+		m.finishJob(j, Later, nil)
 		return
 	}
-	r := &recovery{
-		job: j, began: now, deadline: deadline,
-		results: make(map[int]wire.Result), asked: make(map[identity.Incarnation]bool),
+	r := &jobRecovery{
+		job: j, startedAt: now, deadline: deadline,
+		results: make(map[int]wire.Result), queried: make(map[identity.Incarnation]bool),
 	}
-	m.jobs[name] = r
+	m.recoveries[key] = r
 	m.advance(now, r)
 }
 
-// Collected takes the results that a guard holds of a job.
+// Collected handles the results that a guard holds of a job.
 func (m *Machine) Collected(now time.Time, g identity.Incarnation, c *wire.Collected) {
-	r := m.jobs[jobName{c.Member, c.Key}]
+	r := m.recoveries[jobKey{c.Member, c.Key}]
 	if r == nil {
 		return
 	}
-	r.asked[g] = true
-	r.of = max(r.of, c.Of)
+	r.queried[g] = true
+	r.taskCount = max(r.taskCount, c.Of)
 	for _, res := range c.Results {
 		if res.Ran != errkind.RanNo {
 			r.results[res.Ref.Task] = res
@@ -210,207 +212,211 @@
 	m.advance(now, r)
 }
 
-// Tick does what is due.
+// Tick advances all recoveries and removes expired state.
 func (m *Machine) Tick(now time.Time) {
-	for _, r := range m.sortedJobs() {
+	for _, r := range m.sortedRecoveries() {
 		m.advance(now, r)
 	}
-	for inc, h := range m.homes {
-		if m.expired(now, h) {
-			delete(m.homes, inc)
-		} else if h.gone.IsZero() {
-			h.prune(now.Add(-m.opt.Retention).UnixMilli())
+	for inc, e := range m.entries {
+		if m.isExpired(now, e) {
+			delete(m.entries, inc)
+		} else if e.gone.IsZero() {
+			e.pruneDropped(now.Add(-m.opt.Retention).UnixMilli())
 		}
 	}
-	for g, lost := range m.guards {
-		if !lost.IsZero() && now.Sub(lost) > m.opt.Retention {
-			delete(m.guards, g)
+	for g, downSince := range m.guardDownSince {
+		if !downSince.IsZero() && now.Sub(downSince) > m.opt.Retention {
+			delete(m.guardDownSince, g)
 		}
 	}
 }
 
-// expired tells whether nothing of h can matter any more. A home that is not
-// declared gone may still be alive and count on its witnesses.
-func (m *Machine) expired(now time.Time, h *home) bool {
-	return !h.gone.IsZero() && now.Sub(h.gone) > m.opt.Retention
+// isExpired reports whether e is no longer needed. An entry that was not declared
+// gone may still be running and rely on its witnesses.
+func (m *Machine) isExpired(now time.Time, e *entryState) bool {
+	return !e.gone.IsZero() && now.Sub(e.gone) > m.opt.Retention
 }
 
-func (m *Machine) sortedJobs() []*recovery {
-	return slices.SortedFunc(maps.Values(m.jobs), func(a, b *recovery) int {
+func (m *Machine) sortedRecoveries() []*jobRecovery {
+	return slices.SortedFunc(maps.Values(m.recoveries), func(a, b *jobRecovery) int {
 		return cmp.Or(cmp.Compare(a.job.Member, b.job.Member), cmp.Compare(a.job.Key, b.job.Key))
 	})
 }
 
-// advance asks what is still to be asked about a job and ends it when there is a
+// advance sends the queries that are due for a job and finishes it when there is a
 // verdict.
-func (m *Machine) advance(now time.Time, r *recovery) {
-	h := m.lookup(r.job.Home)
-	p := h.evidence(r.job, func(g identity.Incarnation) bool { return m.isLost(now, g) })
-	for _, starts := range p.started {
+func (m *Machine) advance(now time.Time, r *jobRecovery) {
+	e := m.lookupEntry(r.job.Home)
+	ev := e.evidenceFor(r.job, func(g identity.Incarnation) bool { return m.isGuardLost(now, g) })
+	for _, starts := range ev.started {
 		for _, s := range starts {
-			r.of = max(r.of, s.Of)
+			r.taskCount = max(r.taskCount, s.Of)
 		}
 	}
-	m.collect(now, r, p)
-	if v := m.verdict(now, r, h, p); v != Wait {
-		delete(m.jobs, jobName{r.job.Member, r.job.Key})
-		m.finish(r.job, v, r)
+	m.sendCollects(now, r, ev)
+	if v := m.verdict(now, r, e, ev); v != Pending {
+		delete(m.recoveries, jobKey{r.job.Member, r.job.Key})
+		m.finishJob(r.job, v, r)
 	}
 }
 
-func (m *Machine) verdict(now time.Time, r *recovery, h *home, p proof) Verdict {
+func (m *Machine) verdict(now time.Time, r *jobRecovery, e *entryState, ev evidence) Verdict {
 	switch {
-	case r.of > 0 && len(r.results) == r.of:
-		if r.failure() != nil {
+	case r.taskCount > 0 && len(r.results) == r.taskCount:
+		if r.firstFailure() != nil {
 			return Failed
 		}
 		return Whole
-	case h.gone.IsZero():
-		return m.undeclared(now, r)
-	case p.possible && !p.silent:
-		return m.proved(now, r, p)
-	case m.canStillChange(now, r, p) && now.Before(r.deadline):
-		return Wait
-	case m.canStillChange(now, r, p):
+	case e.gone.IsZero():
+		return m.verdictBeforeDeclaration(now, r)
+	case ev.coversJob && !ev.missingReports:
+		return m.verdictFromReports(now, r, ev)
+	case m.canStillChange(now, r, ev) && now.Before(r.deadline):
+		return Pending
+	case m.canStillChange(now, r, ev):
 		return Later
 	default:
 		return Unknown
 	}
 }
 
-// undeclared judges a job whose home has not been declared gone: guards may hold
-// the whole answer, and nothing else can be said yet.
-func (m *Machine) undeclared(now time.Time, r *recovery) Verdict {
-	if now.Before(r.deadline) && now.Sub(r.began) < m.opt.Grace {
-		return Wait
+// verdictBeforeDeclaration returns the verdict on a job whose home has not been
+// declared gone. Guards may still return the complete result; nothing else can be
+// decided yet.
+func (m *Machine) verdictBeforeDeclaration(now time.Time, r *jobRecovery) Verdict {
+	if now.Before(r.deadline) && now.Sub(r.startedAt) < m.opt.GracePeriod {
+		return Pending
 	}
 	return Later
 }
 
-// proved judges a job about which every guard has spoken.
-func (m *Machine) proved(now time.Time, r *recovery, p proof) Verdict {
-	if len(p.started) == 0 {
+// verdictFromReports returns the verdict on a job when all guards have reported.
+func (m *Machine) verdictFromReports(now time.Time, r *jobRecovery, ev evidence) Verdict {
+	if len(ev.started) == 0 {
 		return NotRun
 	}
-	missing, lost := m.missing(now, r, p)
+	missingResults, lostResults := m.missingResults(now, r, ev)
 	switch {
-	case missing == 0:
+	case missingResults == 0:
 		return Failed
-	case lost == missing:
+	case lostResults == missingResults:
 		return Unknown
 	case now.Before(r.deadline):
-		return Wait
+		return Pending
 	default:
 		return Later
 	}
 }
 
-// missing counts the tasks that started and have no result yet, and those among
-// them whose guard is lost.
-func (m *Machine) missing(now time.Time, r *recovery, p proof) (missing, lost int) {
-	for g, starts := range p.started {
+// missingResults counts the started tasks without a result, and those of them whose
+// guard is lost.
+func (m *Machine) missingResults(now time.Time, r *jobRecovery, ev evidence) (missingResults, lostResults int) {
+	for g, starts := range ev.started {
 		for _, s := range starts {
-			if _, have := r.results[s.Ref.Task]; have {
+			if _, hasResult := r.results[s.Ref.Task]; hasResult {
 				continue
 			}
-			missing++
-			if m.isLost(now, g) {
-				lost++
+			missingResults++
+			if m.isGuardLost(now, g) {
+				lostResults++
 			}
 		}
 	}
-	return missing, lost
+	return missingResults, lostResults
 }
 
-// canStillChange tells whether waiting can bring more: a guard that has not
-// reported or not answered is linked or may come back, or a started task is
-// being worked on.
-func (m *Machine) canStillChange(now time.Time, r *recovery, p proof) bool {
-	if p.awaited {
+// canStillChange reports whether waiting can provide more information: a guard that
+// has not reported or answered is linked or may reconnect, or a started task is
+// still running.
+func (m *Machine) canStillChange(now time.Time, r *jobRecovery, ev evidence) bool {
+	if ev.mayStillReport {
 		return true
 	}
-	for g, answered := range r.asked {
-		if !answered && !m.isLost(now, g) && m.lookup(r.job.Home).falls(g, r.job.BirthMs) {
+	for g, answered := range r.queried {
+		if !answered && !m.isGuardLost(now, g) && m.lookupEntry(r.job.Home).isBelowFloor(g, r.job.BirthMs) {
 			return true
 		}
 	}
-	missing, lost := m.missing(now, r, p)
-	return r.held || missing > lost
+	missingResults, lostResults := m.missingResults(now, r, ev)
+	return r.isThrottled || missingResults > lostResults
 }
 
-// isLost tells whether g has been away for longer than the grace time, or was
-// never linked to this entry.
-func (m *Machine) isLost(now time.Time, g identity.Incarnation) bool {
-	since, known := m.guards[g]
-	return !known || !since.IsZero() && now.Sub(since) >= m.opt.Grace
+// isGuardLost reports whether g has been disconnected for at least the grace period,
+// or was never linked to this entry.
+func (m *Machine) isGuardLost(now time.Time, g identity.Incarnation) bool {
+	downSince, known := m.guardDownSince[g]
+	return !known || !downSince.IsZero() && now.Sub(downSince) >= m.opt.GracePeriod
 }
 
-// collect asks guards for results: those that reported a start again and again
-// until the task is done, and any other one that may hold something once.
-func (m *Machine) collect(now time.Time, r *recovery, p proof) {
-	poll := !now.Before(r.nextPoll)
-	if poll {
-		r.nextPoll = now.Add(m.opt.Poll)
-	}
-	r.held = false
-	for _, g := range m.candidates(r, p) {
-		_, started := p.started[g]
-		if started && poll || m.worthAsking(g, r) && m.spend(now, r) {
-			r.asked[g] = r.asked[g] || started
+// sendCollects queries guards for results. It repeats the query to guards that
+// reported a start until the task is done, and sends a single query to any other
+// guard that may hold results.
+func (m *Machine) sendCollects(now time.Time, r *jobRecovery, ev evidence) {
+	isPollDue := !now.Before(r.nextPoll)
+	if isPollDue {
+		r.nextPoll = now.Add(m.opt.PollInterval)
+	}
+	r.isThrottled = false
+	for _, g := range m.collectCandidates(r, ev) {
+		_, started := ev.started[g]
+		if started && isPollDue || m.shouldQuery(g, r) && m.takeCollectBudget(now, r) {
+			r.queried[g] = r.queried[g] || started
 			m.actions = append(m.actions, Action{Guard: g, Collect: &wire.Collect{Member: r.job.Member, Key: r.job.Key}})
 		}
 	}
 }
 
-// candidates lists the linked guards that may hold results of a job, sorted:
-// those that reported a start, when the reports say enough about its time.
-func (m *Machine) candidates(r *recovery, p proof) (out []identity.Incarnation) {
-	h := m.lookup(r.job.Home)
-	if !h.gone.IsZero() && r.job.BirthMs >= h.topMs {
-		out = slices.Sorted(maps.Keys(p.started))
+// collectCandidates returns the linked guards that may hold results of a job,
+// sorted. If the reports cover the job's birth, these are the guards that reported a
+// start.
+func (m *Machine) collectCandidates(r *jobRecovery, ev evidence) (out []identity.Incarnation) {
+	e := m.lookupEntry(r.job.Home)
+	if !e.gone.IsZero() && r.job.BirthMs >= e.maxFloorMs {
+		out = slices.Sorted(maps.Keys(ev.started))
 	} else {
-		out = slices.Sorted(maps.Keys(m.guards))
+		out = slices.Sorted(maps.Keys(m.guardDownSince))
 	}
 	return slices.DeleteFunc(out, func(g identity.Incarnation) bool {
-		lost, known := m.guards[g]
-		return !known || !lost.IsZero()
+		downSince, known := m.guardDownSince[g]
+		return !known || !downSince.IsZero()
 	})
 }
 
-// worthAsking tells whether g may hold results of a job without having reported
-// its start: the home is not declared gone yet, or the report does not reach
-// back to the birth.
-func (m *Machine) worthAsking(g identity.Incarnation, r *recovery) bool {
-	if _, asked := r.asked[g]; asked {
+// shouldQuery reports whether g should be queried although it has not reported a
+// start: it has not been queried yet, and the home is not declared gone or the
+// report does not cover the job's birth.
+func (m *Machine) shouldQuery(g identity.Incarnation, r *jobRecovery) bool {
+	if _, queried := r.queried[g]; queried {
 		return false
 	}
-	h := m.lookup(r.job.Home)
-	return h.gone.IsZero() || h.falls(g, r.job.BirthMs)
+	e := m.lookupEntry(r.job.Home)
+	return e.gone.IsZero() || e.isBelowFloor(g, r.job.BirthMs)
 }
 
-// spend takes one question from this second's budget. Without it, the callers of
-// a dead entry who ask again would have every guard asked about every job.
-func (m *Machine) spend(now time.Time, r *recovery) bool {
-	if now.Sub(m.budgetFrom) >= time.Second {
-		m.budgetFrom, m.budget = now, collectsPerSecond
+// takeCollectBudget takes one query from the budget of the current second. Without
+// this limit, resubmissions by the callers of a crashed entry would query every
+// guard about every job.
+func (m *Machine) takeCollectBudget(now time.Time, r *jobRecovery) bool {
+	if now.Sub(m.budgetWindowStart) >= time.Second {
+		m.budgetWindowStart, m.collectBudget = now, maxCollectsPerSecond
 	}
-	if m.budget == 0 {
-		r.held = true
+	if m.collectBudget == 0 {
+		r.isThrottled = true
 		return false
 	}
-	m.budget--
+	m.collectBudget--
 	return true
 }
 
-func (m *Machine) finish(j Job, v Verdict, r *recovery) {
+func (m *Machine) finishJob(j Job, v Verdict, r *jobRecovery) {
 	f := &Finding{Job: j, Verdict: v}
 	switch v {
 	case Whole:
-		for task := range r.of {
+		for task := range r.taskCount {
 			f.Results = append(f.Results, r.results[task])
 		}
 	case Failed:
-		f.Failure = r.failure()
+		f.Failure = r.firstFailure()
 	}
 	m.actions = append(m.actions, Action{Finding: f})
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,17 +1,18 @@
-// Package recovery finds out what became of the jobs of an entry that is gone.
-// Nothing is ever started again here: the answer is the whole result if guards
-// hold it, "not run" if that is proved, and else that the outcome is unknown.
+// Package recovery determines the outcome of jobs whose entry is gone. It never
+// starts a task again: the answer is the complete result if guards hold it, "not
+// run" if that is proved, and otherwise that the outcome is unknown.
 //
-// The proof of "not run" needs every guard that could have started the job. An
-// entry therefore announces each guard to its peers before it uses it
-// (Announcer), and a peer becomes its witness for identities born from a number
-// on that the entry itself names. Once a roster has declared the entry gone, a
-// witness acknowledges no more guards, so that its list is complete for good. It
-// has the entry fenced at each guard on the list, and when all of them have
-// reported and none started the job, nobody ever will (Machine).
+// The proof of "not run" requires every guard that could have started the job. Each
+// entry therefore announces each guard to its peers before it uses it (Announcer). A
+// peer becomes its witness for identities born at or after a time that the entry
+// itself specifies. Once a roster has declared the entry gone, a witness
+// acknowledges no more guards, so its list of guards is final. It sends a Fence for
+// the entry to each guard on the list. When all of them have reported and none
+// started the job, the job can never be started (Machine).
 //
-// Both are state machines under an explicit clock: no goroutine, socket or lock.
-// Package peers drives them. docs/start-at-most-once.md has the argument.
+// Both are deterministic state machines with an explicit clock; they have no
+// goroutines, sockets or locks. Package peers drives them.
+// docs/start-at-most-once.md contains the proof.
 //
 // The package may import errkind, identity and wire.
 package recovery
@@ -24,29 +25,31 @@
 	"wigeontray/internal/wire"
 )
 
-// Default timing. See Options.
+// Default values of Options, and limits.
 const (
-	DefaultWindow    = 30 * time.Second
-	DefaultGrace     = 2 * time.Second
-	DefaultPoll      = 250 * time.Millisecond
-	DefaultRetention = time.Hour
-	maxStarted       = 50_000 // reported starts kept for one gone entry
-	maxJobs          = 10_000 // recoveries under way
-	// collectsPerSecond bounds questions to guards that have not reported a start.
-	collectsPerSecond = 1_000
+	DefaultReportWindow = 30 * time.Second
+	DefaultGracePeriod  = 2 * time.Second
+	DefaultPollInterval = 250 * time.Millisecond
+	DefaultRetention    = time.Hour
+	maxReportedStarts   = 50_000 // reported starts stored for one gone entry
+	maxRecoveries       = 10_000 // recoveries in progress
+	// maxCollectsPerSecond limits the queries to guards that have not reported a
+	// start.
+	maxCollectsPerSecond = 1_000
 )
 
-// Options are the timing of a machine; zero fields take the defaults.
+// Options configures the timing of a Machine. Zero fields take their defaults.
 type Options struct {
-	// Window is how far before an entry's last sign of life reports reach. Only
-	// jobs born within it can be proved not run.
-	Window time.Duration
-	// Grace is how long a recovery waits for a guard whose link is down, and for
-	// an entry to be declared gone.
-	Grace time.Duration
-	// Poll is the pause between two questions for results still being worked on.
-	Poll time.Duration
-	// Retention is how long what is known of a gone entry is kept.
+	// ReportWindow is how far before the last contact with an entry the fence reports
+	// reach back. Only jobs born within it can be proved not run.
+	ReportWindow time.Duration
+	// GracePeriod is how long a recovery waits for a guard whose link is down, and
+	// for an entry to be declared gone.
+	GracePeriod time.Duration
+	// PollInterval is the time between two queries for results of tasks that are
+	// still running.
+	PollInterval time.Duration
+	// Retention is how long the state of a gone entry is kept.
 	Retention time.Duration
 }
 
@@ -55,8 +58,8 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&o.Window, DefaultWindow}, {&o.Grace, DefaultGrace},
-		{&o.Poll, DefaultPoll}, {&o.Retention, DefaultRetention},
+		{&o.ReportWindow, DefaultReportWindow}, {&o.GracePeriod, DefaultGracePeriod},
+		{&o.PollInterval, DefaultPollInterval}, {&o.Retention, DefaultRetention},
 	} {
 		if *d.field <= 0 {
 			*d.field = d.value
@@ -65,41 +68,41 @@
 	return o
 }
 
-// Verdict is what a recovery found out.
+// Verdict is the outcome of a recovery.
 type Verdict uint8
 
-// Verdicts.
+// Values of Verdict.
 const (
-	// Wait: no verdict yet.
-	Wait Verdict = iota
-	// Whole: guards hold the results of all tasks, and all ran well.
+	// Pending: no verdict yet.
+	Pending Verdict = iota
+	// Whole: guards hold the results of all tasks, and all tasks succeeded.
 	Whole
 	// NotRun: no task of the job ever ran or ever will.
 	NotRun
-	// Failed: some tasks ran and the others failed or never will run.
+	// Failed: some tasks ran, and the others failed or will never run.
 	Failed
-	// Unknown: it cannot be known, now or later.
+	// Unknown: the outcome cannot be determined, now or later.
 	Unknown
-	// Later: it cannot be told yet; asking again can help.
+	// Later: the outcome cannot be determined yet; a later attempt may succeed.
 	Later
 )
 
-// String gives the word used in counters.
+// String returns the verdict's name in metrics.
 func (v Verdict) String() string {
 	return [...]string{"wait", "whole", "not_run", "failed", "unknown", "later"}[v]
 }
 
-// Job names a job whose owner is gone.
+// Job identifies a job whose owner is gone.
 type Job struct {
 	Member  string
 	Key     string
-	BirthMs int64
+	BirthMs int64 // creation time in the UUIDv7 key, in Unix milliseconds
 	Home    identity.Incarnation
 }
 
-// Finding is the end of a recovery. Results has one result a task, in order,
-// when the verdict is Whole, and is nil otherwise. Failure is the result of a
-// task that ran badly, if that is why the verdict is Failed.
+// Finding is the result of a recovery. Results holds one result per task, in order,
+// if the verdict is Whole, and is nil otherwise. Failure is the result of a failed
+// task, if that is the reason for the verdict Failed.
 type Finding struct {
 	Job     Job
 	Verdict Verdict
@@ -107,7 +110,7 @@
 	Failure *wire.Result
 }
 
-// Err gives the answer to the caller; nil for Whole.
+// Err returns the error for the caller, or nil for Whole.
 func (f Finding) Err() *errkind.Error {
 	switch f.Verdict {
 	case Whole:
@@ -122,22 +125,22 @@
 			WithRan(errkind.RanYes)
 	case Later:
 		return errkind.New(errkind.HomeUnreachable, "%s does not answer and is not declared gone yet", f.Job.Home).
-			WithAfter(retryAfter)
+			WithAfter(retryDelay)
 	default:
 		return errkind.New(errkind.OutcomeUnknown, "%s is gone, and not every guard that it may have used has reported", f.Job.Home)
 	}
 }
 
-// retryAfter is when a caller whose recovery had no verdict yet should come back.
-const retryAfter = time.Second
+// retryDelay is when a caller should retry if its recovery has no verdict yet.
+const retryDelay = time.Second
 
-// Action is one thing that the owner of a Machine must do. Exactly one of Fence,
-// Collect, Acknowledge and Finding is set.
+// Action is one operation for the owner of a Machine to execute. Exactly one of
+// Fence, Collect, Acknowledge and Finding is set.
 type Action struct {
-	Guard       identity.Incarnation // receiver of Fence and Collect
+	Guard       identity.Incarnation // recipient of Fence and Collect
 	Fence       *wire.Fence
 	Collect     *wire.Collect
-	Peer        identity.Incarnation // receiver of Acknowledge
+	Peer        identity.Incarnation // recipient of Acknowledge
 	Acknowledge *wire.Witnessed
 	Finding     *Finding
 }
