--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -30,8 +30,8 @@
 	DefaultMaxQueueBytes = 4 << 20               // total size of their bodies
 	DefaultOfferTimeout  = 25 * time.Millisecond // ten round trips between failure domains
 	DefaultRetention     = 10 * time.Minute
-	DefaultMaxSettled    = 16_000  // settled Refs: 100 s of starts at 160 per second; see MaxRecordBytes
-	DefaultMaxHeldBytes  = 2 << 20 // total size of held results
+	DefaultRemembered    = 16_000  // settled Refs: 100 s of starts at 160 per second; see MaxRecordBytes
+	DefaultHeldBytes     = 2 << 20 // total size of held results
 	DefaultMaxFences     = 4096    // fenced incarnations over the guard's lifetime
 )
 
@@ -73,8 +73,8 @@
 	setDefault(&o.MaxQueueBytes, DefaultMaxQueueBytes)
 	setDefault(&o.OfferTimeout, DefaultOfferTimeout)
 	setDefault(&o.Retention, DefaultRetention)
-	setDefault(&o.Remembered, DefaultMaxSettled)
-	setDefault(&o.HeldBytes, DefaultMaxHeldBytes)
+	setDefault(&o.Remembered, DefaultRemembered)
+	setDefault(&o.HeldBytes, DefaultHeldBytes)
 	o.HeldBytes = min(o.HeldBytes, heldBytesLimit)
 	setDefault(&o.MaxFences, DefaultMaxFences)
 	return o
--- a/internal/ledger/memory.go
+++ b/internal/ledger/memory.go
@@ -12,7 +12,7 @@
 
 // MaxRecordBytes is an upper bound on the memory of one Ref's record, without its
 // held result, for a ticket of the usual length (46 to 61 bytes).
-// TestRecordSizeIsBounded measures it. At this bound, DefaultMaxSettled records take
+// TestRecordSizeIsBounded measures it. At this bound, DefaultRemembered records take
 // at most 6 MB.
 const MaxRecordBytes = 350
 
