--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -98,8 +98,8 @@
 }
 
 // The link to an entry breaks while its task runs. The entry links again and resends
-// the Start, because it cannot determine whether the first one arrived. A second start
-// would duplicate the work; without an answer the caller would keep waiting.
+// the Start, because it cannot determine whether the first one arrived. A second
+// start would duplicate the work; without an answer the caller would keep waiting.
 func TestResentStartRunsOnce(t *testing.T) {
 	h := newHarness(t, Options{})
 	s := h.startNew(entryA, 0)
--- a/internal/ledger/start.go
+++ b/internal/ledger/start.go
@@ -44,8 +44,8 @@
 
 // validateStart makes the checks whose refusals need no record. It claims RanNo only
 // if every later Start of the Ref is refused too. A task refused for its birth or
-// its sender may have run before, or its home may still send it, so the refusal claims
-// RanUnknown.
+// its sender may have run before, or its home may still send it, so the refusal
+// claims RanUnknown.
 func (l *Ledger) validateStart(now time.Time, from identity.Incarnation, s *wire.Start) (int64, *wire.Result) {
 	if l.opt.Member != "" && s.Ref.Member != l.opt.Member {
 		return 0, newRefusal(s.Ref, errkind.Forbidden, errkind.RanNo, "the upstream belongs to another member")
--- a/internal/recovery/home.go
+++ b/internal/recovery/home.go
@@ -21,8 +21,8 @@
 
 	gone         time.Time // when it was declared gone; zero if it was not
 	hasAllGuards bool      // the list holds every guard used since sinceMs
-	// reportFloors are the floors of the guards' fence reports: a report does
-	// not cover births below its floor. The reports are final, since the guard starts
+	// reportFloors are the floors of the guards' fence reports: a report does not
+	// cover births below its floor. The reports are final, since the guard starts
 	// nothing more for this home.
 	reportFloors map[identity.Incarnation]int64
 	started      map[jobKey]startsByGuard
--- a/internal/recovery/machine_test.go
+++ b/internal/recovery/machine_test.go
@@ -156,7 +156,7 @@
 	f.c.Assert(f.verdictAfter(DefaultGracePeriod), qt.Equals, Unknown)
 }
 
-// A guard linked only to the entry that is now gone, and never to this one. The
+// A guard was linked only to the entry that is now gone, and never to this one. The
 // announcement names it, so without its report there is no proof.
 func TestGuardLinkedOnlyToGoneEntry(t *testing.T) {
 	f := newFixture(t)
