--- a/internal/batchnode/clock.go
+++ b/internal/batchnode/clock.go
@@ -1,6 +1,7 @@
-// Package batchnode puts the machines of batch and runs to work: links between
-// entries and guards, timers, and calls to the worker. What speaks to callers,
-// workers and the platform's store comes from outside, behind interfaces.
+// Package batchnode runs the state machines of packages batch (entries) and runs
+// (guards): it feeds them frames, timers and worker responses, and executes the actions
+// that they return. The clients for callers, workers and the platform's store are
+// injected through interfaces and functions.
 //
 // The package may import batch, errkind, identity, pause, policy, runs, store, telemetry
 // and wire.
@@ -13,62 +14,62 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock gives the time since some moment in the past. It never runs backwards
-// and counts the time in which the machine was suspended.
+// Clock returns the time since an arbitrary fixed point in the past. It is monotonic and
+// includes time during which the VM was suspended.
 type Clock func() time.Duration
 
-// BootTime is the Clock of this VM. The runtime's own clock stands still
-// while a VM is suspended: a process that was frozen for seconds would take
-// what it believed before for fresh, and work on for callers who have long sent
-// their jobs elsewhere.
+// BootTime is the Clock of this VM; it reads CLOCK_BOOTTIME. The monotonic clock of the Go
+// runtime stops while a VM is suspended: a process that was frozen for seconds would treat
+// its old state as current and continue to work for callers that have already sent their
+// jobs to another entry.
 func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // every Linux since 2.6.39 has it
+		panic(err) // available since Linux 2.6.39
 	}
 	return time.Duration(t.Nano())
 }
 
-// alarm calls a function at the time for which it was last set.
-type alarm struct {
-	mu    sync.Mutex
-	clock Clock
-	timer *time.Timer
-	due   time.Duration // 0 if it is not set
-	ring  func()
+// deadlineTimer calls onExpire at the deadline that was set last.
+type deadlineTimer struct {
+	mu       sync.Mutex
+	clock    Clock
+	timer    *time.Timer
+	deadline time.Duration // on clock; 0 if the timer is stopped
+	onExpire func()
 }
 
-// shortest is the shortest time for which an alarm is set. Deadlines that lie
-// close together share one wake-up of the processor.
-const shortest = time.Millisecond
+// minTimerDelay is the shortest delay of a deadlineTimer, so that deadlines close to each
+// other share one wake-up of the CPU.
+const minTimerDelay = time.Millisecond
 
-func newAlarm(clock Clock, ring func()) *alarm {
-	a := &alarm{clock: clock, ring: ring}
-	a.timer = time.AfterFunc(time.Hour, a.fire)
-	a.timer.Stop()
-	return a
+func newDeadlineTimer(clock Clock, onExpire func()) *deadlineTimer {
+	t := &deadlineTimer{clock: clock, onExpire: onExpire}
+	t.timer = time.AfterFunc(time.Hour, t.fire)
+	t.timer.Stop()
+	return t
 }
 
-// set moves the alarm; due 0 switches it off.
-func (a *alarm) set(due time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if due == a.due {
+// set replaces the deadline; 0 stops the timer.
+func (t *deadlineTimer) set(deadline time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if deadline == t.deadline {
 		return
 	}
-	a.due = due
-	if due == 0 {
-		a.timer.Stop()
+	t.deadline = deadline
+	if deadline == 0 {
+		t.timer.Stop()
 		return
 	}
-	a.timer.Reset(max(shortest, due-a.clock()))
+	t.timer.Reset(max(minTimerDelay, deadline-t.clock()))
 }
 
-func (a *alarm) fire() {
-	a.mu.Lock()
-	a.due = 0
-	a.mu.Unlock()
-	a.ring()
+func (t *deadlineTimer) fire() {
+	t.mu.Lock()
+	t.deadline = 0
+	t.mu.Unlock()
+	t.onExpire()
 }
 
-func (a *alarm) stop() { a.set(0) }
+func (t *deadlineTimer) stop() { t.set(0) }
--- a/internal/batchnode/config_test.go
+++ b/internal/batchnode/config_test.go
@@ -14,65 +14,65 @@
 	"wigeontray/internal/wire"
 )
 
-// counted counts the documents that pass a link.
-type counted struct {
+// countingLink counts the documents that pass a link.
+type countingLink struct {
 	wire.Link
-	documents *documents
-	address   string
+	documentCounter *documentCounter
+	address         string
 }
 
-// documents counts documents by the entry that sent or got them.
-type documents struct {
-	mu      sync.Mutex
-	from    map[string]int
-	to      map[string]int
-	bytes   map[string]int // of documents that an entry sent
-	largest int            // bytes of one in a frame
+// documentCounter counts documents by the entry that sent or got them.
+type documentCounter struct {
+	mu             sync.Mutex
+	sentCounts     map[string]int
+	receivedCounts map[string]int
+	sentBytes      map[string]int // of documents that an entry sent
+	largestBytes   int            // bytes of one in a frame
 }
 
-func (c *counted) Send(f *wire.Frame) error {
-	c.documents.count(c.documents.to, c.address, f)
+func (c *countingLink) Send(f *wire.Frame) error {
+	c.documentCounter.count(c.documentCounter.receivedCounts, c.address, f)
 	return c.Link.Send(f)
 }
 
-func (c *counted) Recv(ctx context.Context) (*wire.Frame, error) {
+func (c *countingLink) Recv(ctx context.Context) (*wire.Frame, error) {
 	f, err := c.Link.Recv(ctx)
 	if err == nil {
-		c.documents.count(c.documents.from, c.address, f)
-		c.documents.weigh(c.address, f)
+		c.documentCounter.count(c.documentCounter.sentCounts, c.address, f)
+		c.documentCounter.addBytes(c.address, f)
 	}
 	return f, err
 }
 
-func (d *documents) count(by map[string]int, address string, f *wire.Frame) {
+func (d *documentCounter) count(counts map[string]int, address string, f *wire.Frame) {
 	if f.Desired != nil && len(f.Desired.Document) > 0 && f.Desired.Offset == 0 {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		by[address]++
+		counts[address]++
 	}
 }
 
-func (d *documents) weigh(address string, f *wire.Frame) {
+func (d *documentCounter) addBytes(address string, f *wire.Frame) {
 	if f.Desired != nil {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.bytes[address] += len(f.Desired.Document)
-		d.largest = max(d.largest, len(f.Desired.Document))
+		d.sentBytes[address] += len(f.Desired.Document)
+		d.largestBytes = max(d.largestBytes, len(f.Desired.Document))
 	}
 }
 
 // sent gives how many bytes of documents an entry has sent.
-func (d *documents) sent(address string) int {
+func (d *documentCounter) sent(address string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.bytes[address]
+	return d.sentBytes[address]
 }
 
-// of gives how many an entry has sent and got.
-func (d *documents) of(address string) (sent, got int) {
+// documents gives how many an entry has sent and got.
+func (d *documentCounter) documents(address string) (sent, got int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.from[address], d.to[address]
+	return d.sentCounts[address], d.receivedCounts[address]
 }
 
 const (
@@ -81,11 +81,13 @@
 	largeConfig   = 400 << 10 // bytes
 )
 
-// configFleet is entries, one of which the store turns away, and ten times as many guards.
-func configFleet(t *testing.T) (*fleet, *documents, []string) {
+// newConfigFleet is entries, one of which the store turns away, and ten times as many guards.
+func newConfigFleet(t *testing.T) (*fleet, *documentCounter, []string) {
 	f := newFleet(t)
-	d := &documents{from: make(map[string]int), to: make(map[string]int), bytes: make(map[string]int)}
-	f.wrap = func(l wire.Link, address string) wire.Link { return &counted{Link: l, documents: d, address: address} }
+	d := &documentCounter{sentCounts: make(map[string]int), receivedCounts: make(map[string]int), sentBytes: make(map[string]int)}
+	f.wrapLink = func(l wire.Link, address string) wire.Link {
+		return &countingLink{Link: l, documentCounter: d, address: address}
+	}
 	var addresses []string
 	for i := range configEntries {
 		addresses = append(addresses, fmt.Sprint("e", i))
@@ -99,18 +101,18 @@
 }
 
 // Guards against all guards fetching the configuration from the first entry that has it.
-func TestGuardsAskDifferentEntriesForTheConfiguration(t *testing.T) {
+func TestGuardsFetchConfigFromDifferentEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, d, addresses := configFleet(t)
+		f, d, addresses := newConfigFleet(t)
 		defer f.stop()
 		for _, a := range addresses {
-			f.Assert(f.entries[a].Offer(5, []byte("five")), qt.IsNil)
+			f.Assert(f.entries[a].OfferConfig(5, []byte("five")), qt.IsNil)
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		sum := 0
 		for _, a := range addresses {
-			sent, got := d.of(a)
+			sent, got := d.documents(a)
 			sum += sent
 			f.Check(sent <= 3*configGuards/configEntries, qt.IsTrue, qt.Commentf("%s sent %d", a, sent))
 			f.Check(got, qt.Equals, 0, qt.Commentf("%s", a))
@@ -120,28 +122,28 @@
 }
 
 // Guards against each guard sending its copy to an entry that the store turns away.
-func TestEntryThatTheStoreTurnsAwayGetsTheConfigurationOnce(t *testing.T) {
+func TestEntryWithoutStoreReceivesConfigOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, d, addresses := configFleet(t)
+		f, d, addresses := newConfigFleet(t)
 		defer f.stop()
-		away := addresses[0]
+		cutOff := addresses[0]
 		for _, a := range addresses[1:] {
-			f.Assert(f.entries[a].Offer(5, []byte("five")), qt.IsNil)
+			f.Assert(f.entries[a].OfferConfig(5, []byte("five")), qt.IsNil)
 		}
 		time.Sleep(time.Second)
-		f.Check(f.inForce(away), qt.Equals, int64(5))
-		_, got := d.of(away)
+		f.Check(f.configVersion(cutOff), qt.Equals, int64(5))
+		_, got := d.documents(cutOff)
 		f.Check(got, qt.Equals, 1)
 	})
 }
 
 // Guards against requests refused while copies of a large configuration fill the link.
-func TestCopiesOfALargeConfigurationLeaveTheLinkToRequests(t *testing.T) {
+func TestLargeConfigCopiesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, d, addresses := configFleet(t)
+		f, d, addresses := newConfigFleet(t)
 		defer f.stop()
 		for _, a := range addresses {
-			f.Assert(f.entries[a].Offer(5, make([]byte, largeConfig)), qt.IsNil)
+			f.Assert(f.entries[a].OfferConfig(5, make([]byte, largeConfig)), qt.IsNil)
 		}
 		time.Sleep(time.Second)
 		for _, a := range addresses {
@@ -150,51 +152,51 @@
 		time.Sleep(time.Minute)
 		sum, bytes := 0, 0
 		for _, a := range addresses {
-			sent, _ := d.of(a)
+			sent, _ := d.documents(a)
 			sum += sent
 			bytes += d.sent(a)
 		}
 		f.Check(sum, qt.Equals, configGuards)
 		f.Check(bytes, qt.Equals, configGuards*largeConfig)
-		f.Check(d.largest <= 16<<10, qt.IsTrue, qt.Commentf("%d bytes at once", d.largest))
+		f.Check(d.largestBytes <= 16<<10, qt.IsTrue, qt.Commentf("%d bytes at once", d.largestBytes))
 	})
 }
 
 // Guards against a configuration that never arrives as the link breaks between two pieces.
-func TestGuardGetsTheConfigurationThoughALinkBreaksMidway(t *testing.T) {
+func TestGuardRefetchesConfigAfterLinkBreaksMidTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		d := &documents{from: make(map[string]int), to: make(map[string]int), bytes: make(map[string]int)}
+		d := &documentCounter{sentCounts: make(map[string]int), receivedCounts: make(map[string]int), sentBytes: make(map[string]int)}
 		var links []wire.Link
-		f.wrap = func(l wire.Link, address string) wire.Link {
+		f.wrapLink = func(l wire.Link, address string) wire.Link {
 			links = append(links, l)
-			return &counted{Link: l, documents: d, address: address}
+			return &countingLink{Link: l, documentCounter: d, address: address}
 		}
 		f.entry("a")
 		g := f.guard(newWorker(f, time.Second), nil, "a")
 		time.Sleep(time.Second)
-		document := []byte(strings.Repeat("0123456789", largeConfig/10))
-		f.Assert(f.entries["a"].Offer(5, document), qt.IsNil)
+		configDocument := []byte(strings.Repeat("0123456789", largeConfig/10))
+		f.Assert(f.entries["a"].OfferConfig(5, configDocument), qt.IsNil)
 		time.Sleep(time.Second)
 		f.Assert(d.sent("a") > 0, qt.IsTrue)
 		links[0].Close("broken")
 		time.Sleep(10 * time.Second)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		f.Check(g.version, qt.Equals, int64(5))
-		f.Check(string(g.document) == string(document), qt.IsTrue)
+		f.Check(g.configVersion, qt.Equals, int64(5))
+		f.Check(string(g.configDocument) == string(configDocument), qt.IsTrue)
 	})
 }
 
 // Guards against a guard of an earlier release that takes a piece for the whole configuration.
-func TestGuardOfAnEarlierReleaseIsSentTheWholeConfiguration(t *testing.T) {
+func TestGuardWithoutChunkSupportReceivesWholeConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		e := f.entry("a")
-		f.Assert(e.Offer(5, make([]byte, largeConfig)), qt.IsNil)
-		guard := f.link(e, "g", wire.PiecesSince-1)
+		f.Assert(e.OfferConfig(5, make([]byte, largeConfig)), qt.IsNil)
+		guard := f.linkAsGuard(e, "g", wire.PiecesSince-1)
 		f.Assert(guard.Send(&wire.Frame{Desired: &wire.Desired{}}), qt.IsNil)
 		for {
 			got, err := guard.Recv(f.ctx)
@@ -208,12 +210,12 @@
 }
 
 // Guards against further copies asked for while one is arriving over a thin link.
-func TestEntryDoesNotAskForManyCopiesOfAConfigurationThatComesSlowly(t *testing.T) {
+func TestEntryBacksOffConfigRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		e := f.entry("a")
-		guard := f.link(e, "slow", wire.Version)
+		guard := f.linkAsGuard(e, "slow", wire.Version)
 		f.Assert(guard.Send(&wire.Frame{Desired: &wire.Desired{Version: 5}}), qt.IsNil)
 		ctx, cancel := context.WithTimeout(f.ctx, 3*time.Second)
 		defer cancel()
@@ -232,56 +234,56 @@
 }
 
 // Guards against an old configuration in force while large ones come in quick succession.
-func TestEntryThatTheStoreTurnsAwayKeepsUpWithLargeConfigurations(t *testing.T) {
+func TestEntryWithoutStoreKeepsUpWithLargeConfigs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, d, addresses := configFleet(t)
+		f, d, addresses := newConfigFleet(t)
 		defer f.stop()
-		away := addresses[0]
+		cutOff := addresses[0]
 		const last = 12
 		for version := int64(1); version <= last; version++ {
 			for _, a := range addresses[1:] {
-				f.Assert(f.entries[a].Offer(version, make([]byte, largeConfig)), qt.IsNil)
+				f.Assert(f.entries[a].OfferConfig(version, make([]byte, largeConfig)), qt.IsNil)
 			}
 			time.Sleep(330 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		f.Check(f.inForce(away), qt.Equals, int64(last))
-		_, got := d.of(away)
+		f.Check(f.configVersion(cutOff), qt.Equals, int64(last))
+		_, got := d.documents(cutOff)
 		f.Check(got <= last, qt.IsTrue, qt.Commentf("%d copies", got))
 	})
 }
 
 // Guards against an old configuration in force as the guard that was asked is gone.
-func TestConfigurationIsAskedForAgainAtAnotherGuard(t *testing.T) {
+func TestEntryRequestsConfigFromNextGuardAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		e := f.entry("a")
-		silent := f.link(e, "silent", wire.Version)
+		silent := f.linkAsGuard(e, "silent", wire.Version)
 		f.Assert(silent.Send(&wire.Frame{Desired: &wire.Desired{Version: 5}}), qt.IsNil)
 		time.Sleep(50 * time.Millisecond)
 		f.entry("b")
-		f.Assert(f.entries["b"].Offer(5, []byte("five")), qt.IsNil)
+		f.Assert(f.entries["b"].OfferConfig(5, []byte("five")), qt.IsNil)
 		f.guard(newWorker(f, time.Second), nil, "b", "a")
 		time.Sleep(3 * time.Second)
-		f.Check(f.inForce("a"), qt.Equals, int64(5))
+		f.Check(f.configVersion("a"), qt.Equals, int64(5))
 	})
 }
 
 // Guards against an entry of an earlier release, which never asks, left without it.
-func TestEntryOfAnEarlierReleaseIsSentTheConfiguration(t *testing.T) {
+func TestEntryThatNeverRequestsConfigReceivesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		f.entry("new")
-		got := make(chan int64, 8)
-		f.old = func(l wire.Link) { serveAsBefore(f.ctx, l, got) }
+		versions := make(chan int64, 8)
+		f.serveOld = func(l wire.Link) { serveEarlierRelease(f.ctx, l, versions) }
 		f.guard(newWorker(f, time.Second), nil, "new", "old")
 		time.Sleep(time.Second)
-		f.Assert(f.entries["new"].Offer(5, []byte("five")), qt.IsNil)
+		f.Assert(f.entries["new"].OfferConfig(5, []byte("five")), qt.IsNil)
 		time.Sleep(time.Second)
 		select {
-		case version := <-got:
+		case version := <-versions:
 			f.Check(version, qt.Equals, int64(5))
 		default:
 			t.Error("no configuration came")
@@ -289,9 +291,9 @@
 	})
 }
 
-// serveAsBefore welcomes a guard as an entry of an earlier release does, and gives the
+// serveEarlierRelease welcomes a guard as an entry of an earlier release does, and gives the
 // versions of the documents that come.
-func serveAsBefore(ctx context.Context, l wire.Link, got chan<- int64) {
+func serveEarlierRelease(ctx context.Context, l wire.Link, versions chan<- int64) {
 	for {
 		f, err := l.Recv(ctx)
 		if err != nil {
@@ -301,7 +303,7 @@
 		case f.RunHello != nil:
 			_ = l.Send(&wire.Frame{RunWelcome: &wire.RunWelcome{Version: wire.AsksSince - 1, Incarnation: "old"}})
 		case f.Desired != nil && len(f.Desired.Document) > 0:
-			got <- f.Desired.Version
+			versions <- f.Desired.Version
 		}
 	}
 }
--- a/internal/batchnode/copies.go
+++ b/internal/batchnode/copies.go
@@ -7,138 +7,148 @@
 	"wigeontray/internal/wire"
 )
 
-// Limits of the copies of the configuration that an entry sends to guards. A guard needs its
-// copy only for entries that the store turns away, and the requests of callers share the link.
+// Limits for the copies of the configuration that an entry sends to guards. A guard needs its
+// copy only to relay it to entries that cannot read the store, and the copies share the
+// entry's uplink with the requests of callers.
 const (
-	copyBurst = 64 << 10 // bytes; one whole copy in any case
-	// pieceBytes is how much of a copy is sent at once.
-	pieceBytes = 16 << 10
+	// maxCopyBurstBytes is how much may be started ahead of copyRateLimit. While no earlier
+	// copy is pending, a copy of any size may be started.
+	maxCopyBurstBytes = 64 << 10
+	// chunkBytes is how much of a copy is sent in one frame.
+	chunkBytes = 16 << 10
 )
 
-// rateLimit bounds bytes a second, and the share of a thin link.
+// rateLimit is a maximum rate for configuration copies. On an uplink whose bandwidth is
+// known, it is also bounded by a share of that bandwidth.
 type rateLimit struct {
-	bytes float64 // a second
-	share float64 // of a thin link
+	bytes     float64 // per second
+	linkShare float64 // maximum fraction of the uplink bandwidth
 }
 
-// A single copy passes faster than copies do on average, so that some guard soon has a new
-// configuration.
+// Average rate of all copies, and rate of the chunks of one copy. A single copy may exceed
+// the average rate, so that at least one guard receives a new configuration quickly.
 var (
-	copyLimit  = rateLimit{bytes: 256 << 10, share: 0.25}
-	pieceLimit = rateLimit{bytes: 1 << 20, share: 0.5}
+	copyRateLimit  = rateLimit{bytes: 256 << 10, linkShare: 0.25}
+	chunkRateLimit = rateLimit{bytes: 1 << 20, linkShare: 0.5}
 )
 
-// duration is how long bytes take at the limit. linkRate is the bandwidth of the link in bytes
-// a second, 0 if it is not known to be thin.
-func (l rateLimit) duration(bytes int, linkRate int64) time.Duration {
+// transferTime returns how long bytes take at the rate limit. linkRate is the bandwidth of
+// the uplink in bytes per second, 0 if no bandwidth limit was detected.
+func (l rateLimit) transferTime(bytes int, linkRate int64) time.Duration {
 	rate := l.bytes
 	if linkRate > 0 {
-		rate = min(rate, l.share*float64(linkRate))
+		rate = min(rate, l.linkShare*float64(linkRate))
 	}
 	return time.Duration(float64(bytes) / rate * float64(time.Second))
 }
 
-// copies are the copies that an entry sends.
-type copies struct {
-	busyUntil time.Duration // when those begun so far would have passed at copyLimit
-	sending   map[wire.Link]*outCopy
+// outgoingCopies tracks the configuration copies that an entry sends.
+type outgoingCopies struct {
+	busyUntil  time.Duration // when the copies started so far are sent, at copyRateLimit
+	inProgress map[wire.Link]*outgoingCopy
 }
 
-// outCopy is a copy of which pieces are still to be sent.
-type outCopy struct {
-	version  int64
-	document []byte
-	sent     int // bytes
+// outgoingCopy is a copy that is sent in chunks and is not yet complete.
+type outgoingCopy struct {
+	version   int64
+	document  []byte
+	sentBytes int
 }
 
-// begin tells whether another copy may be begun, and counts it if so.
-func (c *copies) begin(now time.Duration, size int, linkRate int64) bool {
-	takes := copyLimit.duration(size, linkRate)
-	if c.busyUntil > now && c.busyUntil+takes > now+copyLimit.duration(copyBurst, linkRate) {
+// tryBegin reports whether another copy may be started now, and accounts for it if so.
+func (c *outgoingCopies) tryBegin(now time.Duration, size int, linkRate int64) bool {
+	duration := copyRateLimit.transferTime(size, linkRate)
+	if c.busyUntil > now && c.busyUntil+duration > now+copyRateLimit.transferTime(maxCopyBurstBytes, linkRate) {
 		return false
 	}
-	c.busyUntil = max(c.busyUntil, now) + takes
+	c.busyUntil = max(c.busyUntil, now) + duration
 	return true
 }
 
-// sendCopy sends the configuration in force to a guard, unless a copy is on its way there.
-// Beyond the limit the guard has to ask again; one of an earlier release asks only once, and
-// takes no pieces.
-func (e *Entry) sendCopy(link wire.Link, guardVersion int) {
+// sendCopy sends the current configuration to a guard, unless a copy is already being sent
+// on its link. Above the rate limit it sends nothing, and the guard requests the copy again
+// later. Guards with a protocol version below wire.AsksSince request it only once and always
+// get it; those below wire.PiecesSince get it in a single frame.
+func (e *Entry) sendCopy(link wire.Link, protocolVersion int) {
 	version, document := e.Config()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.copies.sending[link] != nil {
+	if e.outgoingCopies.inProgress[link] != nil {
 		return
 	}
-	if !e.copies.begin(e.opt.Clock(), len(document), e.machine.LinkRate()) && guardVersion >= wire.AsksSince {
+	if !e.outgoingCopies.tryBegin(e.opt.Clock(), len(document), e.machine.LinkRate()) && protocolVersion >= wire.AsksSince {
 		e.opt.Metrics.Inc(telemetry.CopiesDelayed)
 		return
 	}
 	e.opt.Metrics.Inc(telemetry.CopiesSent)
-	if guardVersion < wire.PiecesSince || len(document) <= pieceBytes {
-		e.sendBeside(link, &wire.Frame{Desired: &wire.Desired{Version: version, Document: document}})
+	if protocolVersion < wire.PiecesSince || len(document) <= chunkBytes {
+		e.sendDirect(link, &wire.Frame{Desired: &wire.Desired{Version: version, Document: document}})
 		return
 	}
-	e.copies.sending[link] = &outCopy{version: version, document: document}
-	e.sendPieces(link)
+	e.outgoingCopies.inProgress[link] = &outgoingCopy{version: version, document: document}
+	e.sendNextChunk(link)
 }
 
-// sendPieces sends the next piece of a copy and schedules the one after it. mu is held.
-func (e *Entry) sendPieces(link wire.Link) {
-	c := e.copies.sending[link]
+// sendNextChunk sends the next chunk of a copy and schedules the one after it. mu must be
+// held.
+func (e *Entry) sendNextChunk(link wire.Link) {
+	c := e.outgoingCopies.inProgress[link]
 	if c == nil {
-		return // the link has ended
+		return // the link was closed
 	}
-	n := min(pieceBytes, len(c.document)-c.sent)
-	e.sendBeside(link, &wire.Frame{Desired: &wire.Desired{
-		Version: c.version, Document: c.document[c.sent : c.sent+n], Offset: int64(c.sent), Size: int64(len(c.document)),
+	n := min(chunkBytes, len(c.document)-c.sentBytes)
+	e.sendDirect(link, &wire.Frame{Desired: &wire.Desired{
+		Version: c.version, Document: c.document[c.sentBytes : c.sentBytes+n], Offset: int64(c.sentBytes), Size: int64(len(c.document)),
 	}})
-	c.sent += n
-	if c.sent == len(c.document) {
-		delete(e.copies.sending, link)
+	c.sentBytes += n
+	if c.sentBytes == len(c.document) {
+		delete(e.outgoingCopies.inProgress, link)
 		return
 	}
-	time.AfterFunc(pieceLimit.duration(n, e.machine.LinkRate()), func() {
+	time.AfterFunc(chunkRateLimit.transferTime(n, e.machine.LinkRate()), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.sendPieces(link)
+		e.sendNextChunk(link)
 	})
 }
 
-// mostDocument bounds a configuration that comes in pieces, in bytes.
-const mostDocument = 4 << 20
+// maxDocumentBytes is the maximum size of a configuration that is received in chunks.
+const maxDocumentBytes = 4 << 20
 
-// inCopy is a copy that arrives in pieces.
-type inCopy struct {
-	version  int64
-	document []byte
-	at       time.Duration // when the last piece arrived
+// incomingCopy is a configuration copy that is being received in chunks.
+type incomingCopy struct {
+	version     int64
+	document    []byte
+	lastChunkAt time.Duration // 0 if no copy is in progress
 }
 
-// take adds a piece, and returns the whole document after the last one, nil before. A piece out
-// of order discards the copy; the guard asks for it again.
-func (c *inCopy) take(now time.Duration, d *wire.Desired) *wire.Desired {
-	if d.Size > mostDocument || int64(len(d.Document)) > d.Size-d.Offset {
-		*c = inCopy{}
+// addChunk appends a chunk. It returns the complete configuration after the last chunk, and
+// nil before. A chunk that is out of order or too large discards the copy; the guard
+// requests it again.
+func (c *incomingCopy) addChunk(now time.Duration, chunk *wire.Desired) *wire.Desired {
+	if chunk.Size > maxDocumentBytes || int64(len(chunk.Document)) > chunk.Size-chunk.Offset {
+		*c = incomingCopy{}
 		return nil
 	}
-	if d.Offset == 0 {
-		*c = inCopy{version: d.Version, document: make([]byte, 0, d.Size)}
+	if chunk.Offset == 0 {
+		*c = incomingCopy{version: chunk.Version, document: make([]byte, 0, chunk.Size)}
 	}
-	if d.Version != c.version || d.Offset != int64(len(c.document)) {
-		*c = inCopy{}
+	if chunk.Version != c.version || chunk.Offset != int64(len(c.document)) {
+		*c = incomingCopy{}
 		return nil
 	}
-	c.document = append(c.document, d.Document...)
-	c.at = now
-	if int64(len(c.document)) < d.Size {
+	c.document = append(c.document, chunk.Document...)
+	c.lastChunkAt = now
+	if int64(len(c.document)) < chunk.Size {
 		return nil
 	}
-	whole := &wire.Desired{Version: c.version, Document: c.document}
-	*c = inCopy{}
-	return whole
+	complete := &wire.Desired{Version: c.version, Document: c.document}
+	*c = incomingCopy{}
+	return complete
 }
 
-// arriving tells whether a piece arrived within askAgain.
-func (c *inCopy) arriving(now time.Duration) bool { return c.at > 0 && now-c.at < askAgain }
+// isArriving reports whether a chunk of an incomplete copy arrived within the last
+// minFetchRetryDelay.
+func (c *incomingCopy) isArriving(now time.Duration) bool {
+	return c.lastChunkAt > 0 && now-c.lastChunkAt < minFetchRetryDelay
+}
--- a/internal/batchnode/drains_test.go
+++ b/internal/batchnode/drains_test.go
@@ -17,26 +17,26 @@
 	"wigeontray/internal/wire"
 )
 
-// takenOrders keeps what a Source offers.
-type takenOrders struct {
+// orderRecorder keeps what a Source offers.
+type orderRecorder struct {
 	drains  wire.Drains
 	version int64
 	unknown []string
-	seen    []string // in order
+	calls   []string // in order
 }
 
-func (o *takenOrders) Offer(version int64, _ []byte) error {
+func (o *orderRecorder) OfferConfig(version int64, _ []byte) error {
 	o.version = version
-	o.seen = append(o.seen, "configuration")
+	o.calls = append(o.calls, "configuration")
 	return nil
 }
 
-func (o *takenOrders) OfferDrains(d *wire.Drains) {
+func (o *orderRecorder) OfferDrains(d *wire.Drains) {
 	o.drains = *d
-	o.seen = append(o.seen, "drains")
+	o.calls = append(o.calls, "drains")
 }
 
-func (o *takenOrders) NoteUnknown(key string) { o.unknown = append(o.unknown, key) }
+func (o *orderRecorder) NoteUnknownOrder(key string) { o.unknown = append(o.unknown, key) }
 
 // orderStore is a store with orders of the operators, whose watch passes on batches.
 type orderStore struct {
@@ -53,58 +53,58 @@
 	defer close(out)
 	for {
 		select {
-		case b := <-s.batches:
-			out <- b
+		case batch := <-s.batches:
+			out <- batch
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (s *orderStore) follow(ctx context.Context) (*takenOrders, *telemetry.Registry) {
-	taken, metrics := new(takenOrders), telemetry.New()
+func (s *orderStore) follow(ctx context.Context) (*orderRecorder, *telemetry.Registry) {
+	recorder, metrics := new(orderRecorder), telemetry.New()
 	source := Source{
-		Store: s, Prefix: "op/", Key: "op/config", Drains: "op/drain/", Log: quiet(), Metrics: metrics,
+		Store: s, Prefix: "op/", Key: "op/config", Drains: "op/drain/", Log: discardLogger(), Metrics: metrics,
 		Version: func([]byte) (int64, error) { return 7, nil },
 	}
-	go source.Follow(ctx, taken)
+	go source.Follow(ctx, recorder)
 	synctest.Wait()
-	return taken, metrics
+	return recorder, metrics
 }
 
 // Guards against drains that are missed, or obeyed after they were taken back.
-func TestDrainsAreFollowed(t *testing.T) {
+func TestSourceDeliversDrainChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		s := &orderStore{batches: make(chan store.Batch), kvs: []store.KV{{Key: "op/config"}, {Key: "op/drain/b"}}}
-		taken, _ := s.follow(ctx)
-		qt.Check(t, taken.seen, qt.DeepEquals, []string{"drains", "configuration"})
-		qt.Check(t, taken.drains, qt.DeepEquals, wire.Drains{Revision: 10, Domains: []string{"b"}})
+		recorder, _ := s.follow(ctx)
+		qt.Check(t, recorder.calls, qt.DeepEquals, []string{"drains", "configuration"})
+		qt.Check(t, recorder.drains, qt.DeepEquals, wire.Drains{Revision: 10, Domains: []string{"b"}})
 		s.batches <- store.Batch{Revision: 12, Events: []store.Event{{KV: store.KV{Key: "op/drain/a"}}}}
 		synctest.Wait()
-		qt.Check(t, taken.drains, qt.DeepEquals, wire.Drains{Revision: 12, Domains: []string{"a", "b"}})
+		qt.Check(t, recorder.drains, qt.DeepEquals, wire.Drains{Revision: 12, Domains: []string{"a", "b"}})
 		s.batches <- store.Batch{Revision: 15, Events: []store.Event{
 			{KV: store.KV{Key: "op/drain/a"}, Deleted: true}, {KV: store.KV{Key: "op/drain/b"}, Deleted: true}, {KV: store.KV{Key: "op/drain/a"}},
 		}}
 		synctest.Wait()
-		qt.Check(t, taken.drains, qt.DeepEquals, wire.Drains{Revision: 15, Domains: []string{"a"}})
+		qt.Check(t, recorder.drains, qt.DeepEquals, wire.Drains{Revision: 15, Domains: []string{"a"}})
 	})
 }
 
 // Guards against orders that are met with silence, and against names that would not be printed.
-func TestUnknownAndMalformedOrdersAreNoted(t *testing.T) {
+func TestUnknownAndMalformedOrdersAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		s := &orderStore{batches: make(chan store.Batch), kvs: []store.KV{
 			{Key: "op/config"}, {Key: "op/drain/"}, {Key: "op/drain/a/b"}, {Key: "op/drain/a\nb"}, {Key: "op/drain/b"}, {Key: "op/upgrade/1"},
 		}}
-		taken, metrics := s.follow(ctx)
-		qt.Check(t, taken.drains.Domains, qt.DeepEquals, []string{"b"})
-		qt.Check(t, taken.unknown, qt.DeepEquals, []string{"op/upgrade/1"})
+		recorder, metrics := s.follow(ctx)
+		qt.Check(t, recorder.drains.Domains, qt.DeepEquals, []string{"b"})
+		qt.Check(t, recorder.unknown, qt.DeepEquals, []string{"op/upgrade/1"})
 		qt.Check(t, metrics.Count(telemetry.ForeignItems), qt.Equals, int64(3))
-		qt.Check(t, taken.version, qt.Equals, int64(7))
+		qt.Check(t, recorder.version, qt.Equals, int64(7))
 	})
 }
 
@@ -116,25 +116,25 @@
 }
 
 // Guards against an entry that works by a configuration while it may not know of a drain.
-func TestConfigurationWaitsForWordOfDrains(t *testing.T) {
+func TestConfigIsNotAppliedBeforeDrainsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		e := f.entryTurnedAway("a")
-		f.Assert(e.Offer(5, []byte("five")), qt.IsNil)
-		f.Assert(e.Offer(4, []byte("four")), qt.IsNil)
-		f.Check(f.inForce("a"), qt.Equals, int64(0))
+		e := f.entryWithoutStore("a")
+		f.Assert(e.OfferConfig(5, []byte("five")), qt.IsNil)
+		f.Assert(e.OfferConfig(4, []byte("four")), qt.IsNil)
+		f.Check(f.configVersion("a"), qt.Equals, int64(0))
 		e.OfferDrains(&wire.Drains{Revision: 3})
-		f.Check(f.inForce("a"), qt.Equals, int64(5))
+		f.Check(f.configVersion("a"), qt.Equals, int64(5))
 	})
 }
 
 // Guards against tasks started in a drained failure domain for an entry that the store turns away, and against a domain that stays empty after it was taken back.
-func TestDrainReachesAnEntryThatTheStoreTurnsAway(t *testing.T) {
+func TestDrainReachesEntryWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		a, b := f.entry("a"), f.entryTurnedAway("b")
+		a, b := f.entry("a"), f.entryWithoutStore("b")
 		workers := make(map[string]*worker)
 		for _, domain := range []string{"z1", "z2"} {
 			w := newWorker(f, 50*time.Millisecond)
@@ -142,14 +142,14 @@
 			f.guard(w, nil, "a", "b").Heard(w.reportIn(domain))
 		}
 		time.Sleep(time.Second)
-		f.Assert(b.Offer(5, []byte("five")), qt.IsNil)
-		f.Check(f.inForce("b"), qt.Equals, int64(5)) // a guard has told it of drains
+		f.Assert(b.OfferConfig(5, []byte("five")), qt.IsNil)
+		f.Check(f.configVersion("b"), qt.Equals, int64(5)) // a guard has told it of drains
 		for i, drained := range []string{"z1", "z2"} {
 			a.OfferDrains(&wire.Drains{Revision: int64(2 + i), Domains: []string{drained}})
 			time.Sleep(time.Second)
 			before := workers[drained].starts
 			for n := range 8 {
-				f.complete(b.Submit(f.ctx, testJob(fmt.Sprintf("%s-%d", drained, n), 2), time.Second))
+				f.assertComplete(b.Submit(f.ctx, testJob(fmt.Sprintf("%s-%d", drained, n), 2), time.Second))
 			}
 			f.Check(workers[drained].starts, qt.Equals, before, qt.Commentf("%s", drained))
 		}
@@ -161,21 +161,21 @@
 		f.Check(status.Drains.Domains[0].Workers, qt.Equals, 1)
 		f.Check(status.Workers, qt.Equals, 1)
 		f.Check(f.guards[1].Status().Drained, qt.IsTrue)
-		c := f.entryTurnedAway("c")
+		c := f.entryWithoutStore("c")
 		for _, g := range f.guards {
 			g.AddEntries([]string{"c"})
 		}
 		time.Sleep(time.Second)
-		f.Assert(c.Offer(5, []byte("five")), qt.IsNil)
-		f.Check(f.inForce("c"), qt.Equals, int64(5))
+		f.Assert(c.OfferConfig(5, []byte("five")), qt.IsNil)
+		f.Check(f.configVersion("c"), qt.Equals, int64(5))
 		before := workers["z2"].starts
-		f.complete(c.Submit(f.ctx, testJob("c-1", 4), time.Second))
+		f.assertComplete(c.Submit(f.ctx, testJob("c-1", 4), time.Second))
 		f.Check(workers["z2"].starts, qt.Equals, before)
 	})
 }
 
 // Guards against a start in a drained failure domain that an entry without the news asks for.
-func TestGuardRefusesTasksOfAnEntryWithoutTheNews(t *testing.T) {
+func TestGuardRefusesTasksOfEntryUnawareOfDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -194,23 +194,23 @@
 		f.Check(w.starts, qt.Equals, 0)
 		g.step(func(now time.Duration, m *runs.Machine) { m.SetDrains(now, &wire.Drains{Revision: 10}) })
 		time.Sleep(100 * time.Millisecond)
-		f.complete(a.Submit(f.ctx, testJob("2", 2), time.Second))
+		f.assertComplete(a.Submit(f.ctx, testJob("2", 2), time.Second))
 	})
 }
 
 // Guards against work in a domain after all processes were restarted and the store is away: guards alone, which have restarted too, know nothing, and nothing may be begun.
-func TestNothingIsBegunBeforeDrainsAreKnown(t *testing.T) {
+func TestNoTaskStartsBeforeDrainsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		e := f.entryTurnedAway("a")
+		e := f.entryWithoutStore("a")
 		w := newWorker(f, 50*time.Millisecond)
 		f.guard(w, nil, "a").Heard(w.reportIn("z1"))
 		time.Sleep(5 * time.Second)
-		f.Assert(e.Offer(5, []byte("five")), qt.IsNil)
-		f.Check(f.inForce("a"), qt.Equals, int64(0))
+		f.Assert(e.OfferConfig(5, []byte("five")), qt.IsNil)
+		f.Check(f.configVersion("a"), qt.Equals, int64(0))
 		e.OfferDrains(&wire.Drains{Revision: 3, Domains: []string{"z1"}})
-		f.Check(f.inForce("a"), qt.Equals, int64(5))
+		f.Check(f.configVersion("a"), qt.Equals, int64(5))
 		out := e.Submit(f.ctx, testJob("1", 1), time.Second)
 		f.Assert(out.Err, qt.IsNotNil)
 		f.Check(out.Err.Kind, qt.Equals, errkind.NoWorkers)
--- a/internal/batchnode/entry.go
+++ b/internal/batchnode/entry.go
@@ -18,78 +18,79 @@
 
 // EntryOptions configures an Entry.
 type EntryOptions struct {
-	Name    string // of the process, for its incarnation
-	Domain  string // failure domain
-	Address string // where guards reach it
+	Name    string // process name, part of the incarnation
+	Domain  string // failure domain of this VM
+	Address string // host and port at which guards connect
 	Seed    uint64
-	Timing  runs.Timing // that for the default if left out
+	Timing  runs.Timing // the default if zero
 	Clock   Clock
 	Metrics *telemetry.Registry
 	Log     *log.Logger
-	Routine *log.Logger // for lines that tell of nothing unusual; Log if nil
-	// Apply puts a document of the operators in force, or tells why it cannot be.
-	// Calls come one at a time, with growing versions.
+	Routine *log.Logger // for lines about normal operation; Log if nil
+	// Apply validates and activates a configuration document; an error leaves the previous
+	// one active. Calls are serialized and versions increase.
 	Apply func(version int64, document []byte) error
 }
 
-// Entry serves jobs that are answered when they end. Its methods may be called
-// from many goroutines. Lock order: configMu, then mu.
+// Entry runs the jobs of callers on the workers of its guards; a caller gets the response
+// when its job has ended. All methods are safe for concurrent use. Lock order: configMu,
+// then mu.
 type Entry struct {
 	opt EntryOptions
 	id  identity.Incarnation
 
-	mu      sync.Mutex
-	machine *batch.Machine
-	links   map[identity.Incarnation]wire.Link
-	waiters map[string][]*waiter
-	known   []string // addresses of entries
-	queries queries
-	copies  copies // of the configuration
-	alarm   *alarm
-	beat    time.Duration // when this process was last seen to run
-	woke    time.Duration // when it was last found to have been frozen
-
-	configMu sync.Mutex
-	version  int64 // in force; 0 before the first
-	document []byte
-	inForce  time.Duration // since when
-	offered  offered
-	drains   entryDrains
-	unknown  []string // keys of orders that this version does not know
+	mu             sync.Mutex
+	machine        *batch.Machine
+	links          map[identity.Incarnation]wire.Link
+	waiters        map[string][]*waiter
+	known          []string // addresses of all entries, this one included
+	queries        queries
+	outgoingCopies outgoingCopies
+	deadlineTimer  *deadlineTimer
+	lastHeartbeat  time.Duration // last time recorded by KeepBeat; 0 if it does not run
+	resumedAt      time.Duration // when the end of a freeze was last detected; 0 if never
+
+	configMu        sync.Mutex
+	configVersion   int64 // of the active configuration; 0 before the first
+	configDocument  []byte
+	configAppliedAt time.Duration
+	newerConfig     newerConfig
+	drains          entryDrains
+	unknownOrders   []string // keys of operator orders that this version does not support
 }
 
-// waiter is a caller's request that waits for the answer of a job.
+// waiter is a caller's request that waits for the outcome of a job.
 type waiter struct {
-	answer chan *batch.Outcome
-	began  time.Duration
+	outcome   chan *batch.Outcome
+	startedAt time.Duration
 }
 
-// NewEntry returns an entry without guards and configuration.
+// NewEntry returns an entry without links to guards and without a configuration.
 func NewEntry(opt EntryOptions) *Entry {
 	if opt.Routine == nil {
 		opt.Routine = opt.Log
 	}
 	opt.Timing = opt.Timing.OrDefault()
 	e := &Entry{
-		opt:     opt,
-		id:      identity.NewIncarnation(opt.Name),
-		machine: batch.New(opt.Clock(), batch.Options{Domain: opt.Domain, Seed: opt.Seed, Timing: opt.Timing, Off: policy.Linked()}),
-		links:   make(map[identity.Incarnation]wire.Link),
-		waiters: make(map[string][]*waiter),
-		known:   []string{opt.Address},
-		queries: queries{open: make(map[uint64]*query)},
-		copies:  copies{sending: make(map[wire.Link]*outCopy)},
+		opt:            opt,
+		id:             identity.NewIncarnation(opt.Name),
+		machine:        batch.New(opt.Clock(), batch.Options{Domain: opt.Domain, Seed: opt.Seed, Timing: opt.Timing, Off: policy.Linked()}),
+		links:          make(map[identity.Incarnation]wire.Link),
+		waiters:        make(map[string][]*waiter),
+		known:          []string{opt.Address},
+		queries:        queries{pending: make(map[uint64]*query)},
+		outgoingCopies: outgoingCopies{inProgress: make(map[wire.Link]*outgoingCopy)},
 	}
-	e.alarm = newAlarm(opt.Clock, func() {
+	e.deadlineTimer = newDeadlineTimer(opt.Clock, func() {
 		e.step(func(now time.Duration, m *batch.Machine) { m.Tick(now) })
 	})
 	return e
 }
 
-// ID is the incarnation of this entry.
+// ID returns the incarnation of this entry.
 func (e *Entry) ID() identity.Incarnation { return e.id }
 
-// step lets the machine take one event and carries out what follows.
+// step passes one event to the machine and executes the resulting actions.
 func (e *Entry) step(event func(now time.Duration, m *batch.Machine)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,43 +99,44 @@
 
 func (e *Entry) stepLocked(event func(now time.Duration, m *batch.Machine)) {
 	now := e.opt.Clock()
-	e.checkStall(now)
+	e.detectStall(now)
 	before := e.machine.LinkRate()
 	event(now, e.machine)
 	if rate := e.machine.LinkRate(); rate != before {
-		e.noteLink(before, rate)
+		e.reportLinkRate(before, rate)
 	}
-	for _, a := range e.machine.Actions(now) {
-		e.carryOut(now, &a)
+	for _, action := range e.machine.Actions(now) {
+		e.execute(now, &action)
 	}
-	e.alarm.set(e.machine.NextTick())
+	e.deadlineTimer.set(e.machine.NextTick())
 }
 
-// noteLink tells of what the link has been found to bear.
-func (e *Entry) noteLink(before, rate int64) {
+// reportLinkRate publishes the measured bandwidth of the uplink, and logs when a limit is
+// detected for the first time.
+func (e *Entry) reportLinkRate(before, rate int64) {
 	e.opt.Metrics.Set(telemetry.LinkRate, rate)
 	if before == 0 {
-		e.opt.Log.Info("link is thin", "link_rate", rate)
+		e.opt.Log.Info("uplink bandwidth is limited", "link_rate", rate)
 	}
 }
 
-func (e *Entry) carryOut(now time.Duration, a *batch.Action) {
+func (e *Entry) execute(now time.Duration, action *batch.Action) {
 	switch {
-	case a.Finish != nil:
-		e.finish(now, a.Finish)
-	case a.Drop:
-		e.opt.Log.Warn("guard is silent", "guard", a.Guard)
+	case action.Finish != nil:
+		e.finishJob(now, action.Finish)
+	case action.Drop:
+		e.opt.Log.Warn("guard timed out", "guard", action.Guard)
 		e.opt.Metrics.Inc(telemetry.GuardsLost)
-		e.unlink(a.Guard, "silent")
-	case a.Frame != nil:
-		e.post(a.Guard, a.Frame)
+		e.closeLink(action.Guard, "silent")
+	case action.Frame != nil:
+		e.sendToGuard(action.Guard, action.Frame)
 	}
 }
 
-// post sends a frame if the guard has a link. A lost link is noticed by its
-// reader, which tells the machine.
-func (e *Entry) post(to identity.Incarnation, f *wire.Frame) {
-	link := e.links[to]
+// sendToGuard sends a frame if the guard is linked. Send errors are only logged: the reader
+// of the link detects its loss and notifies the machine. mu must be held.
+func (e *Entry) sendToGuard(guard identity.Incarnation, f *wire.Frame) {
+	link := e.links[guard]
 	if link == nil {
 		return
 	}
@@ -142,52 +144,54 @@
 		e.opt.Metrics.Add(telemetry.TasksStarted, int64(len(f.RunTasks.Tasks)))
 	}
 	if err := link.Send(f); err != nil {
-		e.opt.Log.Warn("frame not sent", "guard", to, "err", err)
+		e.opt.Log.Warn("frame not sent", "guard", guard, "err", err)
 	}
 }
 
-// sendBeside sends a frame that the machine does not know of. mu is held.
-func (e *Entry) sendBeside(link wire.Link, f *wire.Frame) {
+// sendDirect sends a frame that the machine did not produce, and has the machine account for
+// its bytes on the uplink. mu must be held.
+func (e *Entry) sendDirect(link wire.Link, f *wire.Frame) {
 	e.machine.Beside(e.opt.Clock(), f)
-	_ = link.Send(f) // a lost link is noticed by its reader
+	_ = link.Send(f) // the reader of the link detects its loss
 }
 
-func (e *Entry) unlink(guard identity.Incarnation, why string) {
+func (e *Entry) closeLink(guard identity.Incarnation, reason string) {
 	if link := e.links[guard]; link != nil {
 		delete(e.links, guard)
-		delete(e.copies.sending, link)
-		link.Close(why)
+		delete(e.outgoingCopies.inProgress, link)
+		link.Close(reason)
 	}
 }
 
-func (e *Entry) finish(now time.Duration, out *batch.Outcome) {
+func (e *Entry) finishJob(now time.Duration, out *batch.Outcome) {
 	waiting := e.waiters[out.ID]
 	delete(e.waiters, out.ID)
-	e.count(out)
+	e.countOutcome(out)
 	for _, w := range waiting {
-		e.opt.Metrics.Observe(telemetry.JobLatency, now-w.began)
-		w.answer <- out
+		e.opt.Metrics.Observe(telemetry.JobLatency, now-w.startedAt)
+		w.outcome <- out
 	}
-	e.tell(now, out)
+	e.logOutcome(now, out)
 }
 
-// tell writes the story of a job: one line if it is complete, and one for each
-// decision if it is not. The decisions are kept until then, as which jobs will fail
-// shows only at their end, and lines for all would cost more than the work.
-func (e *Entry) tell(now time.Duration, out *batch.Outcome) {
+// logOutcome logs the outcome of a job: one line if it is complete, and otherwise also one
+// line per decision about it. The decisions are buffered until the job ends, because only
+// then is it known whether it failed, and logging them for every job would cost more than
+// running the jobs.
+func (e *Entry) logOutcome(now time.Duration, out *batch.Outcome) {
 	if out.Err == nil {
 		e.opt.Routine.Info("job ended", "job", out.ID, "request", out.Job.Request, "outcome", "complete", "took", now-out.Story[0].At, "events", len(out.Story))
 		return
 	}
 	for i := range out.Story {
-		s := &out.Story[i]
-		e.opt.Log.Info(s.What.String(), "job", out.ID, "ago", now-s.At, "guard", s.Guard, "tasks", s.Tasks,
-			"outcome", s.Kind, "free", s.Free, "age", s.Age, "wait", s.Wait, "goal", s.Goal)
+		event := &out.Story[i]
+		e.opt.Log.Info(event.What.String(), "job", out.ID, "ago", now-event.At, "guard", event.Guard, "tasks", event.Tasks,
+			"outcome", event.Kind, "free", event.Free, "age", event.Age, "wait", event.Wait, "goal", event.Goal)
 	}
 	e.opt.Log.Info("job ended", "job", out.ID, "request", out.Job.Request, "queue", out.Job.Queue.Name, "outcome", out.Err.Kind, "ran", out.Err.Ran, "cause", out.Err.Detail, "took", now-out.Story[0].At)
 }
 
-func (e *Entry) count(out *batch.Outcome) {
+func (e *Entry) countOutcome(out *batch.Outcome) {
 	switch {
 	case out.Err == nil:
 		e.opt.Metrics.Inc(telemetry.JobsAnswered)
@@ -198,27 +202,27 @@
 	}
 }
 
-// Submit runs a job and returns its outcome. left is how long the caller waits.
-// A job that is under way already is joined, and one that is complete or has
-// failed for good gets the same answer again. If ctx ends first, nobody waits for
-// the answer, and the job is withdrawn unless another request has joined it.
-func (e *Entry) Submit(ctx context.Context, job *batch.Job, left time.Duration) *batch.Outcome {
-	if !e.afterWake(ctx) {
+// Submit runs a job and returns its outcome. timeout is how long the caller waits. If the
+// job is already queued or running, the request joins it; if it is complete or has failed
+// permanently, the same outcome is returned again. If ctx ends first, Submit returns nil and
+// the job is cancelled, unless another request waits for it.
+func (e *Entry) Submit(ctx context.Context, job *batch.Job, timeout time.Duration) *batch.Outcome {
+	if !e.waitAfterResume(ctx) {
 		return nil
 	}
 	if job.HeldUp && e.runsElsewhere(ctx, job.ID) {
-		e.notBegun(job, "another entry runs it")
+		e.logNotStarted(job, "another entry runs it")
 		return &batch.Outcome{ID: job.ID, Err: errkind.New(errkind.OutcomeUnknown, "another entry runs the job")}
 	}
 	if ctx.Err() != nil {
 		return nil
 	}
-	w, out := e.begin(job, left)
+	w, out := e.submitOrJoin(job, timeout)
 	if out != nil {
 		return out
 	}
 	select {
-	case out := <-w.answer:
+	case out := <-w.outcome:
 		return out
 	case <-ctx.Done():
 		e.abandon(job.ID, w)
@@ -226,21 +230,21 @@
 	}
 }
 
-// CallerLeft notes a request that is not begun, as its caller had left before it was
-// read.
+// CallerLeft logs and counts a request that is not started because its caller disconnected
+// before the request was read.
 func (e *Entry) CallerLeft(job *batch.Job) {
 	e.opt.Metrics.Inc(telemetry.CallersGone)
-	e.notBegun(job, "its caller has left")
+	e.logNotStarted(job, "its caller has left")
 }
 
-func (e *Entry) notBegun(job *batch.Job, cause string) {
+func (e *Entry) logNotStarted(job *batch.Job, cause string) {
 	e.opt.Log.Info("request not begun", "job", job.ID, "request", job.Request, "cause", cause)
 }
 
-func (e *Entry) begin(job *batch.Job, left time.Duration) (*waiter, *batch.Outcome) {
+func (e *Entry) submitOrJoin(job *batch.Job, timeout time.Duration) (*waiter, *batch.Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := &waiter{answer: make(chan *batch.Outcome, 1), began: e.opt.Clock()}
+	w := &waiter{outcome: make(chan *batch.Outcome, 1), startedAt: e.opt.Clock()}
 	switch e.machine.State(job.ID) {
 	case batch.Queued, batch.Running:
 		e.opt.Metrics.Inc(telemetry.JobsResubmitted)
@@ -256,13 +260,13 @@
 	var refused *errkind.Error
 	e.waiters[job.ID] = append(e.waiters[job.ID], w)
 	e.stepLocked(func(now time.Duration, m *batch.Machine) {
-		job.Deadline = now + left
+		job.Deadline = now + timeout
 		refused = m.Submit(now, job)
 	})
 	if refused != nil {
 		delete(e.waiters, job.ID)
 		e.opt.Metrics.Refused(refused.Kind)
-		s := e.machine.Snapshot(w.began)
+		s := e.machine.Snapshot(w.startedAt)
 		e.opt.Log.Info("job refused", "job", job.ID, "request", job.Request, "queue", job.Queue.Name, "reason", refused.Kind, "cause", refused.Detail, "after", refused.After,
 			"waiting", s.Waiting, "running", s.Running, "workers", s.Workers, "free", s.Free, "entries", s.Entries, "link_rate", s.LinkRate, "link_ahead", s.LinkAhead)
 		return nil, &batch.Outcome{ID: job.ID, Err: refused}
@@ -271,38 +275,38 @@
 	return w, nil
 }
 
-// abandon takes back one caller's interest in a job.
+// abandon removes a waiter from a job, and cancels the job if it was the last one.
 func (e *Entry) abandon(id string, w *waiter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var rest []*waiter
-	for _, o := range e.waiters[id] {
-		if o != w {
-			rest = append(rest, o)
+	var remaining []*waiter
+	for _, other := range e.waiters[id] {
+		if other != w {
+			remaining = append(remaining, other)
 		}
 	}
-	if len(rest) > 0 {
-		e.waiters[id] = rest
+	if len(remaining) > 0 {
+		e.waiters[id] = remaining
 		return
 	}
 	delete(e.waiters, id)
 	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Cancel(now, id) })
 }
 
-// Cancel withdraws a job and tells whether it was under way here.
+// Cancel cancels a job and reports whether it was queued or running at this entry.
 func (e *Entry) Cancel(id string) (found bool) {
 	e.step(func(now time.Duration, m *batch.Machine) { found = m.Cancel(now, id) })
 	return found
 }
 
-// State tells what is known of a job.
+// State returns the state of a job at this entry.
 func (e *Entry) State(id string) batch.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.State(id)
 }
 
-// Pending counts a queue's jobs of which no task has been sent to a worker.
+// Pending returns the number of jobs in a queue of which no task was sent to a worker yet.
 func (e *Entry) Pending(queue string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -310,7 +314,7 @@
 	return pending
 }
 
-// Open counts the jobs that are not answered.
+// Open returns the number of jobs without an outcome.
 func (e *Entry) Open() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -318,25 +322,26 @@
 	return open
 }
 
-// Workers counts the workers that may be given tasks.
+// Workers returns the number of workers that accept tasks.
 func (e *Entry) Workers() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.machine.Workers()
 }
 
-// AnswerAll answers every job. A process that ends without would cut its callers
-// off, and they could not tell whether their jobs had been read.
-func (e *Entry) AnswerAll(why string) {
-	e.step(func(now time.Duration, m *batch.Machine) { m.AnswerAll(now, why) })
+// AnswerAll fails every open job: its outcome is unknown unless nothing of it ran. If the
+// process exited without it, the connections of the callers would break, and the callers
+// could not determine whether their jobs had been read.
+func (e *Entry) AnswerAll(reason string) {
+	e.step(func(now time.Duration, m *batch.Machine) { m.AnswerAll(now, reason) })
 }
 
-// Close ends all links and timers.
+// Close closes all links and stops the timer.
 func (e *Entry) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id := range e.links {
-		e.unlink(id, "entry stops")
+		e.closeLink(id, "entry stops")
 	}
-	e.alarm.stop()
+	e.deadlineTimer.stop()
 }
--- a/internal/batchnode/entryconfig.go
+++ b/internal/batchnode/entryconfig.go
@@ -8,115 +8,120 @@
 	"wigeontray/internal/wire"
 )
 
-// askPause is how long an entry waits for a configuration that it has asked a guard for. It
-// doubles up to askPauseMost until one comes: a large one takes long on a thin link, and
-// copies of further guards would take the link from it.
+// minHolderRetryDelay is how long an entry waits for a configuration that it requested from a
+// guard before it asks the next one. The delay doubles up to maxHolderRetryDelay until a
+// configuration arrives: a large one takes long on a slow link, and copies from further guards
+// would compete for the bandwidth.
 const (
-	askPause     = 200 * time.Millisecond
-	askPauseMost = 3200 * time.Millisecond
+	minHolderRetryDelay = 200 * time.Millisecond
+	maxHolderRetryDelay = 3200 * time.Millisecond
 )
 
-// mostHolders bounds the guards that are remembered to have a newer configuration.
-const mostHolders = 16
+// maxConfigHolders is the maximum number of guards stored as sources of a newer configuration.
+const maxConfigHolders = 16
 
-// offered is a configuration that guards have and this entry has not: the store may turn
-// it away and serve other entries.
-type offered struct {
-	version int64
-	holders []wire.Link
-	asked   time.Duration // when one was last asked
-	pause   time.Duration // until the next one is asked
-	asks    int           // so far; the holders are asked in turn
+// newerConfig describes a configuration that guards hold and this entry lacks. That happens
+// when the store rejects or does not answer this entry while it serves others.
+type newerConfig struct {
+	configVersion int64
+	holders       []wire.Link
+	lastRequestAt time.Duration // when a holder was last asked; 0 if never
+	retryDelay    time.Duration // before the next holder is asked
+	requestCount  int           // selects the next holder, in round-robin order
 }
 
-// Config gives the version and document in force; version 0 before the first.
+// Config returns the active version and document; the version is 0 before the first.
 func (e *Entry) Config() (int64, []byte) {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
-	return e.version, e.document
+	return e.configVersion, e.configDocument
 }
 
-// Offer puts a newer document in force and tells the guards, some of which fetch it and
-// relay it to entries that cannot read the store. An older one is passed over: a
-// process never goes back. Before the first word of drains it is kept for later.
-func (e *Entry) Offer(version int64, document []byte) error {
+// OfferConfig activates a document if it is newer than the active one and announces its
+// version to the guards, each of which fetches it from one entry and relays it to entries that
+// cannot read the store.
+// An older document is ignored, so that the version never decreases. Until the drains are
+// known, the newest document is stored and not activated.
+func (e *Entry) OfferConfig(version int64, document []byte) error {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
-	return e.offerLocked(version, document)
+	return e.offerConfigLocked(version, document)
 }
 
-func (e *Entry) offerLocked(version int64, document []byte) error {
-	if version <= e.version {
+func (e *Entry) offerConfigLocked(configVersion int64, configDocument []byte) error {
+	if configVersion <= e.configVersion {
 		return nil
 	}
 	if e.drains.known.Revision == 0 {
-		if version > e.drains.pending.Version {
-			e.drains.pending = wire.Desired{Version: version, Document: document}
+		if configVersion > e.drains.pendingConfig.Version {
+			e.drains.pendingConfig = wire.Desired{Version: configVersion, Document: configDocument}
 		}
 		return nil
 	}
-	if err := e.opt.Apply(version, document); err != nil {
-		return fmt.Errorf("configuration %d: %w", version, err)
+	if err := e.opt.Apply(configVersion, configDocument); err != nil {
+		return fmt.Errorf("configuration %d: %w", configVersion, err)
 	}
-	e.version, e.document, e.inForce = version, document, e.opt.Clock()
-	e.offered.pause = 0
+	e.configVersion, e.configDocument, e.configAppliedAt = configVersion, configDocument, e.opt.Clock()
+	e.newerConfig.retryDelay = 0
 	e.opt.Metrics.Inc(telemetry.ConfigsApplied)
-	e.opt.Metrics.Set(telemetry.ConfigRevision, version)
-	e.opt.Log.Info("configuration in force", "version", version)
+	e.opt.Metrics.Set(telemetry.ConfigRevision, configVersion)
+	e.opt.Log.Info("configuration in force", "version", configVersion)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id := range e.links {
-		e.post(id, &wire.Frame{Desired: &wire.Desired{Version: version}}) // who needs it asks
+		e.sendToGuard(id, &wire.Frame{Desired: &wire.Desired{Version: configVersion}}) // guards that need the document request it
 	}
 	return nil
 }
 
-// fromGuard takes a configuration from a guard, sends it the one in force if it has an
-// older one, or asks it for a newer one.
-func (e *Entry) fromGuard(h *wire.RunHello, link wire.Link, d *wire.Desired) {
+// handleGuardConfig handles a configuration or a version announced by a guard: it offers a
+// document to this entry, sends a copy to a guard with an older version, and requests a newer
+// version.
+func (e *Entry) handleGuardConfig(hello *wire.RunHello, link wire.Link, d *wire.Desired) {
 	if len(d.Document) > 0 {
-		if err := e.Offer(d.Version, d.Document); err != nil {
-			e.opt.Log.Error("configuration of a guard refused", "err", err)
+		if err := e.OfferConfig(d.Version, d.Document); err != nil {
+			e.opt.Log.Error("configuration from a guard rejected", "err", err)
 		}
 		return
 	}
 	version, _ := e.Config()
 	switch {
 	case d.Version < version:
-		e.sendCopy(link, h.Version)
+		e.sendCopy(link, hello.Version)
 	case d.Version > version:
-		e.noteHolder(link, d.Version)
+		e.addConfigHolder(link, d.Version)
 	}
 }
 
-// noteHolder remembers a guard that has a newer configuration, and asks for it.
-func (e *Entry) noteHolder(link wire.Link, version int64) {
+// addConfigHolder stores a guard as a source of a newer configuration, and requests it.
+func (e *Entry) addConfigHolder(link wire.Link, configVersion int64) {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
-	o := &e.offered
-	if version > o.version {
-		o.version, o.holders = version, nil
+	newer := &e.newerConfig
+	if configVersion > newer.configVersion {
+		newer.configVersion, newer.holders = configVersion, nil
 	}
-	if version == o.version && len(o.holders) < mostHolders {
-		o.holders = append(o.holders, link)
+	if configVersion == newer.configVersion && len(newer.holders) < maxConfigHolders {
+		newer.holders = append(newer.holders, link)
 	}
-	e.askHolder()
+	e.requestNewerConfig()
 }
 
-// askHolder asks one guard for a newer configuration, unless one was just asked. An
-// answer may not come: the guard may be gone. configMu is held.
-func (e *Entry) askHolder() {
-	o, now := &e.offered, e.opt.Clock()
+// requestNewerConfig requests the newer configuration from one of its holders, unless the
+// previous request is younger than retryDelay. A request may stay without a response, because
+// the guard may have terminated. configMu must be held.
+func (e *Entry) requestNewerConfig() {
+	newer, now := &e.newerConfig, e.opt.Clock()
 	switch {
-	case e.version >= o.version:
-		o.holders = nil
+	case e.configVersion >= newer.configVersion:
+		newer.holders = nil
 		return
-	case len(o.holders) == 0 || o.asked > 0 && now-o.asked < o.pause:
+	case len(newer.holders) == 0 || newer.lastRequestAt > 0 && now-newer.lastRequestAt < newer.retryDelay:
 		return
 	}
-	o.asked = now
-	o.pause = min(max(askPause, 2*o.pause), askPauseMost)
-	at := o.asks % len(o.holders)
-	o.asks++
-	_ = o.holders[at].Send(&wire.Frame{Desired: &wire.Desired{Version: e.version, Ask: true}}) // the next one is asked soon
+	newer.lastRequestAt = now
+	newer.retryDelay = min(max(minHolderRetryDelay, 2*newer.retryDelay), maxHolderRetryDelay)
+	index := newer.requestCount % len(newer.holders)
+	newer.requestCount++
+	_ = newer.holders[index].Send(&wire.Frame{Desired: &wire.Desired{Version: e.configVersion, Ask: true}}) // after retryDelay the next holder is asked
 }
--- a/internal/batchnode/entrydrains.go
+++ b/internal/batchnode/entrydrains.go
@@ -9,17 +9,18 @@
 	"wigeontray/internal/wire"
 )
 
-// entryDrains is what an entry knows of the operators' drains.
+// entryDrains holds the drains of failure domains that operators requested, as known to an
+// entry.
 type entryDrains struct {
-	known wire.Drains              // Revision is 0 before the first word of them
-	since map[string]time.Duration // when this entry learned of each
-	// pending is a configuration that came before any word of drains. An entry that began
-	// to work by it might send tasks to a drained failure domain.
-	pending wire.Desired
+	known      wire.Drains              // Revision is 0 until the first drains are received
+	knownSince map[string]time.Duration // by failure domain: when this entry first received its drain
+	// pendingConfig is a configuration that arrived before the first drains. If the entry
+	// activated it, it might send tasks to a drained failure domain.
+	pendingConfig wire.Desired
 }
 
-// OfferDrains puts the drained failure domains in force as they stood at a newer revision of
-// the store, and tells the guards.
+// OfferDrains activates the drained failure domains if they are of a newer revision of the
+// store, and sends them to the guards.
 func (e *Entry) OfferDrains(d *wire.Drains) {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
@@ -29,67 +30,71 @@
 	}
 	e.drains.known = *d
 	if before.Revision == 0 {
-		e.applyPending()
+		e.applyPendingConfig()
 	} else if d.Same(&before) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.noteDrains(&before, d)
+	e.recordDrainChanges(&before, d)
 	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.SetDrains(now, d) })
 	for id := range e.links {
-		e.post(id, &wire.Frame{Drains: d}) // a guard of an earlier release passes it over
+		e.sendToGuard(id, &wire.Frame{Drains: d}) // guards of earlier releases ignore this frame
 	}
 }
 
-// applyPending puts the configuration in force that came before the drains. configMu is held.
-func (e *Entry) applyPending() {
-	p := e.drains.pending
-	e.drains.pending = wire.Desired{}
-	if err := e.offerLocked(p.Version, p.Document); err != nil {
-		e.opt.Log.Error("configuration refused", "err", err)
+// applyPendingConfig activates the configuration that arrived before the drains. configMu must
+// be held.
+func (e *Entry) applyPendingConfig() {
+	pending := e.drains.pendingConfig
+	e.drains.pendingConfig = wire.Desired{}
+	if err := e.offerConfigLocked(pending.Version, pending.Document); err != nil {
+		e.opt.Log.Error("configuration rejected", "err", err)
 	}
 }
 
-// noteDrains writes what has changed. configMu and mu are held.
-func (e *Entry) noteDrains(before, now *wire.Drains) {
-	for _, domain := range now.Domains {
+// recordDrainChanges logs new and ended drains, and updates knownSince and the metric. configMu
+// and mu must be held.
+func (e *Entry) recordDrainChanges(before, after *wire.Drains) {
+	for _, domain := range after.Domains {
 		if !before.Has(domain) {
-			e.opt.Log.Info("failure domain is drained", "domain", domain, "revision", now.Revision, "workers", e.machine.WorkersIn(domain))
+			e.opt.Log.Info("failure domain is drained", "domain", domain, "revision", after.Revision, "workers", e.machine.WorkersIn(domain))
 		}
 	}
 	for _, domain := range before.Domains {
-		if !now.Has(domain) {
-			e.opt.Log.Info("failure domain is taken back", "domain", domain, "revision", now.Revision, "after", e.opt.Clock()-e.drains.since[domain])
+		if !after.Has(domain) {
+			e.opt.Log.Info("failure domain is taken back", "domain", domain, "revision", after.Revision, "after", e.opt.Clock()-e.drains.knownSince[domain])
 		}
 	}
-	e.drains.since = since(e.drains.since, now.Domains, e.opt.Clock())
-	e.opt.Metrics.Set(telemetry.DomainsDrained, int64(len(now.Domains)))
+	e.drains.knownSince = knownSince(e.drains.knownSince, after.Domains, e.opt.Clock())
+	e.opt.Metrics.Set(telemetry.DomainsDrained, int64(len(after.Domains)))
 }
 
-// drainsFromGuard takes the drains that a guard knows, or tells it newer ones.
-func (e *Entry) drainsFromGuard(link wire.Link, d *wire.Drains) {
+// handleGuardDrains offers the drains of a guard to this entry, and sends newer ones back if
+// the guard has an older revision with other domains, or none.
+func (e *Entry) handleGuardDrains(link wire.Link, d *wire.Drains) {
 	e.OfferDrains(d)
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
 	if known := e.drains.known; d.Revision < known.Revision && (d.Revision == 0 || !d.Same(&known)) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.sendBeside(link, &wire.Frame{Drains: &known})
+		e.sendDirect(link, &wire.Frame{Drains: &known})
 	}
 }
 
-// mostUnknown bounds the unknown orders that are remembered; further ones are counted.
-const mostUnknown = 16
+// maxUnknownOrders is the maximum number of keys of unknown orders that are stored and logged;
+// further ones are only counted.
+const maxUnknownOrders = 16
 
-// NoteUnknown notes an order of the operators that this version has no meaning for.
-func (e *Entry) NoteUnknown(key string) {
+// NoteUnknownOrder counts and logs an order of the operators that this version does not support.
+func (e *Entry) NoteUnknownOrder(key string) {
 	e.opt.Metrics.Inc(telemetry.OrdersUnknown)
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
-	if slices.Contains(e.unknown, key) || len(e.unknown) == mostUnknown {
+	if slices.Contains(e.unknownOrders, key) || len(e.unknownOrders) == maxUnknownOrders {
 		return
 	}
-	e.unknown = append(e.unknown, key)
-	e.opt.Log.Warn("order of the operators is not known to this version", "key", key)
+	e.unknownOrders = append(e.unknownOrders, key)
+	e.opt.Log.Warn("operator order is not supported by this version", "key", key)
 }
--- a/internal/batchnode/entrylink.go
+++ b/internal/batchnode/entrylink.go
@@ -14,10 +14,10 @@
 	"wigeontray/internal/wire"
 )
 
-// helloTimeout bounds the wait for the first frame of a link.
+// helloTimeout is how long an entry waits for the first frame of a link.
 const helloTimeout = 2 * time.Second
 
-// ServeHTTP takes links of guards.
+// ServeHTTP accepts links of guards.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	link, err := wire.Accept(w, r, nil)
 	if err != nil {
@@ -27,27 +27,28 @@
 	go e.Serve(context.Background(), link)
 }
 
-// Serve reads one link until it ends.
+// Serve performs the handshake on a link and handles its frames until it is closed.
 func (e *Entry) Serve(ctx context.Context, link wire.Link) {
-	hello, err := e.greet(ctx, link)
+	hello, err := e.receiveHello(ctx, link)
 	if err != nil {
 		e.opt.Metrics.Inc(telemetry.LinksRefused)
 		e.opt.Log.Warn("link refused", "err", err)
 		link.Close("no hello")
 		return
 	}
-	e.open(hello, link)
+	e.addLink(hello, link)
 	for {
 		f, err := link.Recv(ctx)
 		if err != nil {
 			break
 		}
-		e.receive(hello, link, f)
+		e.handleFrame(hello, link, f)
 	}
-	e.closed(hello, link)
+	e.removeLink(hello, link)
 }
 
-func (e *Entry) greet(ctx context.Context, link wire.Link) (*wire.RunHello, error) {
+// receiveHello reads and validates the first frame of a link.
+func (e *Entry) receiveHello(ctx context.Context, link wire.Link) (*wire.RunHello, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	f, err := link.Recv(ctx)
@@ -55,7 +56,7 @@
 		return nil, fmt.Errorf("wait for hello: %w", err)
 	}
 	if f.RunHello == nil || f.RunHello.Incarnation == "" {
-		return nil, errors.New("first frame is no hello")
+		return nil, errors.New("first frame is not a hello")
 	}
 	if f.RunHello.Version < wire.MinVersion {
 		return nil, fmt.Errorf("protocol version %d is older than %d", f.RunHello.Version, wire.MinVersion)
@@ -63,78 +64,79 @@
 	return f.RunHello, nil
 }
 
-// open makes a link the current one of its guard and welcomes it.
-func (e *Entry) open(h *wire.RunHello, link wire.Link) {
-	e.configMu.Lock() // what changes meanwhile is told after the welcome
+// addLink registers a link as the current one of its guard, closes the previous one, and sends
+// the welcome.
+func (e *Entry) addLink(hello *wire.RunHello, link wire.Link) {
+	e.configMu.Lock() // changes of configuration and drains are sent after the welcome
 	defer e.configMu.Unlock()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.unlink(h.Incarnation, "superseded")
-	e.links[h.Incarnation] = link
+	e.closeLink(hello.Incarnation, "superseded")
+	e.links[hello.Incarnation] = link
 	e.opt.Metrics.Inc(telemetry.LinksOpened)
 	e.opt.Metrics.Set(telemetry.Guards, int64(len(e.links)))
-	e.opt.Log.Info("guard linked", "guard", h.Incarnation, "worker", h.Worker.ID, "usable", h.Worker.Usable)
-	e.post(h.Incarnation, &wire.Frame{RunWelcome: &wire.RunWelcome{
-		Version: wire.Version, Incarnation: e.id, Revision: e.version,
+	e.opt.Log.Info("guard linked", "guard", hello.Incarnation, "worker", hello.Worker.ID, "usable", hello.Worker.Usable)
+	e.sendToGuard(hello.Incarnation, &wire.Frame{RunWelcome: &wire.RunWelcome{
+		Version: wire.Version, Incarnation: e.id, Revision: e.configVersion,
 		Entries: e.known, Software: telemetry.Version,
 	}})
 	drains := e.drains.known
-	e.post(h.Incarnation, &wire.Frame{Drains: &drains}) // before any task
-	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.GuardUp(now, h) })
+	e.sendToGuard(hello.Incarnation, &wire.Frame{Drains: &drains}) // must precede the first task
+	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.GuardUp(now, hello) })
 }
 
-// closed tells the machine of a link that has ended, unless a newer one of the
-// same guard has taken its place.
-func (e *Entry) closed(h *wire.RunHello, link wire.Link) {
+// removeLink removes a closed link and notifies the machine, unless a newer link of the same
+// guard has replaced it.
+func (e *Entry) removeLink(hello *wire.RunHello, link wire.Link) {
 	link.Close("done")
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.copies.sending, link)
-	if current := e.links[h.Incarnation]; current != nil && current != link {
+	delete(e.outgoingCopies.inProgress, link)
+	if current := e.links[hello.Incarnation]; current != nil && current != link {
 		return
 	}
-	delete(e.links, h.Incarnation)
+	delete(e.links, hello.Incarnation)
 	e.opt.Metrics.Inc(telemetry.LinksLost)
 	e.opt.Metrics.Set(telemetry.Guards, int64(len(e.links)))
-	e.opt.Log.Info("guard link ended", "guard", h.Incarnation)
-	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.GuardDown(now, h.Incarnation) })
+	e.opt.Log.Info("guard link ended", "guard", hello.Incarnation)
+	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.GuardDown(now, hello.Incarnation) })
 }
 
-func (e *Entry) receive(h *wire.RunHello, link wire.Link, f *wire.Frame) {
+func (e *Entry) handleFrame(hello *wire.RunHello, link wire.Link, f *wire.Frame) {
 	if f.Desired != nil {
-		e.fromGuard(h, link, f.Desired)
+		e.handleGuardConfig(hello, link, f.Desired)
 		return
 	}
 	if f.Drains != nil {
-		e.drainsFromGuard(link, f.Drains)
+		e.handleGuardDrains(link, f.Drains)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.links[h.Incarnation] != link {
-		return // a newer link has taken its place
+	if e.links[hello.Incarnation] != link {
+		return // a newer link has replaced this one
 	}
 	switch {
 	case f.RunsEnded != nil:
-		e.countEnds(f.RunsEnded)
-		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Ended(now, h.Incarnation, f.RunsEnded) })
+		e.countRunEnds(f.RunsEnded)
+		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Ended(now, hello.Incarnation, f.RunsEnded) })
 	case f.GuardBeat != nil:
 		if w := f.GuardBeat.Worker; w != nil {
-			e.opt.Log.Info("worker changed", "guard", h.Incarnation, "worker", w.ID, "usable", w.Usable, "leaving", w.Leaving)
+			e.opt.Log.Info("worker changed", "guard", hello.Incarnation, "worker", w.ID, "usable", w.Usable, "leaving", w.Leaving)
 		}
-		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Beat(now, h.Incarnation, f.GuardBeat) })
+		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Beat(now, hello.Incarnation, f.GuardBeat) })
 	case f.WorkerCrash != nil:
 		e.machine.NoteCrash(f.WorkerCrash)
 	case f.JobQuery != nil:
-		e.report(h.Incarnation, f.JobQuery)
+		e.answerQuery(hello.Incarnation, f.JobQuery)
 	case f.JobReport != nil:
-		e.queries.take(f.JobReport)
+		e.queries.handleReport(f.JobReport)
 	default:
 		e.opt.Metrics.Inc(telemetry.FramesUnknown)
 	}
 }
 
-func (e *Entry) countEnds(r *wire.RunsEnded) {
+func (e *Entry) countRunEnds(r *wire.RunsEnded) {
 	for i := range r.Ends {
 		end := &r.Ends[i]
 		switch {
@@ -149,10 +151,11 @@
 	}
 }
 
-// SetEntries notes where entries are, this one among them, and sends the new addresses to
-// the guards. The whole list at each change, from each entry, would fill the links of a large
-// fleet while its entries come back one after the other. An entry that has restarted is listed
-// twice until its earlier registration lapses.
+// SetEntries stores the addresses of all entries, to which it adds its own, and sends the
+// guards those that were added. If every entry sent the whole list at each change, the links
+// of a large fleet would be saturated while its entries restart one after the other. Duplicate
+// addresses are removed: a restarted entry is listed twice until its earlier registration
+// expires.
 func (e *Entry) SetEntries(addresses []string) {
 	if !slices.Contains(addresses, e.opt.Address) {
 		addresses = append(addresses, e.opt.Address)
@@ -172,6 +175,6 @@
 		return
 	}
 	for id := range e.links {
-		e.post(id, &wire.Frame{Entries: &wire.Entries{Addresses: added}})
+		e.sendToGuard(id, &wire.Frame{Entries: &wire.Entries{Addresses: added}})
 	}
 }
--- a/internal/batchnode/fleet_test.go
+++ b/internal/batchnode/fleet_test.go
@@ -24,50 +24,50 @@
 // fleet is entries and guards in one bubble of time, with links in memory.
 type fleet struct {
 	*qt.C
-	ctx     context.Context
-	end     context.CancelFunc
-	began   time.Time
-	frozen  time.Duration // added to every clock
-	entries map[string]*Entry
-	guards  []*Guard
-	applied map[string]int64                            // version in force by address of the entry
-	wrap    func(l wire.Link, address string) wire.Link // of guards; nil for none
-	old     func(there wire.Link)                       // serves the address "old"; nil for nobody
-	mu      sync.Mutex
+	ctx        context.Context
+	cancel     context.CancelFunc
+	startedAt  time.Time
+	frozenTime time.Duration // added to every clock
+	entries    map[string]*Entry
+	guards     []*Guard
+	applied    map[string]int64                            // version in force by address of the entry
+	wrapLink   func(l wire.Link, address string) wire.Link // of guards; nil for none
+	serveOld   func(there wire.Link)                       // serves the address "old"; nil for nobody
+	mu         sync.Mutex
 }
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{C: qt.New(t), began: time.Now(), entries: make(map[string]*Entry), applied: make(map[string]int64)}
-	f.ctx, f.end = context.WithCancel(context.Background())
+	f := &fleet{C: qt.New(t), startedAt: time.Now(), entries: make(map[string]*Entry), applied: make(map[string]int64)}
+	f.ctx, f.cancel = context.WithCancel(context.Background())
 	return f
 }
 
 func (f *fleet) clock() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Hour + time.Since(f.began) + f.frozen
+	return time.Hour + time.Since(f.startedAt) + f.frozenTime
 }
 
 // freeze lets time pass that no process takes part in.
 func (f *fleet) freeze(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.frozen += d
+	f.frozenTime += d
 }
 
-func quiet() *log.Logger { return log.New(io.Discard) }
+func discardLogger() *log.Logger { return log.New(io.Discard) }
 
 // entry is an entry that has read that nothing is drained.
 func (f *fleet) entry(address string) *Entry {
-	e := f.entryTurnedAway(address)
+	e := f.entryWithoutStore(address)
 	e.OfferDrains(&wire.Drains{Revision: 1})
 	return e
 }
 
-// entryTurnedAway is an entry that the store has told nothing.
-func (f *fleet) entryTurnedAway(address string) *Entry {
+// entryWithoutStore is an entry that the store has told nothing.
+func (f *fleet) entryWithoutStore(address string) *Entry {
 	e := NewEntry(EntryOptions{
-		Name: "entry", Address: address, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(),
+		Name: "entry", Address: address, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(),
 		Apply: func(version int64, _ []byte) error {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -82,8 +82,8 @@
 	return e
 }
 
-// link opens a link to an entry as a guard that the test plays itself.
-func (f *fleet) link(e *Entry, guard identity.Incarnation, version int) wire.Link {
+// linkAsGuard opens a link to an entry as a guard that the test plays itself.
+func (f *fleet) linkAsGuard(e *Entry, guard identity.Incarnation, version int) wire.Link {
 	here, there := wiretest.Pipe()
 	go e.Serve(f.ctx, there)
 	f.Assert(here.Send(&wire.Frame{RunHello: &wire.RunHello{Version: version, Incarnation: guard}}), qt.IsNil)
@@ -98,20 +98,20 @@
 	switch {
 	case e != nil:
 		go e.Serve(f.ctx, there)
-	case address == "old" && f.old != nil:
-		go f.old(there)
+	case address == "old" && f.serveOld != nil:
+		go f.serveOld(there)
 	default:
 		return nil, errors.New("nobody listens")
 	}
-	if f.wrap != nil {
-		return f.wrap(here, address), nil
+	if f.wrapLink != nil {
+		return f.wrapLink(here, address), nil
 	}
 	return here, nil
 }
 
 func (f *fleet) guard(w Worker, lookup []string, entries ...string) *Guard {
 	g := NewGuard(GuardOptions{
-		Name: "guard", Entries: entries, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(),
+		Name: "guard", Entries: entries, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(),
 		Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return lookup, nil },
 	})
 	f.guards = append(f.guards, g)
@@ -119,7 +119,7 @@
 	return g
 }
 
-func (f *fleet) complete(out *batch.Outcome) {
+func (f *fleet) assertComplete(out *batch.Outcome) {
 	f.Helper()
 	f.Assert(out.Err == nil, qt.IsTrue, qt.Commentf("%v", out.Err))
 }
@@ -133,8 +133,8 @@
 	e.Close()
 }
 
-// inForce is the version of the configuration at an entry.
-func (f *fleet) inForce(address string) int64 {
+// configVersion is the version of the configuration at an entry.
+func (f *fleet) configVersion(address string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.applied[address]
@@ -142,7 +142,7 @@
 
 // stop ends all goroutines of the bubble.
 func (f *fleet) stop() {
-	f.end()
+	f.cancel()
 	for _, e := range f.entries {
 		e.Close()
 	}
@@ -151,19 +151,19 @@
 
 // worker runs tasks for a fixed time.
 type worker struct {
-	f       *fleet
-	takes   time.Duration
-	mu      sync.Mutex
-	active  map[runs.Key]*time.Timer
-	began   map[runs.Key]time.Time
-	ended   []runs.Ended
-	number  int64
-	changed chan struct{}
-	starts  int
+	f            *fleet
+	taskDuration time.Duration
+	mu           sync.Mutex
+	active       map[runs.Key]*time.Timer
+	startTimes   map[runs.Key]time.Time
+	ended        []runs.Ended
+	lastNumber   int64
+	changed      chan struct{}
+	starts       int
 }
 
-func newWorker(f *fleet, takes time.Duration) *worker {
-	return &worker{f: f, takes: takes, active: make(map[runs.Key]*time.Timer), began: make(map[runs.Key]time.Time), changed: make(chan struct{}, 1)}
+func newWorker(f *fleet, taskDuration time.Duration) *worker {
+	return &worker{f: f, taskDuration: taskDuration, active: make(map[runs.Key]*time.Timer), startTimes: make(map[runs.Key]time.Time), changed: make(chan struct{}, 1)}
 }
 
 func (w *worker) clockMs() int64 { return w.f.clock().Milliseconds() }
@@ -176,8 +176,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts++
-	w.began[s.Key] = time.Now()
-	w.active[s.Key] = time.AfterFunc(w.takes, func() { w.finish(s.Key, runs.EndDone) })
+	w.startTimes[s.Key] = time.Now()
+	w.active[s.Key] = time.AfterFunc(w.taskDuration, func() { w.finish(s.Key, runs.EndDone) })
 	return runs.StartAnswer{ClockMs: w.clockMs()}
 }
 
@@ -188,8 +188,8 @@
 		return
 	}
 	delete(w.active, k)
-	w.number++
-	w.ended = append(w.ended, runs.Ended{Number: w.number, Key: k, How: how})
+	w.lastNumber++
+	w.ended = append(w.ended, runs.Ended{Number: w.lastNumber, Key: k, How: how})
 	select {
 	case w.changed <- struct{}{}:
 	default:
@@ -202,7 +202,7 @@
 }
 
 func (w *worker) Hold(ctx context.Context, h *runs.Hold) *runs.HoldAnswer {
-	if a := w.lists(h.Ack); len(a.Ended) > 0 || h.Wait == 0 {
+	if a := w.holdAnswer(h.Ack); len(a.Ended) > 0 || h.Wait == 0 {
 		return a
 	}
 	select {
@@ -210,10 +210,10 @@
 	case <-time.After(h.Wait):
 	case <-ctx.Done():
 	}
-	return w.lists(h.Ack)
+	return w.holdAnswer(h.Ack)
 }
 
-func (w *worker) lists(ack int64) *runs.HoldAnswer {
+func (w *worker) holdAnswer(ack int64) *runs.HoldAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	a := &runs.HoldAnswer{ClockMs: w.clockMs()}
@@ -223,7 +223,7 @@
 		}
 	}
 	for k := range w.active {
-		a.Active = append(a.Active, runs.Active{Key: k, Percent: int64(100 * time.Since(w.began[k]) / w.takes)})
+		a.Active = append(a.Active, runs.Active{Key: k, Percent: int64(100 * time.Since(w.startTimes[k]) / w.taskDuration)})
 	}
 	return a
 }
--- a/internal/batchnode/foreign_test.go
+++ b/internal/batchnode/foreign_test.go
@@ -30,7 +30,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
-		if checkAddress(value) != nil {
+		if validateAddress(value) != nil {
 			return
 		}
 		if a, err := netip.ParseAddrPort(string(value)); err != nil || a.Port() == 0 {
--- a/internal/batchnode/guard.go
+++ b/internal/batchnode/guard.go
@@ -16,8 +16,8 @@
 	"wigeontray/internal/wire"
 )
 
-// Worker is how a guard speaks to its worker. The calls end with ctx; their
-// verdict is NoAnswer if no answer came.
+// Worker is the client for the worker of a guard. A call returns when ctx ends, with the
+// verdict NoAnswer if no response was received.
 type Worker interface {
 	Start(ctx context.Context, s *runs.Start) runs.StartAnswer
 	Stop(ctx context.Context, s *runs.Stop) (v runs.Verdict, clockMs int64)
@@ -26,99 +26,100 @@
 
 // GuardOptions configures a Guard.
 type GuardOptions struct {
-	Name    string   // of the process, for its incarnation
-	Entries []string // addresses of entries, to begin with
+	Name    string   // process name, part of the incarnation
+	Entries []string // initial addresses of entries
 	Worker  Worker
-	Timing  runs.Timing // that for the default if left out
+	Timing  runs.Timing // the default if zero
 	Clock   Clock
 	Metrics *telemetry.Registry
 	Log     *log.Logger
-	Routine *log.Logger // for lines that tell of nothing unusual; Log if nil
-	// Dial opens a link to an entry's address. Its context has a bound for the TCP
-	// connection, see wire.ConnectWithin.
+	Routine *log.Logger // for lines about normal operation; Log if nil
+	// Dial opens a link to the address of an entry. Its context carries the timeout for the
+	// TCP connection, see wire.ConnectWithin.
 	Dial func(ctx context.Context, address string) (wire.Link, error)
-	// Lookup lists the addresses of entries that have registered. It is asked only
-	// while the guard has no link.
+	// Lookup lists the addresses of registered entries. It is called while the guard has no
+	// link, and after the guard stopped dialing an address.
 	Lookup func(ctx context.Context) ([]string, error)
-	// Texts has texts of jobs ready for other guards, which reach it at TextsAddress; nil if
-	// this guard serves none. FetchText gets one from another guard.
+	// Texts caches job texts for other guards, which fetch them at TextsAddress; nil if this
+	// guard serves none. FetchText fetches a text from another guard.
 	Texts        *Texts
 	TextsAddress string
 	FetchText    func(ctx context.Context, f *runs.Fetch) (string, error)
-	// Memory keeps the worker's last report for the guard's successor; nil for none.
+	// Memory stores the last report of the worker for the next process of this guard; nil for
+	// none.
 	Memory Memory
 }
 
-// Memory outlasts the guard's process.
+// Memory stores the last report of the worker across restarts of the guard.
 type Memory interface {
-	// Load gives the report that was saved last, nil if there is none.
+	// Load returns the report that was saved last, nil if there is none.
 	Load(ctx context.Context) (*runs.Report, error)
 	Save(ctx context.Context, rep *runs.Report) error
 }
 
-// Guard runs the tasks of one worker. Its methods may be called from many
-// goroutines.
+// Guard runs tasks on one worker, next to which it is deployed. All methods are safe for
+// concurrent use.
 type Guard struct {
 	opt GuardOptions
 	id  identity.Incarnation
 	ctx context.Context
 
-	mu       sync.Mutex
-	machine  *runs.Machine
-	links    map[identity.Incarnation]*guardLink
-	dialing  map[string]bool
-	alarm    *alarm
-	version  int64 // newest configuration that was seen
-	document []byte
-	drains   wire.Drains              // Revision is 0 before an entry has told of them
-	drained  map[string]time.Duration // since when each of them has been known
-	newest   int64                    // configuration that some entry has told of
-	asking   bool                     // one of them is, or will be, asked for it
-	changed  chan struct{}            // signalled after each step, for Drain
-	reported bool                     // the worker has reported to this process
-	unsaved  chan *runs.Report
-	kept     *runs.Report // last one that was, or is to be, saved
-	emptied  bool         // the last run of a drained worker has ended
-	work     sync.WaitGroup
+	mu                  sync.Mutex
+	machine             *runs.Machine
+	links               map[identity.Incarnation]*guardLink
+	dialing             map[string]bool
+	deadlineTimer       *deadlineTimer
+	configVersion       int64 // newest configuration received; 0 before the first
+	configDocument      []byte
+	drains              wire.Drains              // Revision is 0 until an entry has sent drains
+	drainedSince        map[string]time.Duration // by failure domain: when its drain was first received
+	newestConfigVersion int64                    // newest version announced by an entry
+	isFetchingConfig    bool                     // a fetch is scheduled or in progress
+	changed             chan struct{}            // signalled after each step; Drain waits on it
+	hasReport           bool                     // the worker has sent a report to this process
+	unsavedReport       chan *runs.Report        // holds at most one
+	lastQueuedReport    *runs.Report             // last report that was saved or is in unsavedReport
+	isDrainComplete     bool                     // the worker is drained and its last run has ended
+	goroutines          sync.WaitGroup
 }
 
-// NewGuard returns a guard whose worker has not reported yet.
+// NewGuard returns a guard whose worker has not sent a report yet.
 func NewGuard(opt GuardOptions) *Guard {
 	if opt.Routine == nil {
 		opt.Routine = opt.Log
 	}
 	g := &Guard{
-		opt:     opt,
-		id:      identity.NewIncarnation(opt.Name),
-		machine: runs.New(runs.Options{Timing: opt.Timing, Off: policy.Linked()}),
-		links:   make(map[identity.Incarnation]*guardLink),
-		dialing: make(map[string]bool),
-		changed: make(chan struct{}, 1),
-		unsaved: make(chan *runs.Report, 1),
+		opt:           opt,
+		id:            identity.NewIncarnation(opt.Name),
+		machine:       runs.New(runs.Options{Timing: opt.Timing, Off: policy.Linked()}),
+		links:         make(map[identity.Incarnation]*guardLink),
+		dialing:       make(map[string]bool),
+		changed:       make(chan struct{}, 1),
+		unsavedReport: make(chan *runs.Report, 1),
 	}
-	g.alarm = newAlarm(opt.Clock, func() {
+	g.deadlineTimer = newDeadlineTimer(opt.Clock, func() {
 		g.step(func(now time.Duration, m *runs.Machine) { m.Tick(now) })
 	})
 	return g
 }
 
-// Run links to entries until ctx ends, and returns when all work has ended.
+// Run maintains links to entries until ctx ends, and returns when its goroutines have ended.
 func (g *Guard) Run(ctx context.Context) {
 	g.mu.Lock()
 	g.ctx = ctx
 	g.mu.Unlock()
 	g.AddEntries(g.opt.Entries)
 	if g.opt.Memory != nil {
-		g.work.Go(func() { g.remember(ctx) })
+		g.goroutines.Go(func() { g.persistReports(ctx) })
 	}
-	g.lookup(ctx)
+	g.discoverEntries(ctx)
 	g.mu.Lock()
 	for _, l := range g.links {
 		l.link.Close("guard stops")
 	}
-	g.alarm.stop()
+	g.deadlineTimer.stop()
 	g.mu.Unlock()
-	g.work.Wait()
+	g.goroutines.Wait()
 }
 
 func (g *Guard) step(event func(now time.Duration, m *runs.Machine)) {
@@ -131,60 +132,60 @@
 	now := g.opt.Clock()
 	before := g.machine.Worker()
 	event(now, g.machine)
-	for _, a := range g.machine.Actions(now) {
-		g.carryOut(&a)
+	for _, action := range g.machine.Actions(now) {
+		g.execute(&action)
 	}
-	g.noteDrained()
+	g.updateDrainComplete()
 	if w := g.machine.Worker(); w.ID != before.ID || w.Usable != before.Usable || w.Leaving != before.Leaving {
 		g.opt.Log.Info("worker changed", "worker", w.ID, "usable", w.Usable, "leaving", w.Leaving, "cpu", w.Capacity.CPU)
 	}
-	g.alarm.set(g.machine.NextTick())
+	g.deadlineTimer.set(g.machine.NextTick())
 	select {
 	case g.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (g *Guard) carryOut(a *runs.Action) {
+func (g *Guard) execute(action *runs.Action) {
 	switch {
-	case a.Fetch != nil:
-		go g.fetch(a.Fetch)
-	case a.Start != nil:
+	case action.Fetch != nil:
+		go g.fetchText(action.Fetch)
+	case action.Start != nil:
 		g.opt.Metrics.Inc(telemetry.TasksStarted)
-		go g.start(a.Start)
-	case a.Stop != nil:
-		go g.stop(a.Stop)
-	case a.Hold != nil:
-		go g.hold(a.Hold)
-	case a.Send != nil:
-		if ends := a.Send.Frame.RunsEnded; ends != nil {
-			g.tellEnds(a.Send.To, ends)
+		go g.startRun(action.Start)
+	case action.Stop != nil:
+		go g.stopRun(action.Stop)
+	case action.Hold != nil:
+		go g.renewLease(action.Hold)
+	case action.Send != nil:
+		if ends := action.Send.Frame.RunsEnded; ends != nil {
+			g.logFailedRuns(action.Send.To, ends)
 		}
-		if l := g.links[a.Send.To]; l != nil {
-			_ = l.link.Send(a.Send.Frame) // the reader of a lost link tells the machine
+		if l := g.links[action.Send.To]; l != nil {
+			_ = l.link.Send(action.Send.Frame) // the reader of a lost link notifies the machine
 		}
 	}
 }
 
-// tellEnds writes a line for each run that ended without success. A refusal for
-// want of room is routine: its task goes elsewhere.
-func (g *Guard) tellEnds(entry identity.Incarnation, r *wire.RunsEnded) {
+// logFailedRuns logs one line for each run that ended without success. A refusal for lack of
+// capacity is normal operation: the entry places the task on another worker.
+func (g *Guard) logFailedRuns(entry identity.Incarnation, r *wire.RunsEnded) {
 	for i := range r.Ends {
 		end := &r.Ends[i]
 		if end.Kind == errkind.None {
 			continue
 		}
-		to := g.opt.Log
+		logger := g.opt.Log
 		if end.Kind == errkind.Busy {
-			to = g.opt.Routine
+			logger = g.opt.Routine
 		}
-		to.Info("run ended", "job", end.Job, "step", end.Step, "task", end.Index, "run", end.Run, "entry", entry,
+		logger.Info("run ended", "job", end.Job, "step", end.Step, "task", end.Index, "run", end.Run, "entry", entry,
 			"outcome", end.Kind, "ran", end.Ran, "took", time.Duration(end.RunMs)*time.Millisecond, "free", r.Load.Free.CPU)
 	}
 }
 
-// fetch gets the text of a job from another guard.
-func (g *Guard) fetch(f *runs.Fetch) {
+// fetchText fetches the text of a job from another guard.
+func (g *Guard) fetchText(f *runs.Fetch) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.AnswerIn)
 	defer cancel()
 	text, err := g.opt.FetchText(ctx, f)
@@ -197,7 +198,7 @@
 	g.step(func(now time.Duration, m *runs.Machine) { m.Fetched(now, f.From, f.Job, text, err == nil) })
 }
 
-func (g *Guard) start(s *runs.Start) {
+func (g *Guard) startRun(s *runs.Start) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.AnswerIn)
 	defer cancel()
 	answer := g.opt.Worker.Start(ctx, s)
@@ -207,42 +208,42 @@
 	g.step(func(now time.Duration, m *runs.Machine) { m.Started(now, s.Key, answer) })
 }
 
-func (g *Guard) stop(s *runs.Stop) {
+func (g *Guard) stopRun(s *runs.Stop) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.AnswerIn)
 	defer cancel()
 	v, clockMs := g.opt.Worker.Stop(ctx, s)
 	g.step(func(now time.Duration, m *runs.Machine) { m.Stopped(now, s.Key, v, clockMs) })
 }
 
-func (g *Guard) hold(h *runs.Hold) {
+func (g *Guard) renewLease(h *runs.Hold) {
 	ctx, cancel := context.WithTimeout(context.Background(), h.Wait+h.AnswerIn)
 	defer cancel()
 	answer := g.opt.Worker.Hold(ctx, h)
 	if answer.Verdict != runs.Done {
-		g.opt.Log.Info("worker did not renew", "worker", h.Worker, "verdict", answer.Verdict)
+		g.opt.Log.Info("worker lease not renewed", "worker", h.Worker, "verdict", answer.Verdict)
 	}
 	g.step(func(now time.Duration, m *runs.Machine) { m.Held(now, h.Worker, answer) })
 }
 
-// Heard takes a report of the worker.
+// Heard handles a report of the worker, and stores it if its content has changed.
 func (g *Guard) Heard(rep *runs.Report) {
 	g.step(func(now time.Duration, m *runs.Machine) {
-		g.reported = true
+		g.hasReport = true
 		m.Heard(now, rep)
 	})
-	g.keep(rep)
+	g.queueReport(rep)
 }
 
-// Left notes that a worker has ended as it had announced.
+// Left handles the announcement of a worker that it terminates.
 func (g *Guard) Left(id string) {
 	g.step(func(now time.Duration, m *runs.Machine) { m.Left(now, id) })
 }
 
-// Drain begins a planned stop and waits until nothing runs and the worker knows
-// that each end was noted, or until ctx ends.
+// Drain begins a planned stop. It waits until nothing runs and every run end was acknowledged
+// to the worker, or until ctx ends.
 func (g *Guard) Drain(ctx context.Context) {
 	g.step(func(now time.Duration, m *runs.Machine) { m.Drain(now) })
-	for !g.settled() {
+	for !g.isSettled() {
 		select {
 		case <-g.changed:
 		case <-ctx.Done():
@@ -251,14 +252,14 @@
 	}
 }
 
-func (g *Guard) settled() bool {
+func (g *Guard) isSettled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.machine.Settled()
 }
 
-// spread draws a time between half of d and d, so that guards do not act at the
-// same moment.
-func spread(d time.Duration) time.Duration {
+// jitter returns a random duration between d/2 and d, so that processes do not act at the same
+// time.
+func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d/2)+1))
 }
--- a/internal/batchnode/guardconfig.go
+++ b/internal/batchnode/guardconfig.go
@@ -9,26 +9,29 @@
 	"wigeontray/internal/wire"
 )
 
-// Timing of the configuration's way over guards.
+// Timing of the distribution of the configuration by guards.
 const (
-	// askWithin is the time within which guards ask for a new configuration, each at a
-	// moment of its own. All of them at once, at the first entry that has it, fill its
-	// link for as long as hundreds of copies take, and what runs for it is given up.
-	askWithin = 200 * time.Millisecond
-	// askAgain is when another entry is asked if one has not answered; the pause doubles up
-	// to askAgainMost.
-	askAgain     = 500 * time.Millisecond
-	askAgainMost = 4 * time.Second
-	// relayAfter is how long entries have to get a configuration by themselves.
-	relayAfter = 300 * time.Millisecond
+	// maxRequestJitter is the interval over which guards spread their requests for a new
+	// configuration, each after a random delay. If all of them sent the request at once to
+	// the first entry that has the configuration, hundreds of copies would saturate its
+	// uplink, and the runs of its jobs would be abandoned.
+	maxRequestJitter = 200 * time.Millisecond
+	// minFetchRetryDelay is the delay before another entry is asked if one has not answered.
+	// It doubles up to maxFetchRetryDelay.
+	minFetchRetryDelay = 500 * time.Millisecond
+	maxFetchRetryDelay = 4 * time.Second
+	// relayDelay is how long a guard waits before it relays a configuration, so that entries
+	// can read it from the store themselves.
+	relayDelay = 300 * time.Millisecond
 )
 
-// takeConfig keeps the newest configuration and relays it to entries that have
-// an older one: they may be cut off from the store.
-func (g *Guard) takeConfig(from *guardLink, d *wire.Desired) {
-	from.version = max(from.version, d.Version)
+// handleConfig handles a Desired frame of an entry: a request for the configuration, the
+// announcement of a version, or a document. It stores the newest document and relays it to
+// entries with an older one, which may be unable to reach the store.
+func (g *Guard) handleConfig(from *guardLink, d *wire.Desired) {
+	from.configVersion = max(from.configVersion, d.Version)
 	if d.Size > 0 {
-		d = from.copy.take(g.opt.Clock(), d)
+		d = from.copy.addChunk(g.opt.Clock(), d)
 		if d == nil {
 			return
 		}
@@ -36,85 +39,86 @@
 	switch {
 	case d.Ask:
 		g.sendConfig(from, d.Version)
-	case d.Version <= g.version:
+	case d.Version <= g.configVersion:
 	case len(d.Document) == 0:
-		g.learn(d.Version)
+		g.scheduleConfigFetch(d.Version)
 	default:
-		g.version, g.document = d.Version, d.Document
+		g.configVersion, g.configDocument = d.Version, d.Document
 		g.opt.Metrics.Set(telemetry.ConfigRevision, d.Version)
-		time.AfterFunc(relayAfter+rand.N(askWithin), g.relay)
+		time.AfterFunc(relayDelay+rand.N(maxRequestJitter), g.relayConfig)
 	}
 }
 
-// sendConfig sends the configuration to an entry that has an older one.
-func (g *Guard) sendConfig(to *guardLink, has int64) {
-	if g.version > has {
-		_ = to.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.version, Document: g.document}}) // see carryOut
+// sendConfig sends the configuration to an entry if its version is older.
+func (g *Guard) sendConfig(to *guardLink, entryVersion int64) {
+	if g.configVersion > entryVersion {
+		_ = to.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.configVersion, Document: g.configDocument}}) // see execute
 	}
 }
 
-// learn notes that some entry has a newer configuration.
-func (g *Guard) learn(version int64) {
-	g.newest = max(g.newest, version)
-	if g.newest > g.version && !g.asking {
-		g.asking = true
-		time.AfterFunc(rand.N(askWithin), func() { g.ask(askAgain) })
+// scheduleConfigFetch records that an entry has the given version, and schedules a fetch if it
+// is newer than the guard's own.
+func (g *Guard) scheduleConfigFetch(configVersion int64) {
+	g.newestConfigVersion = max(g.newestConfigVersion, configVersion)
+	if g.newestConfigVersion > g.configVersion && !g.isFetchingConfig {
+		g.isFetchingConfig = true
+		time.AfterFunc(rand.N(maxRequestJitter), func() { g.fetchConfig(minFetchRetryDelay) })
 	}
 }
 
-// ask asks one of the entries that have a newer configuration for it, until it is there. An
-// entry does not answer while it sends copies to others; again is the pause until another one
-// is asked.
-func (g *Guard) ask(again time.Duration) {
+// fetchConfig requests the newer configuration from a random entry that has it, and repeats
+// this until the configuration has arrived. An entry does not answer while it sends copies to
+// other guards. retryDelay is the delay before the next request.
+func (g *Guard) fetchConfig(retryDelay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	have, arriving := g.newerAt()
-	g.asking = len(have) > 0
+	sources, isArriving := g.linksWithNewerConfig()
+	g.isFetchingConfig = len(sources) > 0
 	switch {
-	case !g.asking:
+	case !g.isFetchingConfig:
 		return
-	case arriving:
-		again = askAgain
+	case isArriving:
+		retryDelay = minFetchRetryDelay
 	default:
-		l := have[rand.IntN(len(have))]
-		_ = l.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.version}}) // see carryOut
+		l := sources[rand.IntN(len(sources))]
+		_ = l.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.configVersion}}) // see execute
 	}
-	time.AfterFunc(spread(again), func() { g.ask(min(2*again, askAgainMost)) })
+	time.AfterFunc(jitter(retryDelay), func() { g.fetchConfig(min(2*retryDelay, maxFetchRetryDelay)) })
 }
 
-// newerAt returns the links to entries that have a newer configuration, and whether a copy is
-// arriving.
-func (g *Guard) newerAt() (have []*guardLink, arriving bool) {
+// linksWithNewerConfig returns the links to entries that have a newer configuration, and
+// whether a copy is currently arriving in chunks.
+func (g *Guard) linksWithNewerConfig() (sources []*guardLink, isArriving bool) {
 	now := g.opt.Clock()
 	for _, l := range g.links {
-		if l.version > g.version {
-			have = append(have, l)
+		if l.configVersion > g.configVersion {
+			sources = append(sources, l)
 		}
-		arriving = arriving || l.copy.arriving(now)
+		isArriving = isArriving || l.copy.isArriving(now)
 	}
-	return have, arriving
+	return sources, isArriving
 }
 
-func (g *Guard) relay() {
+func (g *Guard) relayConfig() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range g.links {
-		g.balance(l)
+		g.syncConfig(l)
 	}
 }
 
-// balance brings the older of guard and entry to the configuration of the newer. An entry
-// is told of it and asks one of its guards: sent by each of them, a configuration would
-// fill its link.
-func (g *Guard) balance(l *guardLink) {
+// syncConfig starts the transfer of the configuration between guard and entry to whichever has
+// the older one. An entry gets only the version and requests the document from one of its
+// guards: if every guard sent the document, the copies would saturate the entry's link.
+func (g *Guard) syncConfig(l *guardLink) {
 	switch {
-	case g.version < l.version:
-		g.learn(l.version)
-	case g.version == l.version || policy.Linked().Has(policy.ConfigRelay):
-	case l.asks:
-		_ = l.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.version}}) // see carryOut
+	case g.configVersion < l.configVersion:
+		g.scheduleConfigFetch(l.configVersion)
+	case g.configVersion == l.configVersion || policy.Linked().Has(policy.ConfigRelay):
+	case l.requestsConfig:
+		_ = l.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.configVersion}}) // see execute
 	default:
-		g.sendConfig(l, l.version)
-		l.version = g.version
+		g.sendConfig(l, l.configVersion)
+		l.configVersion = g.configVersion
 	}
 }
--- a/internal/batchnode/guarddrains.go
+++ b/internal/batchnode/guarddrains.go
@@ -9,26 +9,26 @@
 	"wigeontray/internal/wire"
 )
 
-// takeDrains obeys the newest drains that an entry tells of, and relays them to entries that
-// know older ones: the store may turn these away.
-func (g *Guard) takeDrains(from *guardLink, d *wire.Drains) {
+// handleDrains applies the drains of an entry if they are of a newer revision, and relays them
+// to entries with older ones, which may be unable to read the store.
+func (g *Guard) handleDrains(from *guardLink, d *wire.Drains) {
 	from.drains = *d
-	switch known := g.drains; {
-	case d.Revision > known.Revision:
+	switch current := g.drains; {
+	case d.Revision > current.Revision:
 		g.drains = *d
-		if known.Revision > 0 && d.Same(&known) {
+		if current.Revision > 0 && d.Same(&current) {
 			return
 		}
-		g.drained = since(g.drained, d.Domains, g.opt.Clock())
+		g.drainedSince = knownSince(g.drainedSince, d.Domains, g.opt.Clock())
 		g.opt.Metrics.Set(telemetry.DomainsDrained, int64(len(d.Domains)))
 		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.SetDrains(now, d) })
-		time.AfterFunc(relayAfter+rand.N(askWithin), g.relayDrains)
+		time.AfterFunc(relayDelay+rand.N(maxRequestJitter), g.relayDrains)
 	default:
 		g.sendDrains(from)
 	}
 }
 
-// relayDrains tells the entries that know older drains.
+// relayDrains sends the drains to all entries that have older ones.
 func (g *Guard) relayDrains() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -37,20 +37,22 @@
 	}
 }
 
+// sendDrains sends the drains to an entry, unless it has the same ones or newer ones.
 func (g *Guard) sendDrains(l *guardLink) {
 	if l.drains.Revision >= g.drains.Revision || l.drains.Revision > 0 && l.drains.Same(&g.drains) {
 		return
 	}
 	l.drains = g.drains
-	_ = l.link.Send(&wire.Frame{Drains: &l.drains}) // see carryOut
+	_ = l.link.Send(&wire.Frame{Drains: &l.drains}) // see execute
 }
 
-// noteDrained writes when a drained worker has ended its last run.
-func (g *Guard) noteDrained() {
-	emptied := g.machine.Drained() && g.machine.Running() == 0
-	if emptied && !g.emptied {
+// updateDrainComplete updates isDrainComplete, and logs when the last run of a drained worker
+// has ended.
+func (g *Guard) updateDrainComplete() {
+	isDrainComplete := g.machine.Drained() && g.machine.Running() == 0
+	if isDrainComplete && !g.isDrainComplete {
 		w := g.machine.Worker()
-		g.opt.Log.Info("drained worker runs nothing any more", "worker", w.ID, "domain", w.Domain)
+		g.opt.Log.Info("drained worker has no runs left", "worker", w.ID, "domain", w.Domain)
 	}
-	g.emptied = emptied
+	g.isDrainComplete = isDrainComplete
 }
--- a/internal/batchnode/guardlink.go
+++ b/internal/batchnode/guardlink.go
@@ -15,43 +15,47 @@
 
 // Timing of links.
 const (
-	// dialTimeout bounds a dial with its handshake: an entry that has just started
-	// meets all its guards at once.
+	// dialTimeout is the timeout for a dial including its handshake. It allows for an entry
+	// that has just started and receives the dials of all its guards at once.
 	dialTimeout = 300 * time.Millisecond
-	// connectQuick bounds the TCP connection of all tries but each patientTry-th. An
-	// address that is dark does not answer at all: a guard that waited for dialTimeout
-	// each time would notice late that its entry has come back, which refuses its callers
-	// meanwhile. A round trip between regions is shorter.
-	connectQuick = 60 * time.Millisecond
-	patientTry   = 8
-	// redialMin is the first pause between dials. It doubles up to redialSoon or redialMax.
-	redialMin = 30 * time.Millisecond
-	// redialSoon is the longest pause for an address that was lost less than soon ago:
-	// an entry is back from a restart within it.
-	redialSoon = 100 * time.Millisecond
-	soon       = 20 * time.Second
-	redialMax  = 2 * time.Second
-	// forgetAfter is how long an address is dialed without success before it is
-	// given up. It outlasts an entry's restart and a long cut; the store and the
-	// other entries tell the address again if it lives.
-	forgetAfter = time.Minute
-	// lookupEvery is the pause between two looks at the store of a guard without
-	// a link, and lookupSoon the first one.
-	lookupEvery = 2 * time.Second
-	lookupSoon  = 200 * time.Millisecond
+	// quickConnectTimeout is the timeout for the TCP connection, except that every
+	// longConnectEvery-th attempt may take dialTimeout. A VM that is down does not answer at
+	// all: a guard that waited for dialTimeout each time would detect late that its entry is
+	// back, and until then the entry would refuse its callers. A round trip between regions
+	// is shorter than quickConnectTimeout.
+	quickConnectTimeout = 60 * time.Millisecond
+	longConnectEvery    = 8
+	// minRedialDelay is the first delay between dials. It doubles up to maxRecentRedialDelay
+	// or maxRedialDelay.
+	minRedialDelay = 30 * time.Millisecond
+	// maxRecentRedialDelay is the maximum delay for an address whose link was lost less than
+	// recentLossAge ago: an entry completes a restart within that time.
+	maxRecentRedialDelay = 100 * time.Millisecond
+	recentLossAge        = 20 * time.Second
+	maxRedialDelay       = 2 * time.Second
+	// dialGiveUpTimeout is how long an address is dialed without success before the guard
+	// stops dialing it. It is longer than the restart of an entry and a long network
+	// partition. If the entry is alive, the guard receives its address again from the store or
+	// from another entry.
+	dialGiveUpTimeout = time.Minute
+	// lookupInterval is the delay between two lookups of entries in the store by a guard
+	// without a link; firstLookupInterval is the delay after the first lookup.
+	lookupInterval      = 2 * time.Second
+	firstLookupInterval = 200 * time.Millisecond
 )
 
 // guardLink is a link to one entry.
 type guardLink struct {
-	link    wire.Link
-	entry   identity.Incarnation
-	version int64 // of the configuration that the entry has
-	asks    bool  // the entry asks for a newer configuration when it is told of one
-	copy    inCopy
-	drains  wire.Drains // that the entry has told of, or was told
+	link           wire.Link
+	entry          identity.Incarnation
+	configVersion  int64 // of the entry's configuration
+	requestsConfig bool  // the entry requests a newer configuration when its version is announced
+	copy           incomingCopy
+	drains         wire.Drains // last ones received from the entry or sent to it
 }
 
-// AddEntries begins to link to addresses that are not linked to yet.
+// AddEntries starts to maintain links to the addresses that are not dialed yet. It has no effect
+// before Run and after its context has ended.
 func (g *Guard) AddEntries(addresses []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -60,70 +64,75 @@
 			continue
 		}
 		g.dialing[a] = true
-		g.work.Go(func() { g.keepLinked(g.ctx, a) })
+		g.goroutines.Go(func() { g.maintainLink(g.ctx, a) })
 	}
 }
 
-// keepLinked holds a link to one address until ctx ends or the address is given
-// up.
-func (g *Guard) keepLinked(ctx context.Context, address string) {
-	defer g.forget(address)
-	backoff, reached := redialMin, time.Now()
-	for try := 1; ctx.Err() == nil; try++ {
-		l, err := g.connect(ctx, address, connectTime(try))
+// maintainLink keeps a link to one address open until ctx ends, or until the address could not
+// be reached for dialGiveUpTimeout.
+func (g *Guard) maintainLink(ctx context.Context, address string) {
+	defer g.stopDialing(address)
+	backoff, lastLinkedAt := minRedialDelay, time.Now()
+	for attempt := 1; ctx.Err() == nil; attempt++ {
+		l, err := g.connect(ctx, address, connectTimeoutFor(attempt))
 		if err == nil {
-			g.serve(ctx, l)
-			backoff, reached, try = redialMin, time.Now(), 0
-		} else if time.Since(reached) > forgetAfter {
-			g.opt.Log.Info("address of an entry given up", "address", address, "err", err)
-			g.work.Go(func() { g.findAgain(ctx) })
+			g.serveLink(ctx, l)
+			backoff, lastLinkedAt, attempt = minRedialDelay, time.Now(), 0
+		} else if time.Since(lastLinkedAt) > dialGiveUpTimeout {
+			g.opt.Log.Info("stopped dialing entry", "address", address, "err", err)
+			g.goroutines.Go(func() { g.rediscoverEntries(ctx) })
 			return
 		}
-		pause.For(ctx, spread(backoff))
-		backoff = min(2*backoff, redialLimit(time.Since(reached)))
+		pause.For(ctx, jitter(backoff))
+		backoff = min(2*backoff, redialDelayLimit(time.Since(lastLinkedAt)))
 	}
 }
 
-// connectTime is how long a try may take until the TCP connection is there.
-func connectTime(try int) time.Duration {
-	if try%patientTry == 0 {
+// connectTimeoutFor returns the timeout for the TCP connection of the given dial attempt.
+func connectTimeoutFor(attempt int) time.Duration {
+	if attempt%longConnectEvery == 0 {
 		return dialTimeout // the address may be far away
 	}
-	return connectQuick
+	return quickConnectTimeout
 }
 
-func redialLimit(lost time.Duration) time.Duration {
-	if lost < soon {
-		return redialSoon
+// redialDelayLimit returns the maximum delay between dials of an address that was last linked
+// sinceLost ago.
+func redialDelayLimit(sinceLost time.Duration) time.Duration {
+	if sinceLost < recentLossAge {
+		return maxRecentRedialDelay
 	}
-	return redialMax
+	return maxRedialDelay
 }
 
-// findAgain asks the store where entries are after one was given up: it may only have been
-// cut off from here, and entries tell of others once.
-func (g *Guard) findAgain(ctx context.Context) {
-	pause.For(ctx, spread(lookupEvery))
+// rediscoverEntries looks up entries in the store after the guard stopped dialing one. That
+// entry may only have been partitioned from this guard, and other entries announce an address
+// only once.
+func (g *Guard) rediscoverEntries(ctx context.Context) {
+	pause.For(ctx, jitter(lookupInterval))
 	found, err := g.opt.Lookup(ctx)
 	if err != nil {
-		g.opt.Log.Warn("entries not found in the store", "err", err)
+		g.opt.Log.Warn("entry lookup in the store failed", "err", err)
 	}
 	g.AddEntries(found)
 }
 
-func (g *Guard) forget(address string) {
+// stopDialing allows AddEntries to dial the address again.
+func (g *Guard) stopDialing(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.dialing, address)
 }
 
-func (g *Guard) connect(ctx context.Context, address string, within time.Duration) (*guardLink, error) {
+// connect dials an entry and performs the handshake.
+func (g *Guard) connect(ctx context.Context, address string, connectTimeout time.Duration) (*guardLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	link, err := g.opt.Dial(wire.ConnectWithin(ctx, within), address)
+	link, err := g.opt.Dial(wire.ConnectWithin(ctx, connectTimeout), address)
 	if err != nil {
 		return nil, fmt.Errorf("dial entry %s: %w", address, err)
 	}
-	l, err := g.greet(ctx, link)
+	l, err := g.handshake(ctx, link)
 	if err != nil {
 		link.Close("no welcome")
 		return nil, fmt.Errorf("entry %s: %w", address, err)
@@ -131,14 +140,14 @@
 	return l, nil
 }
 
-// greet exchanges hello and welcome. The hello is sent under the lock, so that
-// what the machine sends afterwards is newer.
-func (g *Guard) greet(ctx context.Context, link wire.Link) (*guardLink, error) {
+// handshake exchanges hello and welcome, and registers the link. The hello is sent under the
+// lock, so that all frames that the machine sends later contain newer state.
+func (g *Guard) handshake(ctx context.Context, link wire.Link) (*guardLink, error) {
 	g.mu.Lock()
 	hello := &wire.RunHello{
 		Version: wire.Version, MinVersion: wire.MinVersion, Incarnation: g.id,
 		Worker: g.machine.Worker(), Load: g.machine.Load(g.opt.Clock(), ""),
-		Revision: g.version, Software: telemetry.Version, Texts: g.opt.TextsAddress,
+		Revision: g.configVersion, Software: telemetry.Version, Texts: g.opt.TextsAddress,
 	}
 	err := link.Send(&wire.Frame{RunHello: hello})
 	g.mu.Unlock()
@@ -150,17 +159,17 @@
 		return nil, fmt.Errorf("wait for welcome: %w", err)
 	}
 	if f.RunWelcome == nil || f.RunWelcome.Incarnation == "" {
-		return nil, errors.New("first frame is no welcome")
+		return nil, errors.New("first frame is not a welcome")
 	}
-	l := &guardLink{link: link, entry: f.RunWelcome.Incarnation, version: f.RunWelcome.Revision, asks: f.RunWelcome.Version >= wire.AsksSince}
-	g.open(l)
+	l := &guardLink{link: link, entry: f.RunWelcome.Incarnation, configVersion: f.RunWelcome.Revision, requestsConfig: f.RunWelcome.Version >= wire.AsksSince}
+	g.addLink(l)
 	g.AddEntries(f.RunWelcome.Entries)
 	return l, nil
 }
 
-// open makes a link the current one of its entry, and tells the entry what has
-// changed since the hello.
-func (g *Guard) open(l *guardLink) {
+// addLink registers a link as the current one of its entry, closes the previous one, and sends
+// the entry the current state, which may have changed since the hello.
+func (g *Guard) addLink(l *guardLink) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if old := g.links[l.entry]; old != nil {
@@ -172,19 +181,19 @@
 	g.stepLocked(func(now time.Duration, m *runs.Machine) {
 		m.LinkUp(now, l.entry)
 		w := m.Worker()
-		_ = l.link.Send(&wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, l.entry), Worker: &w}}) // see carryOut
+		_ = l.link.Send(&wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, l.entry), Worker: &w}}) // see execute
 	})
-	g.balance(l)
+	g.syncConfig(l)
 }
 
-// serve reads a link until it ends.
-func (g *Guard) serve(ctx context.Context, l *guardLink) {
+// serveLink handles the frames of a link until it is closed.
+func (g *Guard) serveLink(ctx context.Context, l *guardLink) {
 	for {
 		f, err := l.link.Recv(ctx)
 		if err != nil {
 			break
 		}
-		g.receive(l, f)
+		g.handleFrame(l, f)
 	}
 	l.link.Close("done")
 	g.mu.Lock()
@@ -198,7 +207,7 @@
 	g.stepLocked(func(now time.Duration, m *runs.Machine) { m.LinkDown(now, l.entry) })
 }
 
-func (g *Guard) receive(l *guardLink, f *wire.Frame) {
+func (g *Guard) handleFrame(l *guardLink, f *wire.Frame) {
 	if f.Entries != nil {
 		g.AddEntries(f.Entries.Addresses)
 		return
@@ -206,14 +215,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.links[l.entry] != l {
-		return // a newer link has taken its place
+		return // a newer link has replaced this one
 	}
 	switch {
 	case f.RunTasks != nil:
 		g.opt.Routine.Info("tasks taken", "job", f.RunTasks.Job, "request", f.RunTasks.Request, "entry", l.entry, "tasks", len(f.RunTasks.Tasks),
 			"age", g.opt.Clock()-time.Duration(f.RunTasks.ClockMs)*time.Millisecond, "left", time.Duration(f.RunTasks.LeftMs)*time.Millisecond)
 		if f.RunTasks.Keep && g.opt.Texts != nil {
-			g.opt.Texts.keep(textKey{entry: l.entry, job: f.RunTasks.Job}, f.RunTasks.Text)
+			g.opt.Texts.add(textKey{entry: l.entry, job: f.RunTasks.Job}, f.RunTasks.Text)
 		}
 		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.Run(now, l.entry, f.RunTasks) })
 	case f.StopRuns != nil:
@@ -221,9 +230,9 @@
 	case f.EntryBeat != nil:
 		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.Beat(now, l.entry, f.EntryBeat) })
 	case f.Desired != nil:
-		g.takeConfig(l, f.Desired)
+		g.handleConfig(l, f.Desired)
 	case f.Drains != nil:
-		g.takeDrains(l, f.Drains)
+		g.handleDrains(l, f.Drains)
 	case f.JobQuery != nil:
 		g.relayQuery(l, f.JobQuery)
 	case f.JobReport != nil:
@@ -233,26 +242,26 @@
 	}
 }
 
-// lookup asks the store for entries while there is no link, until ctx ends. It begins at
-// once: the entries that a guard is set up with are a few of many, and may be the last to
-// come back when all VMs had lost their power. Until then the guard would stand idle, and
-// the entries that are back have no worker.
-func (g *Guard) lookup(ctx context.Context) {
-	next := lookupSoon
+// discoverEntries looks up entries in the store while there is no link, until ctx ends. The
+// first lookup is immediate: the configured entries are a few of many, and after a power loss
+// of all VMs they may be the last to restart. Until then the worker would be idle, while the
+// entries that have restarted have no worker.
+func (g *Guard) discoverEntries(ctx context.Context) {
+	interval := firstLookupInterval
 	for ctx.Err() == nil {
-		if g.linked() == 0 {
+		if g.linkCount() == 0 {
 			found, err := g.opt.Lookup(ctx)
 			if err != nil {
-				g.opt.Log.Warn("entries not found in the store", "err", err)
+				g.opt.Log.Warn("entry lookup in the store failed", "err", err)
 			}
 			g.AddEntries(found)
 		}
-		pause.For(ctx, spread(next))
-		next = lookupEvery
+		pause.For(ctx, jitter(interval))
+		interval = lookupInterval
 	}
 }
 
-func (g *Guard) linked() int {
+func (g *Guard) linkCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.links)
--- a/internal/batchnode/guardlink_test.go
+++ b/internal/batchnode/guardlink_test.go
@@ -17,23 +17,23 @@
 // All VMs lose their power and come back within some hundred milliseconds of each other. A
 // guard that came first dials its entry's VM, which answers nothing. It waited for that
 // answer while the entry was back, and every request there was refused meanwhile.
-func TestGuardsLinkSoonToAnEntryWhosePowerReturns(t *testing.T) {
+func TestGuardsLinkSoonAfterEntryPowerReturns(t *testing.T) {
 	const guards = 40
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
-		var back atomic.Int64 // when the entry came, in nanoseconds of the clock
-		var sum atomic.Int64
+		var linkableSince atomic.Int64 // when the entry came, in nanoseconds of the clock
+		var totalDelay atomic.Int64
 		dial := func(ctx context.Context, address string) (wire.Link, error) {
-			if at := back.Load(); at > 0 {
-				sum.Add(int64(f.clock()) - at)
+			if since := linkableSince.Load(); since > 0 {
+				totalDelay.Add(int64(f.clock()) - since)
 				return f.dial(ctx, address)
 			}
-			within, bounded := wire.ConnectTime(ctx)
+			connectTimeout, bounded := wire.ConnectTime(ctx)
 			if !bounded {
-				within = time.Hour
+				connectTimeout = time.Hour
 			}
 			select { // what was sent to a dark VM is lost, also if it comes back meanwhile
-			case <-time.After(within):
+			case <-time.After(connectTimeout):
 			case <-ctx.Done():
 			}
 			return nil, errors.New("no answer")
@@ -41,7 +41,7 @@
 		for range guards {
 			g := NewGuard(GuardOptions{
 				Name: "guard", Entries: []string{"entry"}, Worker: newWorker(f, time.Second), Clock: f.clock,
-				Metrics: telemetry.New(), Log: quiet(), Dial: dial,
+				Metrics: telemetry.New(), Log: discardLogger(), Dial: dial,
 				Lookup: func(context.Context) ([]string, error) { return nil, nil },
 			})
 			go g.Run(f.ctx)
@@ -49,9 +49,9 @@
 		}
 		time.Sleep(1300 * time.Millisecond)
 		f.entry("entry")
-		back.Store(int64(f.clock()))
+		linkableSince.Store(int64(f.clock()))
 		time.Sleep(2 * time.Second)
-		mean := time.Duration(sum.Load()) / guards
+		mean := time.Duration(totalDelay.Load()) / guards
 		f.stop()
 		qt.Check(t, mean < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v", mean))
 	})
@@ -60,7 +60,7 @@
 // All VMs lost their power, and the entries that a guard is set up with come back last. The
 // others are listed in the store and have callers already: without a worker each of their
 // requests is refused.
-func TestGuardFindsTheOtherEntriesAtOnce(t *testing.T) {
+func TestGuardLooksUpEntriesAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
--- a/internal/batchnode/memory.go
+++ b/internal/batchnode/memory.go
@@ -27,21 +27,21 @@
 	loadTimeout = 500 * time.Millisecond
 )
 
-// remember begins with what an earlier guard of this worker knew, and then saves
+// persistReports begins with what an earlier guard of this worker knew, and then saves
 // each report that tells something new, until ctx ends.
-func (g *Guard) remember(ctx context.Context) {
-	g.recall(ctx)
+func (g *Guard) persistReports(ctx context.Context) {
+	g.restoreReport(ctx)
 	for {
 		select {
-		case rep := <-g.unsaved:
-			g.save(ctx, rep)
+		case rep := <-g.unsavedReport:
+			g.saveReport(ctx, rep)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (g *Guard) recall(ctx context.Context) {
+func (g *Guard) restoreReport(ctx context.Context) {
 	if policy.Linked().Has(policy.StoredReport) {
 		return
 	}
@@ -59,7 +59,7 @@
 		return
 	}
 	g.step(func(now time.Duration, m *runs.Machine) {
-		if g.reported {
+		if g.hasReport {
 			return // the worker's own word is newer
 		}
 		g.opt.Log.Info("beginning with the last report of the worker", "worker", rep.ID)
@@ -68,34 +68,34 @@
 	})
 }
 
-// keep lets a report be saved if it tells something new.
-func (g *Guard) keep(rep *runs.Report) {
+// queueReport lets a report be saved if it tells something new.
+func (g *Guard) queueReport(rep *runs.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.opt.Memory == nil || g.kept != nil && sameWorker(g.kept, rep) {
+	if g.opt.Memory == nil || g.lastQueuedReport != nil && sameWorkerState(g.lastQueuedReport, rep) {
 		return
 	}
-	g.kept = rep
+	g.lastQueuedReport = rep
 	select {
-	case <-g.unsaved: // an older one that was not saved yet
+	case <-g.unsavedReport: // an older one that was not saved yet
 	default:
 	}
-	g.unsaved <- rep
+	g.unsavedReport <- rep
 }
 
-func sameWorker(a, b *runs.Report) bool {
+func sameWorkerState(a, b *runs.Report) bool {
 	return a.ID == b.ID && a.Draining == b.Draining && a.Capacity == b.Capacity &&
 		a.Service == b.Service && a.Domain == b.Domain && slices.Equal(a.Labels, b.Labels)
 }
 
-// save writes a report. After a failure the next report is saved again.
-func (g *Guard) save(ctx context.Context, rep *runs.Report) {
+// saveReport writes a report. After a failure the next report is saved again.
+func (g *Guard) saveReport(ctx context.Context, rep *runs.Report) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
 	if err := g.opt.Memory.Save(ctx, rep); err != nil {
 		g.opt.Log.Warn("report of the worker not saved", "err", err)
 		g.mu.Lock()
-		g.kept = nil
+		g.lastQueuedReport = nil
 		g.mu.Unlock()
 	}
 }
--- a/internal/batchnode/node_test.go
+++ b/internal/batchnode/node_test.go
@@ -28,7 +28,7 @@
 		f.Assert(e.Workers(), qt.Equals, 1)
 		began := time.Now()
 		out := e.Submit(f.ctx, testJob("1", 3), time.Second)
-		f.complete(out)
+		f.assertComplete(out)
 		f.Assert(time.Since(began) < 110*time.Millisecond, qt.IsTrue)
 		f.Assert(e.State("1"), qt.Equals, batch.Complete)
 	})
@@ -36,7 +36,7 @@
 
 // A caller sends a job again while it runs, and once more after its answer. It
 // remains one job: nothing is started a second time.
-func TestJobThatIsSentAgainIsJoined(t *testing.T) {
+func TestResubmittedJobIsJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -48,15 +48,15 @@
 		for range 2 {
 			go func() { outs <- e.Submit(f.ctx, testJob("1", 1), time.Second) }()
 		}
-		f.complete(<-outs)
-		f.complete(<-outs)
-		f.complete(e.Submit(f.ctx, testJob("1", 1), time.Second))
+		f.assertComplete(<-outs)
+		f.assertComplete(<-outs)
+		f.assertComplete(e.Submit(f.ctx, testJob("1", 1), time.Second))
 		f.Assert(w.starts, qt.Equals, 1)
 	})
 }
 
 // A caller leaves. Its tasks are stopped at once and their room serves others.
-func TestTasksOfACallerWhoLeftAreStopped(t *testing.T) {
+func TestTasksStopWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -74,7 +74,7 @@
 
 // An entry is killed while a task runs for it. Its caller sends the job to another
 // entry 1.3 s later; the first run must have ended by then.
-func TestRunsOfAKilledEntryEndBeforeTheJobIsSentAgain(t *testing.T) {
+func TestRunsOfKilledEntryEndBeforeResubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -96,7 +96,7 @@
 
 // An entry freezes for seconds with a job that waits. Its caller has long sent the
 // job elsewhere when it wakes; begun then, it would run beside itself.
-func TestFrozenEntryAnswersItsJobsWhenItWakes(t *testing.T) {
+func TestEntryAnswersJobsAsUnknownAfterFreeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -117,7 +117,7 @@
 // The store turns one entry away and serves the other. The configuration reaches
 // the first through a guard; without that it would obey an old one for as long as
 // the store likes, and its callers would be told that a new queue does not exist.
-func TestConfigurationReachesAnEntryThatTheStoreTurnsAway(t *testing.T) {
+func TestConfigReachesEntryWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -125,26 +125,26 @@
 		f.entry("b")
 		f.guard(newWorker(f, time.Second), nil, "a", "b")
 		time.Sleep(time.Second)
-		f.Assert(a.Offer(5, []byte("five")), qt.IsNil)
+		f.Assert(a.OfferConfig(5, []byte("five")), qt.IsNil)
 		time.Sleep(time.Second)
-		f.Assert(f.inForce("b"), qt.Equals, int64(5))
+		f.Assert(f.configVersion("b"), qt.Equals, int64(5))
 		// One that joins later gets it as well, before the store answers it.
 		f.entry("c")
 		f.guards[0].AddEntries([]string{"c"})
 		time.Sleep(time.Second)
-		f.Assert(f.inForce("c"), qt.Equals, int64(5))
+		f.Assert(f.configVersion("c"), qt.Equals, int64(5))
 	})
 }
 
 // An older configuration arrives after a newer one, by a stale read or a slow
 // link. A process that went back would refuse what it has just served.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		e := f.entry("a")
-		f.Assert(e.Offer(7, []byte("seven")), qt.IsNil)
-		f.Assert(e.Offer(6, []byte("six")), qt.IsNil)
+		f.Assert(e.OfferConfig(7, []byte("seven")), qt.IsNil)
+		f.Assert(e.OfferConfig(6, []byte("six")), qt.IsNil)
 		version, document := e.Config()
 		f.Assert(version, qt.Equals, int64(7))
 		f.Assert(string(document), qt.Equals, "seven")
@@ -153,7 +153,7 @@
 
 // Every address in a guard's settings is of an entry that has been replaced. The
 // guard finds the others in the store; its worker would stand idle for good.
-func TestGuardFindsEntriesInTheStore(t *testing.T) {
+func TestGuardFindsEntriesInStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -167,7 +167,7 @@
 
 // A guard is stopped as planned while a task runs. The task ends, its caller gets
 // the answer, and the worker is told that the end was noted.
-func TestPlannedStopOfAGuardLetsTasksEnd(t *testing.T) {
+func TestGuardDrainWaitsForRunningTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -179,28 +179,28 @@
 		outs := make(chan *batch.Outcome, 1)
 		go func() { outs <- e.Submit(f.ctx, testJob("1", 1), 5*time.Second) }()
 		time.Sleep(100 * time.Millisecond)
-		limit, cancel := context.WithTimeout(f.ctx, 5*time.Second)
+		drainCtx, cancel := context.WithTimeout(f.ctx, 5*time.Second)
 		defer cancel()
-		g.Drain(limit)
-		f.Assert(limit.Err(), qt.IsNil)
-		f.complete(<-outs)
+		g.Drain(drainCtx)
+		f.Assert(drainCtx.Err(), qt.IsNil)
+		f.assertComplete(<-outs)
 		f.Assert(e.Submit(f.ctx, testJob("2", 1), time.Second).Err.Kind, qt.Equals, errkind.NoWorkers)
 	})
 }
 
-// memory is a Memory that a test looks into.
-type memory struct {
+// memoryReportStore is a Memory that a test looks into.
+type memoryReportStore struct {
 	mu  sync.Mutex
 	rep *runs.Report
 }
 
-func (m *memory) Load(context.Context) (*runs.Report, error) {
+func (m *memoryReportStore) Load(context.Context) (*runs.Report, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rep, nil
 }
 
-func (m *memory) Save(_ context.Context, rep *runs.Report) error {
+func (m *memoryReportStore) Save(_ context.Context, rep *runs.Report) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rep = rep
@@ -209,14 +209,14 @@
 
 // All guards are killed at once. Their workers report only a second later; until
 // then every request would be refused for want of a worker.
-func TestGuardBeginsWithWhatItsPredecessorKnew(t *testing.T) {
+func TestGuardStartsFromStoredReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		w, mem := newWorker(f, time.Second), new(memory)
+		w, reports := newWorker(f, time.Second), new(memoryReportStore)
 		ctx, kill := context.WithCancel(f.ctx)
 		first := NewGuard(GuardOptions{
-			Name: "guard", Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(), Memory: mem,
+			Name: "guard", Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), Memory: reports,
 			Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go first.Run(ctx)
@@ -225,7 +225,7 @@
 		kill()
 		e := f.entry("a")
 		second := NewGuard(GuardOptions{
-			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(), Memory: mem,
+			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), Memory: reports,
 			Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go second.Run(f.ctx)
@@ -236,7 +236,7 @@
 
 // A worker had announced that it leaves before its guard was killed. The successor
 // must not begin with the report from before.
-func TestGuardDoesNotBeginWithALeavingWorker(t *testing.T) {
+func TestGuardIgnoresStoredReportOfDrainingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -245,8 +245,8 @@
 		rep.Draining = true
 		e := f.entry("a")
 		g := NewGuard(GuardOptions{
-			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(),
-			Memory: &memory{rep: rep}, Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
+			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(),
+			Memory: &memoryReportStore{rep: rep}, Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go g.Run(f.ctx)
 		time.Sleep(time.Second)
@@ -257,7 +257,7 @@
 // All entries lose their power and come back. Until their earlier registrations
 // lapse, the list names each address twice. Counted so, each entry counted on half
 // of its part of the workers, and refused jobs that had time for six seconds.
-func TestEntryThatIsListedTwiceIsCountedOnce(t *testing.T) {
+func TestDuplicateEntryAddressesAreCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
--- a/internal/batchnode/query_test.go
+++ b/internal/batchnode/query_test.go
@@ -14,9 +14,9 @@
 // A caller's second connection leads to another entry than the one that runs its
 // job. Asked there, the job was said not to exist, and the caller would give up an
 // escort that is being booked.
-func TestStateOfAJobThatAnotherEntryRuns(t *testing.T) {
+func TestQueryFindsJobAtAnotherEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, a, b, _ := twoEntries(t)
+		f, a, b, _ := newTwoEntryFleet(t)
 		defer f.stop()
 		go a.Submit(f.ctx, testJob("1", 1), 9*time.Second)
 		time.Sleep(100 * time.Millisecond)
@@ -32,9 +32,9 @@
 // A caller cancels over a connection to another entry than the one that runs its
 // job. Told that there is no such job, it believes the work has stopped, while the
 // task goes on and keeps its room from others.
-func TestCancelOfAJobThatAnotherEntryRuns(t *testing.T) {
+func TestCancelReachesJobAtAnotherEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, a, b, w := twoEntries(t)
+		f, a, b, w := newTwoEntryFleet(t)
 		defer f.stop()
 		outs := make(chan *batch.Outcome, 1)
 		go func() { outs <- a.Submit(f.ctx, testJob("1", 2), 9*time.Second) }()
@@ -50,37 +50,37 @@
 
 // An entry is dark and may run the job that another one is asked for. "No such job"
 // would be a guess; the caller has to be told that it is not known.
-func TestStateIsNotCertainWhileAnEntryIsDark(t *testing.T) {
+func TestQueryIsUncertainWhileEntryIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _, b, _ := twoEntries(t)
+		f, _, b, _ := newTwoEntryFleet(t)
 		defer f.stop()
 		f.kill("a")
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
 		_, certain := b.Query(f.ctx, "1", false)
 		f.Check(certain, qt.IsFalse)
-		f.Check(time.Since(began) <= queryTries*queryTime, qt.IsTrue)
+		f.Check(time.Since(began) <= maxQueryAttempts*queryTimeout, qt.IsTrue)
 		// Once its registration has ended it is known to be gone, and its jobs are.
-		f.tellEntries("b")
+		f.setEntries("b")
 		_, certain = b.Query(f.ctx, "1", false)
 		f.Check(certain, qt.IsTrue)
 	})
 }
 
-// twoEntries is a fleet of entries a and b, which know of each other, and a guard whose
+// newTwoEntryFleet is a fleet of entries a and b, which know of each other, and a guard whose
 // worker takes a minute for a task.
-func twoEntries(t *testing.T) (f *fleet, a, b *Entry, w *worker) {
+func newTwoEntryFleet(t *testing.T) (f *fleet, a, b *Entry, w *worker) {
 	f = newFleet(t)
 	a, b = f.entry("a"), f.entry("b")
 	w = newWorker(f, time.Minute)
 	f.guard(w, nil, "a", "b").Heard(w.report())
 	time.Sleep(time.Second)
-	f.tellEntries("a", "b")
+	f.setEntries("a", "b")
 	return f, a, b, w
 }
 
-// tellEntries does what the list of entries in the store does.
-func (f *fleet) tellEntries(addresses ...string) {
+// setEntries does what the list of entries in the store does.
+func (f *fleet) setEntries(addresses ...string) {
 	for _, e := range f.entries {
 		e.SetEntries(append([]string(nil), addresses...))
 	}
@@ -88,9 +88,9 @@
 }
 
 // Guards against two runs of a job at once: a cut heals, and a request that it held up is begun while the job runs at the entry to which its caller has sent it again.
-func TestHeldUpRequestIsNotBegunBesideItsSuccessor(t *testing.T) {
+func TestDelayedRequestIsRefusedWhileJobRunsElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, a, b, w := twoEntries(t)
+		f, a, b, w := newTwoEntryFleet(t)
 		defer f.stop()
 		go a.Submit(f.ctx, testJob("1", 1), 9*time.Second)
 		time.Sleep(100 * time.Millisecond)
@@ -107,16 +107,16 @@
 }
 
 // Guards against callers who wait long for an entry that is dark, after a pause of all of them.
-func TestRequestAfterAPauseBeginsSoonBesideADarkEntry(t *testing.T) {
+func TestDelayedRequestStartsSoonWhileEntryIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _, b, w := twoEntries(t)
+		f, _, b, w := newTwoEntryFleet(t)
 		defer f.stop()
 		f.kill("a")
 		time.Sleep(100 * time.Millisecond)
 		job := testJob("1", 1)
 		job.HeldUp = true
 		go b.Submit(f.ctx, job, 9*time.Second)
-		time.Sleep(heldUpTime + 10*time.Millisecond)
+		time.Sleep(heldUpQueryTimeout + 10*time.Millisecond)
 		f.Check(w.running(), qt.Equals, 1)
 	})
 }
--- a/internal/batchnode/returns.go
+++ b/internal/batchnode/returns.go
@@ -10,8 +10,8 @@
 // one who follows the configuration asks all the while, and notices first. A nil pointer
 // tells nothing.
 type StoreReturns struct {
-	mu   sync.Mutex
-	next chan struct{} // closed at the next return; nil if nobody waits
+	mu        sync.Mutex
+	recovered chan struct{} // closed at the next return; nil if nobody waits
 }
 
 func (r *StoreReturns) announce() {
@@ -20,9 +20,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.next != nil {
-		close(r.next)
-		r.next = nil
+	if r.recovered != nil {
+		close(r.recovered)
+		r.recovered = nil
 	}
 }
 
@@ -32,19 +32,19 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-r.returned():
+	case <-r.nextRecovery():
 	case <-ctx.Done():
 	}
 }
 
-func (r *StoreReturns) returned() <-chan struct{} {
+func (r *StoreReturns) nextRecovery() <-chan struct{} {
 	if r == nil {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.next == nil {
-		r.next = make(chan struct{})
+	if r.recovered == nil {
+		r.recovered = make(chan struct{})
 	}
-	return r.next
+	return r.recovered
 }
--- a/internal/batchnode/returns_test.go
+++ b/internal/batchnode/returns_test.go
@@ -49,99 +49,99 @@
 	return ctx.Err()
 }
 
-// keepList follows the configuration and the list of entries as an entry does, and gives
+// followEntryList follows the configuration and the list of entries as an entry does, and gives
 // when each number of entries was first known.
-func keepList(ctx context.Context, s *listStore) (knownAt func(entries int) time.Duration) {
-	began, known := time.Now(), make(map[int]time.Duration)
-	returns := new(StoreReturns)
-	source := Source{Store: s, Prefix: "op/", Key: "op/config", Drains: "op/drain/", Log: quiet(), Metrics: telemetry.New(), Returns: returns}
-	go source.Follow(ctx, new(takenOrders))
-	list := Listing{Store: s, Prefix: "e/", Log: quiet(), Metrics: telemetry.New(), Returns: returns}
+func followEntryList(ctx context.Context, s *listStore) (knownAt func(entries int) time.Duration) {
+	began, knownTimes := time.Now(), make(map[int]time.Duration)
+	recovery := new(StoreReturns)
+	source := Source{Store: s, Prefix: "op/", Key: "op/config", Drains: "op/drain/", Log: discardLogger(), Metrics: telemetry.New(), Returns: recovery}
+	go source.Follow(ctx, new(orderRecorder))
+	list := Listing{Store: s, Prefix: "e/", Log: discardLogger(), Metrics: telemetry.New(), Returns: recovery}
 	go list.Keep(ctx, func(addresses []string) {
-		if _, ok := known[len(addresses)]; !ok {
-			known[len(addresses)] = time.Since(began)
+		if _, ok := knownTimes[len(addresses)]; !ok {
+			knownTimes[len(addresses)] = time.Since(began)
 		}
 	})
-	return func(entries int) time.Duration { return known[entries] }
+	return func(entries int) time.Duration { return knownTimes[entries] }
 }
 
 // All processes were killed while the store was away. When it returns, each entry has the
 // configuration within a moment, but those whose addresses guards are not set up with have
 // no guard until the list of entries is read: for seconds they refuse every request.
-func TestEntriesAreListedSoonAfterTheStoreReturns(t *testing.T) {
+func TestEntriesAreListedSoonAfterStoreRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const back = 5 * time.Second
-		ctx, end := context.WithCancel(t.Context())
+		const recoveryAt = 5 * time.Second
+		ctx, cancel := context.WithCancel(t.Context())
 		s := &listStore{down: true, entries: []string{"10.0.0.1:1", "10.0.0.2:1"}}
-		knownAt := keepList(ctx, s)
-		time.Sleep(back)
+		knownAt := followEntryList(ctx, s)
+		time.Sleep(recoveryAt)
 		s.set(func() { s.down = false })
 		time.Sleep(10 * time.Second)
-		end()
+		cancel()
 		synctest.Wait()
-		took := knownAt(2) - back
-		qt.Check(t, took > 0 && took <= storePause, qt.IsTrue, qt.Commentf("%v", took))
+		delay := knownAt(2) - recoveryAt
+		qt.Check(t, delay > 0 && delay <= storeRetryDelay, qt.IsTrue, qt.Commentf("%v", delay))
 	})
 }
 
 // The registrations lapsed while the store was away, and are written again a moment after
 // its return. A list that was read in that moment is empty.
-func TestEntriesThatRegisterAfterTheStoreReturnsAreListedSoon(t *testing.T) {
+func TestEntriesRegisteredAfterStoreRecoveryAreListedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const back = 5 * time.Second
-		ctx, end := context.WithCancel(t.Context())
+		const recoveryAt = 5 * time.Second
+		ctx, cancel := context.WithCancel(t.Context())
 		s := &listStore{down: true}
-		knownAt := keepList(ctx, s)
-		time.Sleep(back)
+		knownAt := followEntryList(ctx, s)
+		time.Sleep(recoveryAt)
 		s.set(func() { s.down = false })
-		time.Sleep(storePause + 50*time.Millisecond)
+		time.Sleep(storeRetryDelay + 50*time.Millisecond)
 		s.set(func() { s.entries = []string{"10.0.0.1:1", "10.0.0.2:1"} })
 		time.Sleep(10 * time.Second)
-		end()
+		cancel()
 		synctest.Wait()
-		took := knownAt(2) - back
-		qt.Check(t, took > 0 && took <= 2*storePause+50*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
+		delay := knownAt(2) - recoveryAt
+		qt.Check(t, delay > 0 && delay <= 2*storeRetryDelay+50*time.Millisecond, qt.IsTrue, qt.Commentf("%v", delay))
 	})
 }
 
 // Entries that start together register one after the other. One that was not in the first
 // list is found with the next, a moment later.
-func TestListThatHasJustChangedIsReadAgainSoon(t *testing.T) {
+func TestChangedEntryListIsReadAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		s := &listStore{entries: []string{"10.0.0.1:1"}}
-		knownAt := keepList(ctx, s)
+		knownAt := followEntryList(ctx, s)
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.entries = append(s.entries, "10.0.0.2:1") })
 		time.Sleep(10 * time.Second)
-		end()
+		cancel()
 		synctest.Wait()
-		qt.Check(t, knownAt(2) > 0 && knownAt(2) <= storePause, qt.IsTrue, qt.Commentf("%v", knownAt(2)))
+		qt.Check(t, knownAt(2) > 0 && knownAt(2) <= storeRetryDelay, qt.IsTrue, qt.Commentf("%v", knownAt(2)))
 	})
 }
 
-// Guards against an entry without a worker after a cut that outlasts forgetAfter.
-func TestGuardFindsAnEntryAgainThatItHadGivenUp(t *testing.T) {
+// Guards against an entry without a worker after a cut that outlasts dialGiveUpTimeout.
+func TestGuardRediscoversEntryAfterGivingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		f.entry("a")
 		w := newWorker(f, time.Second)
 		f.guard(w, []string{"a", "b"}, "a", "b").Heard(w.report())
-		time.Sleep(forgetAfter + 10*time.Second) // nobody listens at "b"
+		time.Sleep(dialGiveUpTimeout + 10*time.Second) // nobody listens at "b"
 		b := f.entry("b")
-		time.Sleep(2 * lookupEvery)
+		time.Sleep(2 * lookupInterval)
 		f.Assert(b.Workers(), qt.Equals, 1)
 	})
 }
 
 // Guards against links filled with the whole list of entries at each change.
-func TestGuardsAreToldOfNewEntriesOnly(t *testing.T) {
+func TestGuardsReceiveOnlyNewEntryAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		e := f.entry("a")
-		guard := f.link(e, "g", wire.Version)
+		guard := f.linkAsGuard(e, "g", wire.Version)
 		next := func() *wire.Frame {
 			frame, err := guard.Recv(f.ctx)
 			f.Assert(err, qt.IsNil)
--- a/internal/batchnode/source.go
+++ b/internal/batchnode/source.go
@@ -17,14 +17,14 @@
 	"wigeontray/internal/wire"
 )
 
-// Orders takes what the operators have written.
-type Orders interface {
+// OrderHandler takes what the operators have written.
+type OrderHandler interface {
 	// Offer takes a configuration.
-	Offer(version int64, document []byte) error
+	OfferConfig(version int64, document []byte) error
 	// OfferDrains takes the failure domains that are drained.
 	OfferDrains(d *wire.Drains)
-	// NoteUnknown takes a key that this program has no meaning for.
-	NoteUnknown(key string)
+	// NoteUnknownOrder takes a key that this program has no meaning for.
+	NoteUnknownOrder(key string)
 }
 
 // Source is where the operators' orders are followed.
@@ -41,52 +41,52 @@
 }
 
 // Follow offers the orders, and what changes of them, until ctx ends.
-func (s *Source) Follow(ctx context.Context, to Orders) {
-	up := true
-	answered := func() {
-		if !up {
+func (s *Source) Follow(ctx context.Context, handler OrderHandler) {
+	isReachable := true
+	onAnswer := func() {
+		if !isReachable {
 			s.Returns.announce()
 		}
-		s.logChange(&up, true, nil)
+		s.logReachability(&isReachable, true, nil)
 	}
 	for ctx.Err() == nil {
-		err := s.followOnce(ctx, to, answered)
+		err := s.followOnce(ctx, handler, onAnswer)
 		if err != nil && ctx.Err() == nil {
-			s.logChange(&up, errors.Is(err, store.ErrCompacted), err)
-			pause.For(ctx, spread(storePause))
+			s.logReachability(&isReachable, errors.Is(err, store.ErrCompacted), err)
+			pause.For(ctx, jitter(storeRetryDelay))
 		}
 	}
 }
 
-func (s *Source) logChange(up *bool, now bool, err error) {
-	if *up == now {
+func (s *Source) logReachability(wasReachable *bool, isReachable bool, err error) {
+	if *wasReachable == isReachable {
 		return
 	}
-	*up = now
-	if now {
+	*wasReachable = isReachable
+	if isReachable {
 		s.Log.Info("store answers again")
 		return
 	}
 	s.Log.Warn("store does not answer", "err", err)
 }
 
-func (s *Source) followOnce(ctx context.Context, to Orders, answered func()) error {
+func (s *Source) followOnce(ctx context.Context, handler OrderHandler, onAnswer func()) error {
 	kvs, revision, err := s.Store.Range(ctx, s.Prefix)
 	if err != nil {
 		return fmt.Errorf("read the operators' orders: %w", err)
 	}
-	answered()
-	drained := make(map[string]bool)
+	onAnswer()
+	drainedDomains := make(map[string]bool)
 	var events []store.Event
 	for _, kv := range kvs {
 		events = append(events, store.Event{KV: kv})
 	}
-	s.take(to, drained, revision, events)
-	out := make(chan store.Batch, 1)
+	s.deliver(handler, drainedDomains, revision, events)
+	batches := make(chan store.Batch, 1)
 	failed := make(chan error, 1)
-	go func() { failed <- s.Store.Watch(ctx, s.Prefix, revision, out) }()
-	for b := range out {
-		s.take(to, drained, b.Revision, b.Events)
+	go func() { failed <- s.Store.Watch(ctx, s.Prefix, revision, batches) }()
+	for batch := range batches {
+		s.deliver(handler, drainedDomains, batch.Revision, batch.Events)
 	}
 	if err := <-failed; err != nil {
 		return fmt.Errorf("watch the operators' orders: %w", err)
@@ -94,52 +94,52 @@
 	return nil
 }
 
-// take passes on what was read or has changed, as of a revision. The drains come first: an
+// deliver passes on what was read or has changed, as of a revision. The drains come first: an
 // entry must not begin to work by a configuration while it knows of none.
-func (s *Source) take(to Orders, drained map[string]bool, revision int64, events []store.Event) {
-	var rest []store.Event
+func (s *Source) deliver(handler OrderHandler, drainedDomains map[string]bool, revision int64, events []store.Event) {
+	var others []store.Event
 	for _, e := range events {
 		domain, isDrain := strings.CutPrefix(e.KV.Key, s.Drains)
-		switch err := checkDomain(domain); {
+		switch err := validateDomain(domain); {
 		case !isDrain:
-			rest = append(rest, e)
+			others = append(others, e)
 		case err != nil:
 			s.Metrics.Inc(telemetry.ForeignItems)
 			s.Log.Warn("drain passed over", "key", e.KV.Key, "err", err)
 		case e.Deleted:
-			delete(drained, domain)
+			delete(drainedDomains, domain)
 		default:
-			drained[domain] = true
+			drainedDomains[domain] = true
 		}
 	}
-	to.OfferDrains(&wire.Drains{Revision: revision, Domains: slices.Sorted(maps.Keys(drained))})
-	for _, e := range rest {
+	handler.OfferDrains(&wire.Drains{Revision: revision, Domains: slices.Sorted(maps.Keys(drainedDomains))})
+	for _, e := range others {
 		switch {
 		case e.KV.Key != s.Key:
-			to.NoteUnknown(e.KV.Key)
+			handler.NoteUnknownOrder(e.KV.Key)
 		case !e.Deleted:
-			s.offer(e.KV, to)
+			s.offerConfig(e.KV, handler)
 		}
 	}
 }
 
-// checkDomain tells why a word is no name of a failure domain, or nil.
-func checkDomain(name string) error {
-	if name == "" || len(name) > mostDomainName || strings.ContainsFunc(name, notInName) {
+// validateDomain tells why a word is no name of a failure domain, or nil.
+func validateDomain(name string) error {
+	if name == "" || len(name) > maxDomainNameBytes || strings.ContainsFunc(name, isInvalidInName) {
 		return fmt.Errorf("%w: %q is no name of a failure domain", ErrForeign, name)
 	}
 	return nil
 }
 
-// mostDomainName bounds the name of a failure domain, in bytes.
-const mostDomainName = 100
+// maxDomainNameBytes bounds the name of a failure domain, in bytes.
+const maxDomainNameBytes = 100
 
-func notInName(r rune) bool { return r == '/' || !unicode.IsPrint(r) || unicode.IsSpace(r) }
+func isInvalidInName(r rune) bool { return r == '/' || !unicode.IsPrint(r) || unicode.IsSpace(r) }
 
-func (s *Source) offer(kv store.KV, to Orders) {
+func (s *Source) offerConfig(kv store.KV, handler OrderHandler) {
 	version, err := s.Version(kv.Value)
 	if err == nil {
-		err = to.Offer(version, kv.Value)
+		err = handler.OfferConfig(version, kv.Value)
 	}
 	if err != nil {
 		s.Log.Error("configuration refused, the last one stays in force", "revision", kv.ModRevision, "err", err)
--- a/internal/batchnode/status.go
+++ b/internal/batchnode/status.go
@@ -14,8 +14,8 @@
 
 // ConfigStatus is the configuration that a process has.
 type ConfigStatus struct {
-	Version  int64   `json:"version"`              // 0 before the first
-	InForceS float64 `json:"in_force_s,omitempty"` // seconds
+	Version        int64   `json:"version"`              // 0 before the first
+	InForceSeconds float64 `json:"in_force_s,omitempty"` // seconds
 }
 
 // DrainsStatus is what a process knows of the operators' drains.
@@ -26,9 +26,9 @@
 
 // DrainStatus is one drained failure domain.
 type DrainStatus struct {
-	Domain  string  `json:"domain"`
-	KnownS  float64 `json:"known_s,omitempty"` // for how many seconds this process has known
-	Workers int     `json:"workers,omitempty"` // that an entry knows there
+	Domain       string  `json:"domain"`
+	KnownSeconds float64 `json:"known_s,omitempty"` // for how many seconds this process has known
+	Workers      int     `json:"workers,omitempty"` // that an entry knows there
 }
 
 // ProcessStatus is what the states of all processes have.
@@ -57,14 +57,14 @@
 	jobs, _ := e.machine.Jobs("")
 	s := EntryStatus{
 		ProcessStatus: ProcessStatus{
-			Incarnation: e.id, Config: ConfigStatus{Version: e.version},
-			Drains: drainsStatus(&e.drains.known, e.drains.since, now),
+			Incarnation: e.id, Config: ConfigStatus{Version: e.configVersion},
+			Drains: newDrainsStatus(&e.drains.known, e.drains.knownSince, now),
 		},
-		UnknownOrders: append([]string{}, e.unknown...),
+		UnknownOrders: append([]string{}, e.unknownOrders...),
 		Guards:        len(e.links), Workers: e.machine.Workers(), Jobs: jobs,
 	}
-	if e.version > 0 {
-		s.Config.InForceS = (now - e.inForce).Seconds()
+	if e.configVersion > 0 {
+		s.Config.InForceSeconds = (now - e.configAppliedAt).Seconds()
 	}
 	for i := range s.Drains.Domains {
 		d := &s.Drains.Domains[i]
@@ -91,38 +91,38 @@
 	w := g.machine.Worker()
 	return GuardStatus{
 		ProcessStatus: ProcessStatus{
-			Incarnation: g.id, Config: ConfigStatus{Version: g.version},
-			Drains: drainsStatus(&g.drains, g.drained, g.opt.Clock()),
+			Incarnation: g.id, Config: ConfigStatus{Version: g.configVersion},
+			Drains: newDrainsStatus(&g.drains, g.drainedSince, g.opt.Clock()),
 		},
 		Entries: len(g.links), Worker: w.ID, Domain: w.Domain, Usable: w.Usable,
 		Drained: g.machine.Drained(), Runs: g.machine.Running(),
 	}
 }
 
-func drainsStatus(d *wire.Drains, since map[string]time.Duration, now time.Duration) DrainsStatus {
+func newDrainsStatus(d *wire.Drains, since map[string]time.Duration, now time.Duration) DrainsStatus {
 	s := DrainsStatus{Revision: d.Revision, Domains: []DrainStatus{}}
 	for _, domain := range d.Domains {
-		s.Domains = append(s.Domains, DrainStatus{Domain: domain, KnownS: (now - since[domain]).Seconds()})
+		s.Domains = append(s.Domains, DrainStatus{Domain: domain, KnownSeconds: (now - since[domain]).Seconds()})
 	}
 	return s
 }
 
-// since keeps when each domain of a list was first known to be drained.
-func since(before map[string]time.Duration, domains []string, now time.Duration) map[string]time.Duration {
-	after := make(map[string]time.Duration, len(domains))
+// knownSince keeps when each domain of a list was first known to be drained.
+func knownSince(previous map[string]time.Duration, domains []string, now time.Duration) map[string]time.Duration {
+	merged := make(map[string]time.Duration, len(domains))
 	for _, d := range domains {
-		after[d] = now
-		if at, known := before[d]; known {
-			after[d] = at
+		merged[d] = now
+		if knownAt, known := previous[d]; known {
+			merged[d] = knownAt
 		}
 	}
-	return after
+	return merged
 }
 
 // ServeStatus answers with the state that of returns, as JSON.
-func ServeStatus[T any](of func() T) http.Handler {
+func ServeStatus[T any](status func() T) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(of()) // an operator who has left needs no answer
+		_ = json.NewEncoder(w).Encode(status()) // an operator who has left needs no answer
 	})
 }
--- a/internal/batchnode/texts.go
+++ b/internal/batchnode/texts.go
@@ -18,15 +18,15 @@
 
 // Bounds of the texts that a guard has ready for others.
 const (
-	// textKept is how long a text is ready. All tasks of a job are placed within that
+	// textRetention is how long a text is ready. All tasks of a job are placed within that
 	// time, or fetch it in vain and get it from their entry.
-	textKept = 2 * time.Second
-	// textAwaited is how long a request waits for a text that is still on its way here.
-	textAwaited = 60 * time.Millisecond
-	// textsBytes bounds what is ready; beyond it the oldest text goes.
-	textsBytes = 1 << 20
-	// textBytes bounds what is read of another guard's answer.
-	textBytes = 1 << 20
+	textRetention = 2 * time.Second
+	// textWaitTimeout is how long a request waits for a text that is still on its way here.
+	textWaitTimeout = 60 * time.Millisecond
+	// maxCachedTextBytes bounds what is ready; beyond it the oldest text goes.
+	maxCachedTextBytes = 1 << 20
+	// maxFetchedTextBytes bounds what is read of another guard's answer.
+	maxFetchedTextBytes = 1 << 20
 )
 
 // TextsPath is where a guard serves texts to others.
@@ -39,64 +39,64 @@
 	job   string
 }
 
-// keptText is a text, or the wait for one. ready is closed once it is there.
-type keptText struct {
-	text  string
-	ready chan struct{}
-	until time.Time
+// cachedText is a text, or the wait for one. ready is closed once it is there.
+type cachedText struct {
+	text      string
+	ready     chan struct{}
+	expiresAt time.Time
 }
 
 // Texts has the texts of jobs ready for other guards whose workers run tasks of them. An
 // entry with a thin link sends a text to one guard only.
 type Texts struct {
-	mu    sync.Mutex
-	kept  map[textKey]*keptText
-	order []textKey // oldest first
-	bytes int
+	mu             sync.Mutex
+	byKey          map[textKey]*cachedText
+	insertionOrder []textKey // oldest first
+	totalBytes     int
 }
 
 // NewTexts returns an empty Texts.
-func NewTexts() *Texts { return &Texts{kept: make(map[textKey]*keptText)} }
+func NewTexts() *Texts { return &Texts{byKey: make(map[textKey]*cachedText)} }
 
-// keep has a text ready for a while.
-func (t *Texts) keep(k textKey, text string) {
+// add has a text ready for a while.
+func (t *Texts) add(k textKey, text string) {
 	if text == "" {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.drop(time.Now())
-	e := t.await(k)
-	if e.text != "" {
+	t.evict(time.Now())
+	cached := t.getOrCreate(k)
+	if cached.text != "" {
 		return
 	}
-	e.text, e.until = text, time.Now().Add(textKept)
-	close(e.ready)
-	t.order = append(t.order, k)
-	t.bytes += len(text)
+	cached.text, cached.expiresAt = text, time.Now().Add(textRetention)
+	close(cached.ready)
+	t.insertionOrder = append(t.insertionOrder, k)
+	t.totalBytes += len(text)
 }
 
-// await gives the entry of a text. mu is held.
-func (t *Texts) await(k textKey) *keptText {
-	e := t.kept[k]
-	if e == nil {
-		e = &keptText{ready: make(chan struct{})}
-		t.kept[k] = e
+// getOrCreate gives the entry of a text. mu is held.
+func (t *Texts) getOrCreate(k textKey) *cachedText {
+	cached := t.byKey[k]
+	if cached == nil {
+		cached = &cachedText{ready: make(chan struct{})}
+		t.byKey[k] = cached
 	}
-	return e
+	return cached
 }
 
-// drop forgets texts whose time is over, and the oldest beyond textsBytes. mu is held.
-func (t *Texts) drop(now time.Time) {
-	for len(t.order) > 0 {
-		k := t.order[0]
-		e := t.kept[k]
-		if now.Before(e.until) && t.bytes <= textsBytes {
+// evict forgets texts whose time is over, and the oldest beyond maxCachedTextBytes. mu is held.
+func (t *Texts) evict(now time.Time) {
+	for len(t.insertionOrder) > 0 {
+		k := t.insertionOrder[0]
+		cached := t.byKey[k]
+		if now.Before(cached.expiresAt) && t.totalBytes <= maxCachedTextBytes {
 			return
 		}
-		t.order = t.order[1:]
-		t.bytes -= len(e.text)
-		delete(t.kept, k)
+		t.insertionOrder = t.insertionOrder[1:]
+		t.totalBytes -= len(cached.text)
+		delete(t.byKey, k)
 	}
 }
 
@@ -104,21 +104,21 @@
 // its frame and the one that leads here take different ways.
 func (t *Texts) get(ctx context.Context, k textKey) (string, bool) {
 	t.mu.Lock()
-	e := t.await(k)
+	cached := t.getOrCreate(k)
 	t.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, textAwaited)
+	ctx, cancel := context.WithTimeout(ctx, textWaitTimeout)
 	defer cancel()
 	select {
-	case <-e.ready:
-		return e.text, true
+	case <-cached.ready:
+		return cached.text, true
 	case <-ctx.Done():
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.kept[k] == e && e.text == "" {
-		delete(t.kept, k) // nobody else is served worse: they time out alike
+	if t.byKey[k] == cached && cached.text == "" {
+		delete(t.byKey, k) // nobody else is served worse: they time out alike
 	}
-	return e.text, e.text != ""
+	return cached.text, cached.text != ""
 }
 
 // ServeHTTP answers other guards.
@@ -135,9 +135,9 @@
 
 // Connections to other guards.
 const (
-	textsConnect = 40 * time.Millisecond
-	textsIdle    = 10 * time.Second
-	textsPerHost = 2
+	textConnectTimeout      = 40 * time.Millisecond
+	textIdleTimeout         = 10 * time.Second
+	maxIdleTextConnsPerHost = 2
 )
 
 // TextClient fetches texts from other guards.
@@ -145,32 +145,32 @@
 
 // NewTextClient returns a client without connections.
 func NewTextClient() *TextClient {
-	d := &net.Dialer{Timeout: textsConnect, KeepAlive: -1}
+	d := &net.Dialer{Timeout: textConnectTimeout, KeepAlive: -1}
 	return &TextClient{http: &http.Client{Transport: &http.Transport{
-		DialContext: d.DialContext, IdleConnTimeout: textsIdle, MaxIdleConnsPerHost: textsPerHost, DisableCompression: true,
+		DialContext: d.DialContext, IdleConnTimeout: textIdleTimeout, MaxIdleConnsPerHost: maxIdleTextConnsPerHost, DisableCompression: true,
 	}}}
 }
 
 // Fetch gets the text of a job.
 func (c *TextClient) Fetch(ctx context.Context, f *runs.Fetch) (string, error) {
-	q := url.Values{"entry": {string(f.From)}, "job": {f.Job}}
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Source+TextsPath+"?"+q.Encode(), nil)
+	query := url.Values{"entry": {string(f.From)}, "job": {f.Job}}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Source+TextsPath+"?"+query.Encode(), nil)
 	if err != nil {
 		return "", fmt.Errorf("fetch text: %w", err)
 	}
-	answer, err := c.http.Do(r)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return "", fmt.Errorf("fetch text: %w", err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("fetch text: %s", answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return "", fmt.Errorf("fetch text: %s", response.Status)
 	}
-	text, err := io.ReadAll(io.LimitReader(answer.Body, textBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxFetchedTextBytes))
 	switch {
 	case err != nil:
 		return "", fmt.Errorf("fetch text: %w", err)
-	case len(text) == 0 || int64(len(text)) != answer.ContentLength:
+	case len(text) == 0 || int64(len(text)) != response.ContentLength:
 		return "", errors.New("fetch text: the answer is cut")
 	}
 	return string(text), nil
--- a/internal/batchnode/texts_test.go
+++ b/internal/batchnode/texts_test.go
@@ -15,10 +15,10 @@
 )
 
 // Guards against tasks given back as their text was asked for just before it arrived.
-func TestTextIsWaitedForAMoment(t *testing.T) {
+func TestTextCacheWaitsForArrivingText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		texts, k := NewTexts(), textKey{entry: "e", job: "j"}
-		time.AfterFunc(textAwaited/2, func() { texts.keep(k, "text") })
+		time.AfterFunc(textWaitTimeout/2, func() { texts.add(k, "text") })
 		text, ok := texts.get(context.Background(), k)
 		qt.Check(t, ok, qt.IsTrue)
 		qt.Check(t, text, qt.Equals, "text")
@@ -29,28 +29,28 @@
 }
 
 // Guards against texts that pile up until the guard is out of memory.
-func TestTextsAreForgotten(t *testing.T) {
+func TestTextCacheIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		texts := NewTexts()
-		long := strings.Repeat("x", textsBytes/10)
+		long := strings.Repeat("x", maxCachedTextBytes/10)
 		for i := range 40 {
-			texts.keep(textKey{entry: "e", job: string(rune('a' + i))}, long)
-			qt.Check(t, texts.bytes <= textsBytes+len(long), qt.IsTrue)
+			texts.add(textKey{entry: "e", job: string(rune('a' + i))}, long)
+			qt.Check(t, texts.totalBytes <= maxCachedTextBytes+len(long), qt.IsTrue)
 		}
-		time.Sleep(textKept)
-		texts.keep(textKey{entry: "e", job: "last"}, "text")
-		qt.Check(t, len(texts.kept), qt.Equals, 1)
-		texts.keep(textKey{entry: "e", job: "empty"}, "")
+		time.Sleep(textRetention)
+		texts.add(textKey{entry: "e", job: "last"}, "text")
+		qt.Check(t, len(texts.byKey), qt.Equals, 1)
+		texts.add(textKey{entry: "e", job: "empty"}, "")
 		_, ok := texts.get(context.Background(), textKey{entry: "e", job: "empty"})
 		qt.Check(t, ok, qt.IsFalse)
-		qt.Check(t, len(texts.kept), qt.Equals, 1)
+		qt.Check(t, len(texts.byKey), qt.Equals, 1)
 	})
 }
 
 // Guards against a missing or cut answer of another guard taken for a text.
-func TestTextIsFetchedFromAnotherGuard(t *testing.T) {
+func TestFetchTextFromAnotherGuard(t *testing.T) {
 	texts := NewTexts()
-	texts.keep(textKey{entry: "e/1", job: "j"}, "text")
+	texts.add(textKey{entry: "e/1", job: "j"}, "text")
 	guard := httptest.NewServer(texts)
 	defer guard.Close()
 	cut := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/batchnode/upkeep.go
+++ b/internal/batchnode/upkeep.go
@@ -19,11 +19,11 @@
 const (
 	// registrationTTL is how long an entry that is gone stays listed.
 	registrationTTL = 6 * time.Second
-	renewEvery      = 2 * time.Second
-	listEvery       = 2 * time.Second
-	// storePause is the wait after a call that failed: the store may be down for
+	renewInterval   = 2 * time.Second
+	listInterval    = 2 * time.Second
+	// storeRetryDelay is the wait after a call that failed: the store may be down for
 	// long, and each call counts.
-	storePause = 400 * time.Millisecond
+	storeRetryDelay = 400 * time.Millisecond
 )
 
 // Registration keeps an entry's address in the store.
@@ -39,15 +39,15 @@
 func (r *Registration) Keep(ctx context.Context) {
 	var lease store.LeaseID
 	for ctx.Err() == nil {
-		next := renewEvery
+		delay := renewInterval
 		if err := r.renew(ctx, &lease); err != nil && ctx.Err() == nil {
 			r.Log.Warn("not registered in the store", "err", err)
-			next = spread(storePause)
+			delay = jitter(storeRetryDelay)
 		}
-		r.Returns.wait(ctx, next)
+		r.Returns.wait(ctx, delay)
 	}
 	if lease != 0 {
-		ctx, cancel := context.WithTimeout(context.Background(), storePause)
+		ctx, cancel := context.WithTimeout(context.Background(), storeRetryDelay)
 		defer cancel()
 		if err := r.Store.Revoke(ctx, lease); err != nil {
 			r.Log.Warn("registration not taken back; it lapses by itself", "err", err)
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// mostPassed bounds the keys that are remembered as passed over: another writer may make
+// maxSkippedKeys bounds the keys that are remembered as passed over: another writer may make
 // new ones without end. Beyond it, they are told again.
-const mostPassed = 256
+const maxSkippedKeys = 256
 
 // Listing reads where entries are registered.
 type Listing struct {
@@ -92,8 +92,8 @@
 	Metrics *telemetry.Registry
 	Returns *StoreReturns // cuts waits short; may be nil
 
-	mu     sync.Mutex
-	passed map[string]bool // keys that were passed over, each told once
+	mu          sync.Mutex
+	skippedKeys map[string]bool // keys that were passed over, each told once
 }
 
 // Addresses gives the addresses that are listed. Another writer may have put something
@@ -104,19 +104,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("list entries: %w", err)
 	}
-	out := make([]string, 0, len(kvs))
+	addresses := make([]string, 0, len(kvs))
 	for _, kv := range kvs {
-		if err := checkAddress(kv.Value); err != nil {
-			l.passOver(kv.Key, err)
+		if err := validateAddress(kv.Value); err != nil {
+			l.skip(kv.Key, err)
 			continue
 		}
-		out = append(out, string(kv.Value))
+		addresses = append(addresses, string(kv.Value))
 	}
-	return out, nil
+	return addresses, nil
 }
 
-// checkAddress tells why a value is no IP address with a port, or nil.
-func checkAddress(value []byte) error {
+// validateAddress tells why a value is no IP address with a port, or nil.
+func validateAddress(value []byte) error {
 	a, err := netip.ParseAddrPort(string(value))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrForeign, err)
@@ -127,16 +127,16 @@
 	return nil
 }
 
-func (l *Listing) passOver(key string, err error) {
+func (l *Listing) skip(key string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.passed[key] {
+	if l.skippedKeys[key] {
 		return
 	}
-	if l.passed == nil || len(l.passed) >= mostPassed {
-		l.passed = make(map[string]bool)
+	if l.skippedKeys == nil || len(l.skippedKeys) >= maxSkippedKeys {
+		l.skippedKeys = make(map[string]bool)
 	}
-	l.passed[key] = true
+	l.skippedKeys[key] = true
 	l.Metrics.Inc(telemetry.ForeignItems)
 	l.Log.Warn("listed entry passed over", "key", key, "err", err)
 }
@@ -148,18 +148,18 @@
 // together while the store was away register one after the other when it returns. With the
 // slow pace alone, those beyond the addresses that guards are set up with had no guard for
 // up to four seconds, and refused every request.
-func (l *Listing) Keep(ctx context.Context, found func([]string)) {
-	var last []string
+func (l *Listing) Keep(ctx context.Context, update func([]string)) {
+	var previous []string
 	for ctx.Err() == nil {
-		list, err := l.Addresses(ctx)
-		if err == nil && len(list) > 0 {
-			found(slices.Clone(list))
+		addresses, err := l.Addresses(ctx)
+		if err == nil && len(addresses) > 0 {
+			update(slices.Clone(addresses))
 		}
-		next := storePause
-		if err == nil && len(list) > 0 && slices.Equal(list, last) {
-			next = 2 * listEvery
+		delay := storeRetryDelay
+		if err == nil && len(addresses) > 0 && slices.Equal(addresses, previous) {
+			delay = 2 * listInterval
 		}
-		last = list
-		l.Returns.wait(ctx, spread(next))
+		previous = addresses
+		l.Returns.wait(ctx, jitter(delay))
 	}
 }
