--- a/internal/batchnode/memory.go
+++ b/internal/batchnode/memory.go
@@ -14,21 +14,20 @@
 	"wigeontray/internal/telemetry"
 )
 
-// A worker reports every second and a half. After all guards were killed, the
-// fleet would have no worker until then, and refuse what comes. A guard
-// therefore keeps its worker's last report in the store, and its successor begins
-// with that: what may be out of date in it is verified with the worker, and a
-// report corrects the rest.
+// A worker reports every 1.5 s. If all guards were killed at once, the restarted guards would
+// have no worker until the next report, and the fleet would refuse every request. A guard
+// therefore saves the last report of its worker in the store, and the next process of the
+// guard starts from it: what may be outdated is verified with the worker, and the next report
+// corrects the rest.
 
-// saveTimeout bounds one call; loadTimeout the wait at the start, after which a
-// report has most likely come.
+// saveTimeout is the timeout for saving a report. loadTimeout is the timeout for loading it at
+// the start; after that time the worker has most likely sent a report.
 const (
 	saveTimeout = time.Second
 	loadTimeout = 500 * time.Millisecond
 )
 
-// persistReports begins with what an earlier guard of this worker knew, and then saves
-// each report that tells something new, until ctx ends.
+// persistReports restores the stored report, and then saves each queued report until ctx ends.
 func (g *Guard) persistReports(ctx context.Context) {
 	g.restoreReport(ctx)
 	for {
@@ -41,6 +40,8 @@
 	}
 }
 
+// restoreReport passes the stored report to the machine, unless the worker has reported in the
+// meantime.
 func (g *Guard) restoreReport(ctx context.Context) {
 	if policy.Linked().Has(policy.StoredReport) {
 		return
@@ -52,7 +53,7 @@
 		g.opt.Metrics.Inc(telemetry.ForeignItems)
 	}
 	if err != nil {
-		g.opt.Log.Warn("last report of the worker not read, waiting for the next", "err", err)
+		g.opt.Log.Warn("stored report of the worker not read, waiting for the next report", "err", err)
 		return
 	}
 	if rep == nil || rep.Draining {
@@ -60,15 +61,16 @@
 	}
 	g.step(func(now time.Duration, m *runs.Machine) {
 		if g.hasReport {
-			return // the worker's own word is newer
+			return // a report of the worker is newer
 		}
-		g.opt.Log.Info("beginning with the last report of the worker", "worker", rep.ID)
+		g.opt.Log.Info("starting with the stored report of the worker", "worker", rep.ID)
 		rep.Seq, rep.Recalled = 0, true
 		m.Heard(now, rep)
 	})
 }
 
-// queueReport lets a report be saved if it tells something new.
+// queueReport queues a report for saving if it differs from the last one that was queued. It
+// replaces a report that is still in the queue.
 func (g *Guard) queueReport(rep *runs.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,44 +79,45 @@
 	}
 	g.lastQueuedReport = rep
 	select {
-	case <-g.unsavedReport: // an older one that was not saved yet
+	case <-g.unsavedReport: // an older report that was not saved yet
 	default:
 	}
 	g.unsavedReport <- rep
 }
 
+// sameWorkerState reports whether two reports agree in all that a restarted guard needs.
 func sameWorkerState(a, b *runs.Report) bool {
 	return a.ID == b.ID && a.Draining == b.Draining && a.Capacity == b.Capacity &&
 		a.Service == b.Service && a.Domain == b.Domain && slices.Equal(a.Labels, b.Labels)
 }
 
-// saveReport writes a report. After a failure the next report is saved again.
+// saveReport saves a report. After a failure the next report is saved even if it is unchanged.
 func (g *Guard) saveReport(ctx context.Context, rep *runs.Report) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
 	if err := g.opt.Memory.Save(ctx, rep); err != nil {
-		g.opt.Log.Warn("report of the worker not saved", "err", err)
+		g.opt.Log.Warn("worker report not saved", "err", err)
 		g.mu.Lock()
 		g.lastQueuedReport = nil
 		g.mu.Unlock()
 	}
 }
 
-// ErrForeign marks what lies in the store in another form than this program writes.
-var ErrForeign = errors.New("not of the expected form")
+// ErrForeign marks an item of the store that is not in the form in which this program writes it.
+var ErrForeign = errors.New("unexpected form")
 
-// StoredReport is a Memory in the platform's store.
+// StoredReport implements Memory with one key of the platform's store.
 type StoredReport struct {
 	Store    store.Store
-	Key      string // of this VM's guard alone
-	revision int64  // of the key, as far as known
+	Key      string // used only by the guard of this VM
+	revision int64  // last known revision of the key; 0 if none
 }
 
 // Load implements Memory.
 func (s *StoredReport) Load(ctx context.Context) (*runs.Report, error) {
 	kvs, _, err := s.Store.Range(ctx, s.Key)
 	if err != nil {
-		return nil, fmt.Errorf("read last report: %w", err)
+		return nil, fmt.Errorf("read stored report: %w", err)
 	}
 	for _, kv := range kvs {
 		if kv.Key != s.Key {
@@ -126,7 +129,8 @@
 	return nil, nil
 }
 
-// decodeStored reads a stored report. Whatever names no worker to use is ErrForeign.
+// decodeStored decodes and validates a stored report. The error is ErrForeign if the report
+// does not describe a usable worker.
 func decodeStored(value []byte) (*runs.Report, error) {
 	rep := new(runs.Report)
 	err := json.Unmarshal(value, rep)
@@ -134,16 +138,16 @@
 		err = rep.Check()
 	}
 	if err == nil && (rep.Capacity.CPU == 0 || rep.Capacity.MemoryMB == 0) {
-		err = errors.New("report without capacity")
+		err = errors.New("report has no capacity")
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: last report: %w", ErrForeign, err)
+		return nil, fmt.Errorf("%w: stored report: %w", ErrForeign, err)
 	}
 	return rep, nil
 }
 
-// Save implements Memory. It writes over what stands there: only this VM's
-// guard writes the key, and a conflict means that an earlier answer was lost.
+// Save implements Memory. It overwrites the value on a revision conflict: only the guard of this
+// VM writes the key, so a conflict means that the response to an earlier write was lost.
 func (s *StoredReport) Save(ctx context.Context, rep *runs.Report) error {
 	value, err := json.Marshal(rep)
 	if err != nil {
--- a/internal/batchnode/query.go
+++ b/internal/batchnode/query.go
@@ -9,34 +9,36 @@
 	"wigeontray/internal/wire"
 )
 
-// Entries have no links to each other. A caller may ask any of them for its job;
-// one that does not run it asks the others over a guard.
+// Entries have no links to each other. A caller may send a query or a cancellation for its job
+// to any of them; an entry that does not run the job asks the others through a guard, which
+// relays the query and the reports.
 
 // Timing of queries.
 const (
-	// queryTimeout bounds the wait for the words of the other entries. Two round trips
-	// take 2 to 10 ms within a region and 50 ms between two; a frozen entry or guard
-	// does not answer at all.
+	// queryTimeout is how long an entry waits for the reports of the other entries. Two
+	// round trips take 2 to 10 ms within a region and 50 ms between two regions; a frozen
+	// entry or guard does not answer at all.
 	queryTimeout = 200 * time.Millisecond
-	// maxQueryAttempts is how many guards are asked in turn, as one may be frozen.
+	// maxQueryAttempts is how many guards are tried one after the other, as one may be frozen.
 	maxQueryAttempts = 2
-	// heldUpQueryTimeout bounds the wait before a job that may have been held up begins.
+	// heldUpQueryTimeout is the maximum delay that the query adds to a job whose request may
+	// have been delayed by a network partition.
 	heldUpQueryTimeout = 50 * time.Millisecond
 )
 
-// queries are an entry's questions that are under way. The entry's lock covers it.
+// queries holds the queries of an entry that wait for reports. It is guarded by Entry.mu.
 type queries struct {
 	lastSeq uint64
 	pending map[uint64]*query
 }
 
-// query is one question to all other entries.
+// query is one query to all other entries.
 type query struct {
-	expectedReports int // words that make it certain
-	relayedTo       int // entries that the guard has asked; -1 until it tells
+	expectedReports int // reports needed for a certain result: one from each other entry
+	relayedTo       int // entries to which the guard relayed the query; -1 until it reports that
 	receivedReports int
-	state           batch.State   // Unknown until an entry knows the job
-	done            chan struct{} // closed when there is nothing more to wait for
+	state           batch.State   // Unknown until an entry reports the job
+	done            chan struct{} // closed when all reports have arrived
 }
 
 func (q *queries) begin(expectedReports int) (uint64, *query) {
@@ -46,12 +48,12 @@
 	return q.lastSeq, opened
 }
 
-// handleReport notes the word of a guard or an entry.
+// handleReport handles the report of a guard (with Asked) or of an entry.
 func (q *queries) handleReport(r *wire.JobReport) {
 	pendingQuery := q.pending[r.Seq]
 	switch {
 	case pendingQuery == nil:
-		return // it came too late
+		return // the query has timed out or is complete
 	case r.Asked != nil:
 		pendingQuery.relayedTo = *r.Asked
 	default:
@@ -66,14 +68,14 @@
 	}
 }
 
-// isCertain tells whether all other entries have answered.
+// isCertain reports whether all other entries have answered.
 func (q *query) isCertain() bool {
 	return q.receivedReports >= q.expectedReports && q.receivedReports == q.relayedTo
 }
 
-// Query tells what is known of a job anywhere, and withdraws it where it is under
-// way if cancel is set. If the answer is not certain, an entry that did not answer
-// may run the job.
+// Query returns the state of a job at this entry or at any other. If cancelJob is set, the job is
+// cancelled where it is queued or running. If the result is not certain, an entry that did not
+// answer may run the job.
 func (e *Entry) Query(ctx context.Context, id string, cancelJob bool) (s batch.State, certain bool) {
 	if cancelJob && e.Cancel(id) {
 		return batch.Cancelled, true
@@ -94,7 +96,7 @@
 	return s, false
 }
 
-// runsElsewhere tells whether another entry says that a job is under way there.
+// runsElsewhere reports whether another entry answers that a job is queued or running there.
 func (e *Entry) runsElsewhere(ctx context.Context, id string) bool {
 	if e.isOnlyEntry() {
 		return false
@@ -105,13 +107,15 @@
 	return s == batch.Queued || s == batch.Running
 }
 
+// isOnlyEntry reports whether no other entry is known.
 func (e *Entry) isOnlyEntry() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.known) == 1
 }
 
-// queryOthers asks over a guard that is not in asked yet.
+// queryOthers queries all other entries through a guard that is not in triedGuards, and adds it
+// there.
 func (e *Entry) queryOthers(ctx context.Context, id string, cancelJob bool, triedGuards map[identity.Incarnation]bool) (batch.State, bool) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -129,7 +133,7 @@
 	return q.state, q.isCertain()
 }
 
-// sendQuery needs mu.
+// sendQuery sends a query to a guard that is not in triedGuards. mu must be held.
 func (e *Entry) sendQuery(q *wire.JobQuery, triedGuards map[identity.Incarnation]bool) {
 	for guard := range e.links {
 		if !triedGuards[guard] {
@@ -140,7 +144,8 @@
 	}
 }
 
-// answerQuery answers another entry's query over the guard that relayed it. It needs mu.
+// answerQuery answers the query of another entry through the guard that relayed it. mu must be
+// held.
 func (e *Entry) answerQuery(guard identity.Incarnation, q *wire.JobQuery) {
 	s := e.machine.State(q.Job)
 	if q.Cancel && (s == batch.Queued || s == batch.Running) {
@@ -150,7 +155,8 @@
 	e.sendToGuard(guard, &wire.Frame{JobReport: &wire.JobReport{Seq: q.Seq, To: q.From, State: int(s)}})
 }
 
-// relayQuery passes an entry's query on to all others. It needs mu.
+// relayQuery relays the query of an entry to all other entries, and reports their number to it.
+// mu must be held.
 func (g *Guard) relayQuery(from *guardLink, q *wire.JobQuery) {
 	relayed := 0
 	for name, l := range g.links {
@@ -161,9 +167,9 @@
 	g.relayReport(&wire.JobReport{Seq: q.Seq, To: q.From, Asked: &relayed})
 }
 
-// relayReport passes an answer on to the entry that asked. It needs mu.
+// relayReport relays a report to the entry that sent the query. mu must be held.
 func (g *Guard) relayReport(r *wire.JobReport) {
 	if l := g.links[r.To]; l != nil {
-		_ = l.link.Send(&wire.Frame{JobReport: r}) // an entry that hears nothing asks another guard
+		_ = l.link.Send(&wire.Frame{JobReport: r}) // an entry without a response tries another guard
 	}
 }
--- a/internal/batchnode/returns.go
+++ b/internal/batchnode/returns.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// StoreReturns tells those who wait to call the store once more that it answers again. The
-// one who follows the configuration asks all the while, and notices first. A nil pointer
-// tells nothing.
+// StoreReturns wakes goroutines that wait before they retry a call to the store, as soon as the
+// store is reachable again. Source.Follow retries all the time and detects that first. All
+// methods work on a nil pointer, which never wakes anyone.
 type StoreReturns struct {
 	mu        sync.Mutex
-	recovered chan struct{} // closed at the next return; nil if nobody waits
+	recovered chan struct{} // closed when the store is reachable again; nil if no goroutine waits
 }
 
+// announce wakes all waiting goroutines.
 func (r *StoreReturns) announce() {
 	if r == nil {
 		return
@@ -26,7 +27,7 @@
 	}
 }
 
-// wait waits for d, until the store returns, or until ctx ends.
+// wait returns after d, when the store is reachable again, or when ctx ends.
 func (r *StoreReturns) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -37,6 +38,7 @@
 	}
 }
 
+// nextRecovery returns a channel that the next announce closes.
 func (r *StoreReturns) nextRecovery() <-chan struct{} {
 	if r == nil {
 		return nil
--- a/internal/batchnode/source.go
+++ b/internal/batchnode/source.go
@@ -17,30 +17,31 @@
 	"wigeontray/internal/wire"
 )
 
-// OrderHandler takes what the operators have written.
+// OrderHandler handles the orders that operators write to the store.
 type OrderHandler interface {
-	// Offer takes a configuration.
+	// OfferConfig handles a configuration document.
 	OfferConfig(version int64, document []byte) error
-	// OfferDrains takes the failure domains that are drained.
+	// OfferDrains handles the set of drained failure domains.
 	OfferDrains(d *wire.Drains)
-	// NoteUnknownOrder takes a key that this program has no meaning for.
+	// NoteUnknownOrder handles a key that this version does not support.
 	NoteUnknownOrder(key string)
 }
 
-// Source is where the operators' orders are followed.
+// Source watches the orders of the operators in the store.
 type Source struct {
 	Store  store.Store
-	Prefix string // of all orders
-	Key    string // that holds the whole configuration
-	Drains string // prefix of the keys that name a failure domain to drain
-	// Version reads a document's version.
+	Prefix string // prefix of the keys of all orders
+	Key    string // key of the configuration document
+	Drains string // prefix of the drain keys; the rest of a key is the failure domain
+	// Version extracts the version of a document.
 	Version func(document []byte) (int64, error)
 	Log     *log.Logger
 	Metrics *telemetry.Registry
-	Returns *StoreReturns // told when the store answers again; may be nil
+	Returns *StoreReturns // notified when the store is reachable again; may be nil
 }
 
-// Follow offers the orders, and what changes of them, until ctx ends.
+// Follow reads the orders and watches them for changes until ctx ends, and passes them to
+// handler.
 func (s *Source) Follow(ctx context.Context, handler OrderHandler) {
 	isReachable := true
 	onAnswer := func() {
@@ -58,6 +59,7 @@
 	}
 }
 
+// logReachability logs a change of the store's reachability and stores it in wasReachable.
 func (s *Source) logReachability(wasReachable *bool, isReachable bool, err error) {
 	if *wasReachable == isReachable {
 		return
@@ -70,6 +72,8 @@
 	s.Log.Warn("store does not answer", "err", err)
 }
 
+// followOnce reads all orders and watches them until the watch fails or ctx ends. onAnswer is
+// called after a successful read.
 func (s *Source) followOnce(ctx context.Context, handler OrderHandler, onAnswer func()) error {
 	kvs, revision, err := s.Store.Range(ctx, s.Prefix)
 	if err != nil {
@@ -94,8 +98,8 @@
 	return nil
 }
 
-// deliver passes on what was read or has changed, as of a revision. The drains come first: an
-// entry must not begin to work by a configuration while it knows of none.
+// deliver passes the given events, as of a revision, to handler. Drains are passed first, because
+// an entry must not activate a configuration before it has received the drains.
 func (s *Source) deliver(handler OrderHandler, drainedDomains map[string]bool, revision int64, events []store.Event) {
 	var others []store.Event
 	for _, e := range events {
@@ -105,7 +109,7 @@
 			others = append(others, e)
 		case err != nil:
 			s.Metrics.Inc(telemetry.ForeignItems)
-			s.Log.Warn("drain passed over", "key", e.KV.Key, "err", err)
+			s.Log.Warn("invalid drain key ignored", "key", e.KV.Key, "err", err)
 		case e.Deleted:
 			delete(drainedDomains, domain)
 		default:
@@ -123,15 +127,15 @@
 	}
 }
 
-// validateDomain tells why a word is no name of a failure domain, or nil.
+// validateDomain returns an error if name is not a valid name of a failure domain.
 func validateDomain(name string) error {
 	if name == "" || len(name) > maxDomainNameBytes || strings.ContainsFunc(name, isInvalidInName) {
-		return fmt.Errorf("%w: %q is no name of a failure domain", ErrForeign, name)
+		return fmt.Errorf("%w: %q is not a valid failure domain name", ErrForeign, name)
 	}
 	return nil
 }
 
-// maxDomainNameBytes bounds the name of a failure domain, in bytes.
+// maxDomainNameBytes is the maximum length of the name of a failure domain.
 const maxDomainNameBytes = 100
 
 func isInvalidInName(r rune) bool { return r == '/' || !unicode.IsPrint(r) || unicode.IsSpace(r) }
@@ -142,6 +146,6 @@
 		err = handler.OfferConfig(version, kv.Value)
 	}
 	if err != nil {
-		s.Log.Error("configuration refused, the last one stays in force", "revision", kv.ModRevision, "err", err)
+		s.Log.Error("configuration rejected, the previous one stays active", "revision", kv.ModRevision, "err", err)
 	}
 }
--- a/internal/batchnode/stall.go
+++ b/internal/batchnode/stall.go
@@ -8,12 +8,13 @@
 	"wigeontray/internal/pause"
 )
 
-// heartbeatInterval is how often a running process notes that it runs.
+// heartbeatInterval is the interval at which a process records its own heartbeat.
 const heartbeatInterval = 200 * time.Millisecond
 
-// KeepBeat notes until ctx ends that this process runs, and asks again for a
-// configuration that did not arrive. After a gap between two notes the process was frozen,
-// whatever the reason; which of its goroutines runs first then is open.
+// KeepBeat records a heartbeat of this process at each heartbeatInterval until ctx ends, and
+// repeats the request for a newer configuration that did not arrive. A long gap since the last
+// heartbeat means that the process was frozen, for whatever reason. Any goroutine may be the
+// first one to run afterwards, so every event checks for the gap.
 func (e *Entry) KeepBeat(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.step(func(now time.Duration, _ *batch.Machine) { e.lastHeartbeat = now })
@@ -24,9 +25,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lastHeartbeat = 0 // nobody notes it any more
+	e.lastHeartbeat = 0 // heartbeats have ended; disables detectStall
 }
 
+// detectStall fails all jobs if this process was frozen since the last heartbeat. mu must be held.
 func (e *Entry) detectStall(now time.Duration) {
 	if e.lastHeartbeat == 0 || now-e.lastHeartbeat < e.opt.Timing.Stall() {
 		return
@@ -36,8 +38,8 @@
 	e.machine.Woke(now)
 }
 
-// waitAfterResume lets a request wait that may have lain unread while this process was
-// frozen; false if its caller has left.
+// waitAfterResume delays a request that may have been received but not read while this process
+// was frozen. It reports whether the caller is still connected.
 func (e *Entry) waitAfterResume(ctx context.Context) bool {
 	e.mu.Lock()
 	now := e.opt.Clock()
--- a/internal/batchnode/status.go
+++ b/internal/batchnode/status.go
@@ -9,45 +9,45 @@
 	"wigeontray/internal/wire"
 )
 
-// StatusPath is where a process tells operators of itself.
+// StatusPath is the HTTP path at which a process serves its status to operators.
 const StatusPath = "/v1/status"
 
-// ConfigStatus is the configuration that a process has.
+// ConfigStatus describes the active configuration of a process.
 type ConfigStatus struct {
 	Version        int64   `json:"version"`              // 0 before the first
-	InForceSeconds float64 `json:"in_force_s,omitempty"` // seconds
+	InForceSeconds float64 `json:"in_force_s,omitempty"` // time since it was activated
 }
 
-// DrainsStatus is what a process knows of the operators' drains.
+// DrainsStatus describes the drains that a process has received.
 type DrainsStatus struct {
-	Revision int64         `json:"revision"` // of the store; 0: no word of them yet
+	Revision int64         `json:"revision"` // of the store; 0 if no drains were received yet
 	Domains  []DrainStatus `json:"domains"`
 }
 
-// DrainStatus is one drained failure domain.
+// DrainStatus describes one drained failure domain.
 type DrainStatus struct {
 	Domain       string  `json:"domain"`
-	KnownSeconds float64 `json:"known_s,omitempty"` // for how many seconds this process has known
-	Workers      int     `json:"workers,omitempty"` // that an entry knows there
+	KnownSeconds float64 `json:"known_s,omitempty"` // time since this process received the drain
+	Workers      int     `json:"workers,omitempty"` // known workers in this failure domain; set by entries only
 }
 
-// ProcessStatus is what the states of all processes have.
+// ProcessStatus holds the fields common to the status of entries and guards.
 type ProcessStatus struct {
 	Incarnation identity.Incarnation `json:"incarnation"`
 	Config      ConfigStatus         `json:"configuration"`
 	Drains      DrainsStatus         `json:"drains"`
 }
 
-// EntryStatus is the state of an entry.
+// EntryStatus is the status of an entry.
 type EntryStatus struct {
 	ProcessStatus
-	UnknownOrders []string `json:"unknown_orders"` // keys
+	UnknownOrders []string `json:"unknown_orders"` // keys of unsupported orders
 	Guards        int      `json:"guards"`
 	Workers       int      `json:"usable_workers"`
 	Jobs          int      `json:"open_jobs"`
 }
 
-// Status gives the state of the entry.
+// Status returns the current status of the entry.
 func (e *Entry) Status() EntryStatus {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
@@ -73,18 +73,18 @@
 	return s
 }
 
-// GuardStatus is the state of a guard.
+// GuardStatus is the status of a guard.
 type GuardStatus struct {
 	ProcessStatus
 	Entries int    `json:"entries"`
-	Worker  string `json:"worker"` // empty while there is none
+	Worker  string `json:"worker"` // empty if there is none
 	Domain  string `json:"domain"`
 	Usable  bool   `json:"usable"`
 	Drained bool   `json:"drained"`
 	Runs    int    `json:"runs"`
 }
 
-// Status gives the state of the guard.
+// Status returns the current status of the guard.
 func (g *Guard) Status() GuardStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,7 +107,8 @@
 	return s
 }
 
-// knownSince keeps when each domain of a list was first known to be drained.
+// knownSince returns when the drain of each domain was first received: the time in previous, or
+// now for a domain that is new.
 func knownSince(previous map[string]time.Duration, domains []string, now time.Duration) map[string]time.Duration {
 	merged := make(map[string]time.Duration, len(domains))
 	for _, d := range domains {
@@ -119,10 +120,10 @@
 	return merged
 }
 
-// ServeStatus answers with the state that of returns, as JSON.
+// ServeStatus returns a handler that responds with the result of status as JSON.
 func ServeStatus[T any](status func() T) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status()) // an operator who has left needs no answer
+		_ = json.NewEncoder(w).Encode(status()) // the client may have disconnected
 	})
 }
--- a/internal/batchnode/texts.go
+++ b/internal/batchnode/texts.go
@@ -16,49 +16,52 @@
 	"wigeontray/internal/runs"
 )
 
-// Bounds of the texts that a guard has ready for others.
+// Limits of the texts that a guard caches for others.
 const (
-	// textRetention is how long a text is ready. All tasks of a job are placed within that
-	// time, or fetch it in vain and get it from their entry.
+	// textRetention is how long a text is cached. Tasks of the job that are placed later do
+	// not find it and get it from their entry.
 	textRetention = 2 * time.Second
-	// textWaitTimeout is how long a request waits for a text that is still on its way here.
+	// textWaitTimeout is how long a request waits for a text that this guard has not received
+	// yet.
 	textWaitTimeout = 60 * time.Millisecond
-	// maxCachedTextBytes bounds what is ready; beyond it the oldest text goes.
+	// maxCachedTextBytes is the maximum size of all cached texts; above it the oldest one is
+	// evicted.
 	maxCachedTextBytes = 1 << 20
-	// maxFetchedTextBytes bounds what is read of another guard's answer.
+	// maxFetchedTextBytes is the maximum size of a text fetched from another guard.
 	maxFetchedTextBytes = 1 << 20
 )
 
-// TextsPath is where a guard serves texts to others.
+// TextsPath is the HTTP path at which a guard serves texts to other guards.
 const TextsPath = "/inner/texts/"
 
-// textKey names a text: identities of jobs are chosen by callers, and two entries may have
-// jobs of one name with different texts.
+// textKey identifies a text. The job ID alone is not unique: it is chosen by the caller, and two
+// entries may have jobs of the same ID with different texts.
 type textKey struct {
 	entry identity.Incarnation
 	job   string
 }
 
-// cachedText is a text, or the wait for one. ready is closed once it is there.
+// cachedText is a text, or the placeholder for one that has not arrived; ready is closed when it
+// arrives.
 type cachedText struct {
 	text      string
 	ready     chan struct{}
 	expiresAt time.Time
 }
 
-// Texts has the texts of jobs ready for other guards whose workers run tasks of them. An
-// entry with a thin link sends a text to one guard only.
+// Texts caches the texts of jobs for other guards that run tasks of the same jobs, so that an
+// entry with a slow uplink sends each text to one guard only.
 type Texts struct {
 	mu             sync.Mutex
 	byKey          map[textKey]*cachedText
-	insertionOrder []textKey // oldest first
+	insertionOrder []textKey // oldest first; without placeholders
 	totalBytes     int
 }
 
-// NewTexts returns an empty Texts.
+// NewTexts returns an empty cache.
 func NewTexts() *Texts { return &Texts{byKey: make(map[textKey]*cachedText)} }
 
-// add has a text ready for a while.
+// add caches a text for textRetention. An empty text, or one that is cached already, is ignored.
 func (t *Texts) add(k textKey, text string) {
 	if text == "" {
 		return
@@ -76,7 +79,7 @@
 	t.totalBytes += len(text)
 }
 
-// getOrCreate gives the entry of a text. mu is held.
+// getOrCreate returns the cached text or the placeholder for it. mu must be held.
 func (t *Texts) getOrCreate(k textKey) *cachedText {
 	cached := t.byKey[k]
 	if cached == nil {
@@ -86,7 +89,8 @@
 	return cached
 }
 
-// evict forgets texts whose time is over, and the oldest beyond maxCachedTextBytes. mu is held.
+// evict removes expired texts, and the oldest ones until at most maxCachedTextBytes are left. mu
+// must be held.
 func (t *Texts) evict(now time.Time) {
 	for len(t.insertionOrder) > 0 {
 		k := t.insertionOrder[0]
@@ -100,8 +104,9 @@
 	}
 }
 
-// get gives a text, if it is there or comes soon. It may be asked for before it has come:
-// its frame and the one that leads here take different ways.
+// get returns a text if it is cached or arrives within textWaitTimeout. A request may be earlier
+// than the text, because the frame with the text and the frame that refers the other guard to
+// this one take different paths.
 func (t *Texts) get(ctx context.Context, k textKey) (string, bool) {
 	t.mu.Lock()
 	cached := t.getOrCreate(k)
@@ -116,12 +121,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byKey[k] == cached && cached.text == "" {
-		delete(t.byKey, k) // nobody else is served worse: they time out alike
+		delete(t.byKey, k) // other requests that wait for it time out as well
 	}
 	return cached.text, cached.text != ""
 }
 
-// ServeHTTP answers other guards.
+// ServeHTTP serves cached texts to other guards.
 func (t *Texts) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	k := textKey{entry: identity.Incarnation(r.URL.Query().Get("entry")), job: r.URL.Query().Get("job")}
 	text, ok := t.get(r.Context(), k)
@@ -130,10 +135,10 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = io.WriteString(w, text) // a guard that has left gets the text from its entry
+	_, _ = io.WriteString(w, text) // on a failure the other guard gets the text from its entry
 }
 
-// Connections to other guards.
+// Limits of the HTTP connections to other guards.
 const (
 	textConnectTimeout      = 40 * time.Millisecond
 	textIdleTimeout         = 10 * time.Second
@@ -143,7 +148,7 @@
 // TextClient fetches texts from other guards.
 type TextClient struct{ http *http.Client }
 
-// NewTextClient returns a client without connections.
+// NewTextClient returns a client without open connections.
 func NewTextClient() *TextClient {
 	d := &net.Dialer{Timeout: textConnectTimeout, KeepAlive: -1}
 	return &TextClient{http: &http.Client{Transport: &http.Transport{
@@ -151,7 +156,7 @@
 	}}}
 }
 
-// Fetch gets the text of a job.
+// Fetch fetches the text of a job.
 func (c *TextClient) Fetch(ctx context.Context, f *runs.Fetch) (string, error) {
 	query := url.Values{"entry": {string(f.From)}, "job": {f.Job}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Source+TextsPath+"?"+query.Encode(), nil)
@@ -171,7 +176,7 @@
 	case err != nil:
 		return "", fmt.Errorf("fetch text: %w", err)
 	case len(text) == 0 || int64(len(text)) != response.ContentLength:
-		return "", errors.New("fetch text: the answer is cut")
+		return "", errors.New("fetch text: response is empty or truncated")
 	}
 	return string(text), nil
 }
--- a/internal/batchnode/upkeep.go
+++ b/internal/batchnode/upkeep.go
@@ -15,33 +15,33 @@
 	"wigeontray/internal/telemetry"
 )
 
-// Timing of what an entry does at the store.
+// Timing of an entry's calls to the store.
 const (
-	// registrationTTL is how long an entry that is gone stays listed.
+	// registrationTTL is how long an entry stays listed after it has crashed.
 	registrationTTL = 6 * time.Second
 	renewInterval   = 2 * time.Second
 	listInterval    = 2 * time.Second
-	// storeRetryDelay is the wait after a call that failed: the store may be down for
-	// long, and each call counts.
+	// storeRetryDelay is the delay after a failed call: the store may be unavailable for a
+	// long time, and every call adds load.
 	storeRetryDelay = 400 * time.Millisecond
 )
 
-// Registration keeps an entry's address in the store.
+// Registration keeps the address of an entry registered in the store, under a lease.
 type Registration struct {
 	Store   store.Store
-	Key     string // of this process alone
+	Key     string // used only by this process
 	Address string
 	Log     *log.Logger
 	Returns *StoreReturns // cuts waits short; may be nil
 }
 
-// Keep registers until ctx ends, and then takes the registration back.
+// Keep maintains the registration until ctx ends, and then revokes it.
 func (r *Registration) Keep(ctx context.Context) {
 	var lease store.LeaseID
 	for ctx.Err() == nil {
 		delay := renewInterval
 		if err := r.renew(ctx, &lease); err != nil && ctx.Err() == nil {
-			r.Log.Warn("not registered in the store", "err", err)
+			r.Log.Warn("registration in the store failed", "err", err)
 			delay = jitter(storeRetryDelay)
 		}
 		r.Returns.wait(ctx, delay)
@@ -50,11 +50,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), storeRetryDelay)
 		defer cancel()
 		if err := r.Store.Revoke(ctx, lease); err != nil {
-			r.Log.Warn("registration not taken back; it lapses by itself", "err", err)
+			r.Log.Warn("registration not revoked; it expires with its lease", "err", err)
 		}
 	}
 }
 
+// renew renews the lease, or registers under a new lease if there is none or it has expired.
 func (r *Registration) renew(ctx context.Context, lease *store.LeaseID) error {
 	if *lease != 0 {
 		err := r.Store.KeepAlive(ctx, *lease)
@@ -65,12 +66,12 @@
 	}
 	id, err := r.Store.Grant(ctx, registrationTTL)
 	if err != nil {
-		return fmt.Errorf("make a lease: %w", err)
+		return fmt.Errorf("grant lease: %w", err)
 	}
 	var conflict *store.ConflictError
 	_, err = r.Store.Put(ctx, r.Key, []byte(r.Address), 0, id)
 	if errors.As(err, &conflict) {
-		// An earlier write whose answer was lost, under a lease that nobody renews.
+		// The response to an earlier write was lost; its lease is not renewed.
 		_, err = r.Store.Put(ctx, r.Key, []byte(r.Address), conflict.Current.ModRevision, id)
 	}
 	if err != nil {
@@ -80,25 +81,27 @@
 	return nil
 }
 
-// maxSkippedKeys bounds the keys that are remembered as passed over: another writer may make
-// new ones without end. Beyond it, they are told again.
+// maxSkippedKeys is the maximum number of skipped keys that are stored, because another writer
+// may create any number of them. When it is reached, the set is cleared and keys are logged
+// again.
 const maxSkippedKeys = 256
 
-// Listing reads where entries are registered.
+// Listing reads the addresses of registered entries from the store.
 type Listing struct {
 	Store   store.Store
-	Prefix  string // of the keys of registrations
+	Prefix  string // prefix of the keys of registrations
 	Log     *log.Logger
 	Metrics *telemetry.Registry
 	Returns *StoreReturns // cuts waits short; may be nil
 
 	mu          sync.Mutex
-	skippedKeys map[string]bool // keys that were passed over, each told once
+	skippedKeys map[string]bool // keys with invalid values, each of which is logged once
 }
 
-// Addresses gives the addresses that are listed. Another writer may have put something
-// else under the prefix: dialed, it would cost each guard a connection every second,
-// and counted as an entry, each true one would take its part of the workers for smaller.
+// Addresses returns the registered addresses. Values that are not addresses are skipped, since
+// another writer may use the prefix: if they were dialed, each guard would open a connection
+// every second, and if they were counted as entries, each real entry would underestimate its
+// share of the workers.
 func (l *Listing) Addresses(ctx context.Context) ([]string, error) {
 	kvs, _, err := l.Store.Range(ctx, l.Prefix)
 	if err != nil {
@@ -107,7 +110,7 @@
 	addresses := make([]string, 0, len(kvs))
 	for _, kv := range kvs {
 		if err := validateAddress(kv.Value); err != nil {
-			l.skip(kv.Key, err)
+			l.reportSkipped(kv.Key, err)
 			continue
 		}
 		addresses = append(addresses, string(kv.Value))
@@ -115,19 +118,20 @@
 	return addresses, nil
 }
 
-// validateAddress tells why a value is no IP address with a port, or nil.
+// validateAddress returns an error if value is not an IP address with a port.
 func validateAddress(value []byte) error {
 	a, err := netip.ParseAddrPort(string(value))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrForeign, err)
 	}
 	if a.Port() == 0 || a.Addr().IsUnspecified() {
-		return fmt.Errorf("%w: %s is no address to dial", ErrForeign, a)
+		return fmt.Errorf("%w: %s is not a dialable address", ErrForeign, a)
 	}
 	return nil
 }
 
-func (l *Listing) skip(key string, err error) {
+// reportSkipped counts and logs a key whose value is not an address, once for each key.
+func (l *Listing) reportSkipped(key string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.skippedKeys[key] {
@@ -141,13 +145,14 @@
 	l.Log.Warn("listed entry passed over", "key", key, "err", err)
 }
 
-// Keep passes on the list of entries, as it changes, until ctx ends. A failure leaves
-// the last list: the store's word alone does not make an entry gone.
+// Keep reads the list of entries until ctx ends and passes each list to update. A read that fails
+// or returns no entries leaves the previous list in place: the state of the store alone is no
+// proof that an entry has terminated.
 //
-// A list that has just changed, or is empty, is read again soon. Entries that were killed
-// together while the store was away register one after the other when it returns. With the
-// slow pace alone, those beyond the addresses that guards are set up with had no guard for
-// up to four seconds, and refused every request.
+// A list that is empty or has just changed is read again after storeRetryDelay. Entries that
+// were killed while the store was unavailable register one after the other once it is reachable
+// again. With the long interval alone, entries whose addresses are not configured at the guards
+// had no guard for up to four seconds, and refused every request.
 func (l *Listing) Keep(ctx context.Context, update func([]string)) {
 	var previous []string
 	for ctx.Err() == nil {
