--- a/internal/batchnode/config_test.go
+++ b/internal/batchnode/config_test.go
@@ -14,20 +14,20 @@
 	"wigeontray/internal/wire"
 )
 
-// countingLink counts the documents that pass a link.
+// countingLink counts the configuration documents sent and received on the link of a guard.
 type countingLink struct {
 	wire.Link
 	documentCounter *documentCounter
 	address         string
 }
 
-// documentCounter counts documents by the entry that sent or got them.
+// documentCounter counts documents by the address of the entry that sent or received them.
 type documentCounter struct {
 	mu             sync.Mutex
 	sentCounts     map[string]int
 	receivedCounts map[string]int
-	sentBytes      map[string]int // of documents that an entry sent
-	largestBytes   int            // bytes of one in a frame
+	sentBytes      map[string]int // total size of the documents an entry sent
+	largestBytes   int            // largest document part in one frame
 }
 
 func (c *countingLink) Send(f *wire.Frame) error {
@@ -61,14 +61,14 @@
 	}
 }
 
-// sent gives how many bytes of documents an entry has sent.
+// sent returns the total size in bytes of the documents that an entry has sent.
 func (d *documentCounter) sent(address string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sentBytes[address]
 }
 
-// documents gives how many an entry has sent and got.
+// documents returns how many documents an entry has sent and received.
 func (d *documentCounter) documents(address string) (sent, got int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +81,8 @@
 	largeConfig   = 400 << 10 // bytes
 )
 
-// newConfigFleet is entries, one of which the store turns away, and ten times as many guards.
+// newConfigFleet starts configEntries entries and ten times as many guards, and returns the
+// addresses of the entries.
 func newConfigFleet(t *testing.T) (*fleet, *documentCounter, []string) {
 	f := newFleet(t)
 	d := &documentCounter{sentCounts: make(map[string]int), receivedCounts: make(map[string]int), sentBytes: make(map[string]int)}
@@ -100,7 +101,7 @@
 	return f, d, addresses
 }
 
-// Guards against all guards fetching the configuration from the first entry that has it.
+// Guards against all guards fetching a new configuration from the first entry that has it.
 func TestGuardsFetchConfigFromDifferentEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, d, addresses := newConfigFleet(t)
@@ -121,7 +122,7 @@
 	})
 }
 
-// Guards against each guard sending its copy to an entry that the store turns away.
+// Guards against every guard sending its copy to an entry that cannot read the store.
 func TestEntryWithoutStoreReceivesConfigOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, d, addresses := newConfigFleet(t)
@@ -137,7 +138,7 @@
 	})
 }
 
-// Guards against requests refused while copies of a large configuration fill the link.
+// Guards against requests being refused while copies of a large configuration saturate the link.
 func TestLargeConfigCopiesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, d, addresses := newConfigFleet(t)
@@ -162,7 +163,7 @@
 	})
 }
 
-// Guards against a configuration that never arrives as the link breaks between two pieces.
+// Guards against a configuration that never arrives because the link breaks between two chunks.
 func TestGuardRefetchesConfigAfterLinkBreaksMidTransfer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -189,7 +190,7 @@
 	})
 }
 
-// Guards against a guard of an earlier release that takes a piece for the whole configuration.
+// Guards against a guard of an earlier release treating a chunk as the whole configuration.
 func TestGuardWithoutChunkSupportReceivesWholeConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -209,7 +210,7 @@
 	})
 }
 
-// Guards against further copies asked for while one is arriving over a thin link.
+// Guards against an entry requesting further copies while one is arriving on a slow link.
 func TestEntryBacksOffConfigRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -219,21 +220,22 @@
 		f.Assert(guard.Send(&wire.Frame{Desired: &wire.Desired{Version: 5}}), qt.IsNil)
 		ctx, cancel := context.WithTimeout(f.ctx, 3*time.Second)
 		defer cancel()
-		asked := 0
+		requests := 0
 		for {
 			got, err := guard.Recv(ctx)
 			if err != nil {
 				break
 			}
 			if got.Desired != nil && got.Desired.Ask {
-				asked++
+				requests++
 			}
 		}
-		f.Check(asked > 1 && asked <= 5, qt.IsTrue, qt.Commentf("asked %d times", asked))
+		f.Check(requests > 1 && requests <= 5, qt.IsTrue, qt.Commentf("sent %d requests", requests))
 	})
 }
 
-// Guards against an old configuration in force while large ones come in quick succession.
+// Guards against an entry staying on an old configuration while large ones follow each other
+// quickly.
 func TestEntryWithoutStoreKeepsUpWithLargeConfigs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, d, addresses := newConfigFleet(t)
@@ -253,7 +255,8 @@
 	})
 }
 
-// Guards against an old configuration in force as the guard that was asked is gone.
+// Guards against an entry staying on an old configuration because the guard that it asked does
+// not answer.
 func TestEntryRequestsConfigFromNextGuardAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -270,7 +273,8 @@
 	})
 }
 
-// Guards against an entry of an earlier release, which never asks, left without it.
+// Guards against an entry of an earlier release, which never requests a configuration, not
+// receiving it.
 func TestEntryThatNeverRequestsConfigReceivesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -286,13 +290,13 @@
 		case version := <-versions:
 			f.Check(version, qt.Equals, int64(5))
 		default:
-			t.Error("no configuration came")
+			t.Error("no configuration received")
 		}
 	})
 }
 
-// serveEarlierRelease welcomes a guard as an entry of an earlier release does, and gives the
-// versions of the documents that come.
+// serveEarlierRelease welcomes a guard like an entry of an earlier release, and sends the versions
+// of the received documents to versions.
 func serveEarlierRelease(ctx context.Context, l wire.Link, versions chan<- int64) {
 	for {
 		f, err := l.Recv(ctx)
--- a/internal/batchnode/drains_test.go
+++ b/internal/batchnode/drains_test.go
@@ -17,12 +17,12 @@
 	"wigeontray/internal/wire"
 )
 
-// orderRecorder keeps what a Source offers.
+// orderRecorder is an OrderHandler that records its calls.
 type orderRecorder struct {
 	drains  wire.Drains
 	version int64
 	unknown []string
-	calls   []string // in order
+	calls   []string // kinds of the calls, in order
 }
 
 func (o *orderRecorder) OfferConfig(version int64, _ []byte) error {
@@ -38,7 +38,7 @@
 
 func (o *orderRecorder) NoteUnknownOrder(key string) { o.unknown = append(o.unknown, key) }
 
-// orderStore is a store with orders of the operators, whose watch passes on batches.
+// orderStore is a store that holds operator orders; its watch delivers the given batches.
 type orderStore struct {
 	store.Store
 	kvs     []store.KV
@@ -61,6 +61,7 @@
 	}
 }
 
+// follow starts a Source on the store and waits for the first orders.
 func (s *orderStore) follow(ctx context.Context) (*orderRecorder, *telemetry.Registry) {
 	recorder, metrics := new(orderRecorder), telemetry.New()
 	source := Source{
@@ -72,7 +73,7 @@
 	return recorder, metrics
 }
 
-// Guards against drains that are missed, or obeyed after they were taken back.
+// Guards against drains that are missed, or that stay active after they were removed.
 func TestSourceDeliversDrainChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -92,7 +93,8 @@
 	})
 }
 
-// Guards against orders that are met with silence, and against names that would not be printed.
+// Guards against unsupported orders that are ignored without a log line, and against failure
+// domain names that are not printable.
 func TestUnknownAndMalformedOrdersAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -108,14 +110,14 @@
 	})
 }
 
-// reportIn is the worker's report from a failure domain.
+// reportIn returns a report of the worker with the given failure domain.
 func (w *worker) reportIn(domain string) *runs.Report {
 	rep := w.report()
 	rep.Domain = domain
 	return rep
 }
 
-// Guards against an entry that works by a configuration while it may not know of a drain.
+// Guards against an entry activating a configuration before it has received the drains.
 func TestConfigIsNotAppliedBeforeDrainsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -129,7 +131,8 @@
 	})
 }
 
-// Guards against tasks started in a drained failure domain for an entry that the store turns away, and against a domain that stays empty after it was taken back.
+// Guards against tasks being started in a drained failure domain for an entry that cannot read the
+// store, and against a domain that stays unused after its drain was removed.
 func TestDrainReachesEntryWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -143,7 +146,7 @@
 		}
 		time.Sleep(time.Second)
 		f.Assert(b.OfferConfig(5, []byte("five")), qt.IsNil)
-		f.Check(f.configVersion("b"), qt.Equals, int64(5)) // a guard has told it of drains
+		f.Check(f.configVersion("b"), qt.Equals, int64(5)) // a guard has sent the drains
 		for i, drained := range []string{"z1", "z2"} {
 			a.OfferDrains(&wire.Drains{Revision: int64(2 + i), Domains: []string{drained}})
 			time.Sleep(time.Second)
@@ -153,7 +156,7 @@
 			}
 			f.Check(workers[drained].starts, qt.Equals, before, qt.Commentf("%s", drained))
 		}
-		// An entry that joins later learns of it before it can send anything.
+		// An entry that joins later receives the drains before it can send tasks.
 		status := b.Status()
 		f.Check(status.Drains.Revision, qt.Equals, int64(3))
 		f.Assert(status.Drains.Domains, qt.HasLen, 1)
@@ -174,7 +177,8 @@
 	})
 }
 
-// Guards against a start in a drained failure domain that an entry without the news asks for.
+// Guards against a task being started in a drained failure domain for an entry that has not
+// received the drain.
 func TestGuardRefusesTasksOfEntryUnawareOfDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -183,7 +187,7 @@
 		w := newWorker(f, 50*time.Millisecond)
 		f.guard(w, nil, "a").Heard(w.reportIn("z1"))
 		time.Sleep(time.Second)
-		// The guard has the news before the entry: as if another entry had told it.
+		// The guard receives the drain before the entry, as if from another entry.
 		g := f.guards[0]
 		g.step(func(now time.Duration, m *runs.Machine) {
 			m.SetDrains(now, &wire.Drains{Revision: 9, Domains: []string{"z1"}})
@@ -198,7 +202,9 @@
 	})
 }
 
-// Guards against work in a domain after all processes were restarted and the store is away: guards alone, which have restarted too, know nothing, and nothing may be begun.
+// Guards against tasks being started in a drained failure domain after all processes restarted
+// while the store is unavailable. The restarted guards have no drains either, so no task may be
+// started until the drains arrive.
 func TestNoTaskStartsBeforeDrainsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
--- a/internal/batchnode/fleet_test.go
+++ b/internal/batchnode/fleet_test.go
@@ -21,18 +21,18 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-// fleet is entries and guards in one bubble of time, with links in memory.
+// fleet runs entries and guards in one synctest bubble, with in-memory links.
 type fleet struct {
 	*qt.C
 	ctx        context.Context
 	cancel     context.CancelFunc
 	startedAt  time.Time
-	frozenTime time.Duration // added to every clock
+	frozenTime time.Duration // total time frozen so far; added to every clock
 	entries    map[string]*Entry
 	guards     []*Guard
-	applied    map[string]int64                            // version in force by address of the entry
-	wrapLink   func(l wire.Link, address string) wire.Link // of guards; nil for none
-	serveOld   func(there wire.Link)                       // serves the address "old"; nil for nobody
+	applied    map[string]int64                            // active configuration version by address of the entry
+	wrapLink   func(l wire.Link, address string) wire.Link // wraps the guard's end of a link; may be nil
+	serveOld   func(there wire.Link)                       // serves links to the address "old"; nil if none listens there
 	mu         sync.Mutex
 }
 
@@ -48,23 +48,24 @@
 	return time.Hour + time.Since(f.startedAt) + f.frozenTime
 }
 
-// freeze lets time pass that no process takes part in.
+// freeze advances the clock of all processes without running them.
 func (f *fleet) freeze(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.frozenTime += d
 }
 
+// discardLogger returns a logger without output.
 func discardLogger() *log.Logger { return log.New(io.Discard) }
 
-// entry is an entry that has read that nothing is drained.
+// entry starts an entry that has received an empty set of drains.
 func (f *fleet) entry(address string) *Entry {
 	e := f.entryWithoutStore(address)
 	e.OfferDrains(&wire.Drains{Revision: 1})
 	return e
 }
 
-// entryWithoutStore is an entry that the store has told nothing.
+// entryWithoutStore starts an entry that has received neither drains nor a configuration.
 func (f *fleet) entryWithoutStore(address string) *Entry {
 	e := NewEntry(EntryOptions{
 		Name: "entry", Address: address, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(),
@@ -82,7 +83,7 @@
 	return e
 }
 
-// linkAsGuard opens a link to an entry as a guard that the test plays itself.
+// linkAsGuard opens a link to an entry on which the test acts as a guard.
 func (f *fleet) linkAsGuard(e *Entry, guard identity.Incarnation, version int) wire.Link {
 	here, there := wiretest.Pipe()
 	go e.Serve(f.ctx, there)
@@ -101,7 +102,7 @@
 	case address == "old" && f.serveOld != nil:
 		go f.serveOld(there)
 	default:
-		return nil, errors.New("nobody listens")
+		return nil, errors.New("connection refused")
 	}
 	if f.wrapLink != nil {
 		return f.wrapLink(here, address), nil
@@ -109,6 +110,7 @@
 	return here, nil
 }
 
+// guard starts a guard with the given addresses of entries; lookup is what the store lists.
 func (f *fleet) guard(w Worker, lookup []string, entries ...string) *Guard {
 	g := NewGuard(GuardOptions{
 		Name: "guard", Entries: entries, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(),
@@ -119,12 +121,13 @@
 	return g
 }
 
+// assertComplete asserts that the job of an outcome is complete.
 func (f *fleet) assertComplete(out *batch.Outcome) {
 	f.Helper()
 	f.Assert(out.Err == nil, qt.IsTrue, qt.Commentf("%v", out.Err))
 }
 
-// kill ends an entry; nobody listens at its address any more.
+// kill closes an entry; dials to its address fail from then on.
 func (f *fleet) kill(address string) {
 	f.mu.Lock()
 	e := f.entries[address]
@@ -133,14 +136,14 @@
 	e.Close()
 }
 
-// configVersion is the version of the configuration at an entry.
+// configVersion returns the configuration version that is active at an entry.
 func (f *fleet) configVersion(address string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.applied[address]
 }
 
-// stop ends all goroutines of the bubble.
+// stop terminates all goroutines of the bubble.
 func (f *fleet) stop() {
 	f.cancel()
 	for _, e := range f.entries {
@@ -149,7 +152,7 @@
 	synctest.Wait()
 }
 
-// worker runs tasks for a fixed time.
+// worker is a Worker whose tasks all take taskDuration.
 type worker struct {
 	f            *fleet
 	taskDuration time.Duration
@@ -213,6 +216,7 @@
 	return w.holdAnswer(h.Ack)
 }
 
+// holdAnswer lists the active runs and the ends after number ack.
 func (w *worker) holdAnswer(ack int64) *runs.HoldAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/batchnode/foreign_test.go
+++ b/internal/batchnode/foreign_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// Whatever lies under a guard's key, it either names a worker that can be used or is
-// passed over.
+// Guards against a stored value being accepted that does not describe a usable worker.
 func FuzzStoredReport(f *testing.F) {
 	for _, seed := range []string{``, `{}`, `[]`, `{"ID":7}`, `{"ID":"i-1","ClockMs":1,"Service":"s","Domain":"z","Capacity":{"CPU":1,"MemoryMB":1}}`} {
 		f.Add([]byte(seed))
@@ -23,8 +22,7 @@
 	})
 }
 
-// Whatever lies under the prefix of the entries, what is dialed is an IP address with a
-// port.
+// Guards against a listed value being dialed that is not an IP address with a port.
 func FuzzListedAddress(f *testing.F) {
 	for _, seed := range []string{``, `10.0.0.1:8166`, `[::1]:1`, `10.0.0.1:0`, `entry:1`, `0.0.0.0:1`} {
 		f.Add([]byte(seed))
--- a/internal/batchnode/guardlink_test.go
+++ b/internal/batchnode/guardlink_test.go
@@ -14,14 +14,15 @@
 	"wigeontray/internal/wire"
 )
 
-// All VMs lose their power and come back within some hundred milliseconds of each other. A
-// guard that came first dials its entry's VM, which answers nothing. It waited for that
-// answer while the entry was back, and every request there was refused meanwhile.
+// Guards against guards that link late after a power loss of all VMs, which restart within some
+// hundred milliseconds of each other. A guard that restarts first dials the VM of its entry while
+// that is still down and does not answer. If the guard waits for the full dial timeout, the
+// entry is back for a while without a worker, and refuses every request.
 func TestGuardsLinkSoonAfterEntryPowerReturns(t *testing.T) {
 	const guards = 40
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
-		var linkableSince atomic.Int64 // when the entry came, in nanoseconds of the clock
+		var linkableSince atomic.Int64 // when the entry started, in nanoseconds of the fleet's clock
 		var totalDelay atomic.Int64
 		dial := func(ctx context.Context, address string) (wire.Link, error) {
 			if since := linkableSince.Load(); since > 0 {
@@ -32,11 +33,11 @@
 			if !bounded {
 				connectTimeout = time.Hour
 			}
-			select { // what was sent to a dark VM is lost, also if it comes back meanwhile
+			select { // a packet sent to a VM that is down is lost, even if the VM starts during the wait
 			case <-time.After(connectTimeout):
 			case <-ctx.Done():
 			}
-			return nil, errors.New("no answer")
+			return nil, errors.New("connect timeout")
 		}
 		for range guards {
 			g := NewGuard(GuardOptions{
@@ -45,7 +46,7 @@
 				Lookup: func(context.Context) ([]string, error) { return nil, nil },
 			})
 			go g.Run(f.ctx)
-			time.Sleep(7 * time.Millisecond) // they come back one after the other
+			time.Sleep(7 * time.Millisecond) // the guards restart one after the other
 		}
 		time.Sleep(1300 * time.Millisecond)
 		f.entry("entry")
@@ -57,9 +58,9 @@
 	})
 }
 
-// All VMs lost their power, and the entries that a guard is set up with come back last. The
-// others are listed in the store and have callers already: without a worker each of their
-// requests is refused.
+// Guards against a guard that waits for its configured entries when these are the last to restart
+// after a power loss of all VMs. The other entries are registered in the store and already
+// receive requests, which they refuse while they have no worker.
 func TestGuardLooksUpEntriesAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
--- a/internal/batchnode/node_test.go
+++ b/internal/batchnode/node_test.go
@@ -15,8 +15,8 @@
 	"wigeontray/internal/telemetry"
 )
 
-// A job goes from its caller over an entry and a guard to a worker, and its answer
-// comes back when its last task has ended.
+// A job passes from the caller through an entry and a guard to a worker, and the outcome is
+// returned when its last task has ended.
 func TestJobIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -34,8 +34,8 @@
 	})
 }
 
-// A caller sends a job again while it runs, and once more after its answer. It
-// remains one job: nothing is started a second time.
+// Guards against a job being started twice when its caller submits it again, while it runs and
+// after it is complete.
 func TestResubmittedJobIsJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -55,7 +55,7 @@
 	})
 }
 
-// A caller leaves. Its tasks are stopped at once and their room serves others.
+// Guards against tasks that keep occupying their worker after their caller has disconnected.
 func TestTasksStopWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -72,8 +72,8 @@
 	})
 }
 
-// An entry is killed while a task runs for it. Its caller sends the job to another
-// entry 1.3 s later; the first run must have ended by then.
+// Guards against two concurrent runs of a task after its entry was killed. The caller submits the
+// job to another entry 1.3 s later; the first run must have ended by then.
 func TestRunsOfKilledEntryEndBeforeResubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -94,8 +94,9 @@
 	})
 }
 
-// An entry freezes for seconds with a job that waits. Its caller has long sent the
-// job elsewhere when it wakes; begun then, it would run beside itself.
+// Guards against two concurrent runs of a job after its entry was frozen for seconds. The caller
+// has submitted the job to another entry by the time the first one resumes, so the first one must
+// not continue it.
 func TestEntryAnswersJobsAsUnknownAfterFreeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -114,9 +115,9 @@
 	})
 }
 
-// The store turns one entry away and serves the other. The configuration reaches
-// the first through a guard; without that it would obey an old one for as long as
-// the store likes, and its callers would be told that a new queue does not exist.
+// Guards against an entry that cannot read the store staying on an old configuration, while another
+// entry has the new one. It must receive the new one through a guard; otherwise it would answer
+// its callers that a new queue does not exist.
 func TestConfigReachesEntryWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -128,7 +129,7 @@
 		f.Assert(a.OfferConfig(5, []byte("five")), qt.IsNil)
 		time.Sleep(time.Second)
 		f.Assert(f.configVersion("b"), qt.Equals, int64(5))
-		// One that joins later gets it as well, before the store answers it.
+		// An entry that joins later also receives it, without the store.
 		f.entry("c")
 		f.guards[0].AddEntries([]string{"c"})
 		time.Sleep(time.Second)
@@ -136,8 +137,8 @@
 	})
 }
 
-// An older configuration arrives after a newer one, by a stale read or a slow
-// link. A process that went back would refuse what it has just served.
+// Guards against an older configuration, from a stale read or a slow link, replacing a newer one.
+// The entry would then refuse requests of a kind that it has just served.
 func TestOlderConfigIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -151,8 +152,8 @@
 	})
 }
 
-// Every address in a guard's settings is of an entry that has been replaced. The
-// guard finds the others in the store; its worker would stand idle for good.
+// Guards against a worker that stays idle because all entries in the settings of its guard have
+// been replaced. The guard must look up the current ones in the store.
 func TestGuardFindsEntriesInStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -165,8 +166,8 @@
 	})
 }
 
-// A guard is stopped as planned while a task runs. The task ends, its caller gets
-// the answer, and the worker is told that the end was noted.
+// Guards against a planned stop of a guard that interrupts a running task. The task must end, its
+// caller must receive the outcome, and the end must be acknowledged to the worker.
 func TestGuardDrainWaitsForRunningTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -188,7 +189,7 @@
 	})
 }
 
-// memoryReportStore is a Memory that a test looks into.
+// memoryReportStore is a Memory that holds the report in a variable.
 type memoryReportStore struct {
 	mu  sync.Mutex
 	rep *runs.Report
@@ -207,8 +208,8 @@
 	return nil
 }
 
-// All guards are killed at once. Their workers report only a second later; until
-// then every request would be refused for want of a worker.
+// Guards against every request being refused for lack of workers after all guards were killed at
+// once: the next reports of their workers arrive only a second later.
 func TestGuardStartsFromStoredReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -234,8 +235,8 @@
 	})
 }
 
-// A worker had announced that it leaves before its guard was killed. The successor
-// must not begin with the report from before.
+// Guards against a restarted guard using a worker that had announced its termination before the
+// guard was killed.
 func TestGuardIgnoresStoredReportOfDrainingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -254,9 +255,9 @@
 	})
 }
 
-// All entries lose their power and come back. Until their earlier registrations
-// lapse, the list names each address twice. Counted so, each entry counted on half
-// of its part of the workers, and refused jobs that had time for six seconds.
+// Guards against entries counted twice after a power loss of all of them: until the earlier
+// registrations expire, the list contains each address twice. Each entry then assumed half of its
+// share of the workers, and for six seconds refused jobs that it could have completed in time.
 func TestDuplicateEntryAddressesAreCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
--- a/internal/batchnode/query.go
+++ b/internal/batchnode/query.go
@@ -41,11 +41,12 @@
 	done            chan struct{} // closed when all reports have arrived
 }
 
+// begin adds a query and returns it with its sequence number.
 func (q *queries) begin(expectedReports int) (uint64, *query) {
 	q.lastSeq++
-	opened := &query{expectedReports: expectedReports, relayedTo: -1, done: make(chan struct{})}
-	q.pending[q.lastSeq] = opened
-	return q.lastSeq, opened
+	added := &query{expectedReports: expectedReports, relayedTo: -1, done: make(chan struct{})}
+	q.pending[q.lastSeq] = added
+	return q.lastSeq, added
 }
 
 // handleReport handles the report of a guard (with Asked) or of an entry.
--- a/internal/batchnode/query_test.go
+++ b/internal/batchnode/query_test.go
@@ -11,9 +11,8 @@
 	"wigeontray/internal/errkind"
 )
 
-// A caller's second connection leads to another entry than the one that runs its
-// job. Asked there, the job was said not to exist, and the caller would give up an
-// escort that is being booked.
+// Guards against an entry reporting a job as unknown while another entry runs it. A caller whose
+// second connection leads to the first entry would abandon a booking that is in progress.
 func TestQueryFindsJobAtAnotherEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, a, b, _ := newTwoEntryFleet(t)
@@ -29,9 +28,9 @@
 	})
 }
 
-// A caller cancels over a connection to another entry than the one that runs its
-// job. Told that there is no such job, it believes the work has stopped, while the
-// task goes on and keeps its room from others.
+// Guards against a cancellation that reaches another entry than the one that runs the job and has
+// no effect. The caller would assume that the job has stopped, while its task continues and
+// occupies its worker.
 func TestCancelReachesJobAtAnotherEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, a, b, w := newTwoEntryFleet(t)
@@ -48,8 +47,8 @@
 	})
 }
 
-// An entry is dark and may run the job that another one is asked for. "No such job"
-// would be a guess; the caller has to be told that it is not known.
+// Guards against a job reported as nonexistent while an unreachable entry may run it: the result
+// must be marked as uncertain.
 func TestQueryIsUncertainWhileEntryIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _, b, _ := newTwoEntryFleet(t)
@@ -60,15 +59,15 @@
 		_, certain := b.Query(f.ctx, "1", false)
 		f.Check(certain, qt.IsFalse)
 		f.Check(time.Since(began) <= maxQueryAttempts*queryTimeout, qt.IsTrue)
-		// Once its registration has ended it is known to be gone, and its jobs are.
+		// Once its registration has expired, the entry and its jobs are known to have ended.
 		f.setEntries("b")
 		_, certain = b.Query(f.ctx, "1", false)
 		f.Check(certain, qt.IsTrue)
 	})
 }
 
-// newTwoEntryFleet is a fleet of entries a and b, which know of each other, and a guard whose
-// worker takes a minute for a task.
+// newTwoEntryFleet starts entries a and b, which have each other's address, and a guard whose
+// worker takes a minute per task.
 func newTwoEntryFleet(t *testing.T) (f *fleet, a, b *Entry, w *worker) {
 	f = newFleet(t)
 	a, b = f.entry("a"), f.entry("b")
@@ -79,7 +78,7 @@
 	return f, a, b, w
 }
 
-// setEntries does what the list of entries in the store does.
+// setEntries passes a list of addresses to all entries, as Listing.Keep does.
 func (f *fleet) setEntries(addresses ...string) {
 	for _, e := range f.entries {
 		e.SetEntries(append([]string(nil), addresses...))
@@ -87,7 +86,8 @@
 	synctest.Wait()
 }
 
-// Guards against two runs of a job at once: a cut heals, and a request that it held up is begun while the job runs at the entry to which its caller has sent it again.
+// Guards against two concurrent runs of a job: a network partition ends, and a request that it
+// delayed arrives while the job runs at the entry to which the caller has resubmitted it.
 func TestDelayedRequestIsRefusedWhileJobRunsElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, a, b, w := newTwoEntryFleet(t)
@@ -106,7 +106,8 @@
 	})
 }
 
-// Guards against callers who wait long for an entry that is dark, after a pause of all of them.
+// Guards against a long delay for the first requests after a silence of all callers when another
+// entry is unreachable.
 func TestDelayedRequestStartsSoonWhileEntryIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _, b, w := newTwoEntryFleet(t)
--- a/internal/batchnode/returns_test.go
+++ b/internal/batchnode/returns_test.go
@@ -16,14 +16,15 @@
 	"wigeontray/internal/telemetry"
 )
 
-// listStore is a store that may be down, with the addresses of some entries.
+// listStore is a store that may be unavailable and that lists the addresses of entries.
 type listStore struct {
-	store.Store // calls that are not expected here fail
+	store.Store // nil; calls that the tests do not expect panic
 	mu          sync.Mutex
 	down        bool
 	entries     []string
 }
 
+// set changes the store under its lock.
 func (s *listStore) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +35,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return nil, 0, errors.New("no answer")
+		return nil, 0, errors.New("store unavailable")
 	}
 	var out []store.KV
 	for _, address := range s.entries {
@@ -49,8 +50,8 @@
 	return ctx.Err()
 }
 
-// followEntryList follows the configuration and the list of entries as an entry does, and gives
-// when each number of entries was first known.
+// followEntryList follows the orders and the list of entries as an entry does. knownAt returns when
+// a list of the given length was first received, relative to the start.
 func followEntryList(ctx context.Context, s *listStore) (knownAt func(entries int) time.Duration) {
 	began, knownTimes := time.Now(), make(map[int]time.Duration)
 	recovery := new(StoreReturns)
@@ -65,9 +66,10 @@
 	return func(entries int) time.Duration { return knownTimes[entries] }
 }
 
-// All processes were killed while the store was away. When it returns, each entry has the
-// configuration within a moment, but those whose addresses guards are not set up with have
-// no guard until the list of entries is read: for seconds they refuse every request.
+// Guards against entries without guards after all processes were killed while the store was
+// unavailable. When the store is back, each entry soon has the configuration, but entries whose
+// addresses are not configured at the guards have no guard until the list of entries is read; for
+// seconds they refuse every request.
 func TestEntriesAreListedSoonAfterStoreRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const recoveryAt = 5 * time.Second
@@ -84,8 +86,9 @@
 	})
 }
 
-// The registrations lapsed while the store was away, and are written again a moment after
-// its return. A list that was read in that moment is empty.
+// Guards against a late second read of the list of entries. The registrations expired while the
+// store was unavailable and are written again shortly after it is back; a list read before that is
+// empty.
 func TestEntriesRegisteredAfterStoreRecoveryAreListedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const recoveryAt = 5 * time.Second
@@ -104,8 +107,8 @@
 	})
 }
 
-// Entries that start together register one after the other. One that was not in the first
-// list is found with the next, a moment later.
+// Guards against an entry that is found late because it registered after the first read of the
+// list: entries that start together register one after the other.
 func TestChangedEntryListIsReadAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -120,7 +123,8 @@
 	})
 }
 
-// Guards against an entry without a worker after a cut that outlasts dialGiveUpTimeout.
+// Guards against an entry without workers after a network partition longer than
+// dialGiveUpTimeout.
 func TestGuardRediscoversEntryAfterGivingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -128,14 +132,14 @@
 		f.entry("a")
 		w := newWorker(f, time.Second)
 		f.guard(w, []string{"a", "b"}, "a", "b").Heard(w.report())
-		time.Sleep(dialGiveUpTimeout + 10*time.Second) // nobody listens at "b"
+		time.Sleep(dialGiveUpTimeout + 10*time.Second) // no entry at "b" yet
 		b := f.entry("b")
 		time.Sleep(2 * lookupInterval)
 		f.Assert(b.Workers(), qt.Equals, 1)
 	})
 }
 
-// Guards against links filled with the whole list of entries at each change.
+// Guards against links saturated by the whole list of entries being sent at each change.
 func TestGuardsReceiveOnlyNewEntryAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
--- a/internal/batchnode/texts_test.go
+++ b/internal/batchnode/texts_test.go
@@ -14,7 +14,8 @@
 	"wigeontray/internal/runs"
 )
 
-// Guards against tasks given back as their text was asked for just before it arrived.
+// Guards against tasks that are returned to their entry because their text was requested just
+// before it arrived.
 func TestTextCacheWaitsForArrivingText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		texts, k := NewTexts(), textKey{entry: "e", job: "j"}
@@ -28,7 +29,7 @@
 	})
 }
 
-// Guards against texts that pile up until the guard is out of memory.
+// Guards against cached texts that grow until the guard runs out of memory.
 func TestTextCacheIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		texts := NewTexts()
@@ -47,7 +48,7 @@
 	})
 }
 
-// Guards against a missing or cut answer of another guard taken for a text.
+// Guards against a missing or truncated response of another guard being used as a text.
 func TestFetchTextFromAnotherGuard(t *testing.T) {
 	texts := NewTexts()
 	texts.add(textKey{entry: "e/1", job: "j"}, "text")
