--- a/internal/batchnode/entry.go
+++ b/internal/batchnode/entry.go
@@ -111,8 +111,8 @@
 	e.deadlineTimer.set(e.machine.NextTick())
 }
 
-// reportLinkRate publishes the measured bandwidth of the uplink, and logs when a limit is
-// detected for the first time.
+// reportLinkRate publishes the measured bandwidth of the uplink, and logs when a limit is newly
+// detected.
 func (e *Entry) reportLinkRate(before, rate int64) {
 	e.opt.Metrics.Set(telemetry.LinkRate, rate)
 	if before == 0 {
