--- a/internal/batchnode/node_test.go
+++ b/internal/batchnode/node_test.go
@@ -15,8 +15,8 @@
 	"wigeontray/internal/telemetry"
 )
 
-// A job goes from its caller over an entry and a guard to a worker, and its answer
-// comes back when its last task has ended.
+// A job passes from the caller through an entry and a guard to a worker, and the outcome is
+// returned when its last task has ended.
 func TestJobIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -28,15 +28,15 @@
 		f.Assert(e.Workers(), qt.Equals, 1)
 		began := time.Now()
 		out := e.Submit(f.ctx, testJob("1", 3), time.Second)
-		f.complete(out)
+		f.assertComplete(out)
 		f.Assert(time.Since(began) < 110*time.Millisecond, qt.IsTrue)
 		f.Assert(e.State("1"), qt.Equals, batch.Complete)
 	})
 }
 
-// A caller sends a job again while it runs, and once more after its answer. It
-// remains one job: nothing is started a second time.
-func TestJobThatIsSentAgainIsJoined(t *testing.T) {
+// Guards against a job being started twice when its caller submits it again, while it runs and
+// after it is complete.
+func TestResubmittedJobIsJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -48,15 +48,15 @@
 		for range 2 {
 			go func() { outs <- e.Submit(f.ctx, testJob("1", 1), time.Second) }()
 		}
-		f.complete(<-outs)
-		f.complete(<-outs)
-		f.complete(e.Submit(f.ctx, testJob("1", 1), time.Second))
+		f.assertComplete(<-outs)
+		f.assertComplete(<-outs)
+		f.assertComplete(e.Submit(f.ctx, testJob("1", 1), time.Second))
 		f.Assert(w.starts, qt.Equals, 1)
 	})
 }
 
-// A caller leaves. Its tasks are stopped at once and their room serves others.
-func TestTasksOfACallerWhoLeftAreStopped(t *testing.T) {
+// Guards against tasks that keep occupying their worker after their caller has disconnected.
+func TestTasksStopWhenCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -72,9 +72,9 @@
 	})
 }
 
-// An entry is killed while a task runs for it. Its caller sends the job to another
-// entry 1.3 s later; the first run must have ended by then.
-func TestRunsOfAKilledEntryEndBeforeTheJobIsSentAgain(t *testing.T) {
+// Guards against two concurrent runs of a task after its entry was killed. The caller submits the
+// job to another entry 1.3 s later; the first run must have ended by then.
+func TestRunsOfKilledEntryEndBeforeResubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -94,9 +94,10 @@
 	})
 }
 
-// An entry freezes for seconds with a job that waits. Its caller has long sent the
-// job elsewhere when it wakes; begun then, it would run beside itself.
-func TestFrozenEntryAnswersItsJobsWhenItWakes(t *testing.T) {
+// Guards against two concurrent runs of a job after its entry was frozen for seconds. The caller
+// has submitted the job to another entry by the time the first one resumes, so the first one must
+// not continue it.
+func TestEntryAnswersJobsAsUnknownAfterFreeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -114,10 +115,10 @@
 	})
 }
 
-// The store turns one entry away and serves the other. The configuration reaches
-// the first through a guard; without that it would obey an old one for as long as
-// the store likes, and its callers would be told that a new queue does not exist.
-func TestConfigurationReachesAnEntryThatTheStoreTurnsAway(t *testing.T) {
+// Guards against an entry that cannot read the store staying on an old configuration, while another
+// entry has the new one. It must receive the new one through a guard; otherwise it would answer
+// its callers that a new queue does not exist.
+func TestConfigReachesEntryWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -125,35 +126,35 @@
 		f.entry("b")
 		f.guard(newWorker(f, time.Second), nil, "a", "b")
 		time.Sleep(time.Second)
-		f.Assert(a.Offer(5, []byte("five")), qt.IsNil)
+		f.Assert(a.OfferConfig(5, []byte("five")), qt.IsNil)
 		time.Sleep(time.Second)
-		f.Assert(f.inForce("b"), qt.Equals, int64(5))
-		// One that joins later gets it as well, before the store answers it.
+		f.Assert(f.configVersion("b"), qt.Equals, int64(5))
+		// An entry that joins later also receives it, without the store.
 		f.entry("c")
 		f.guards[0].AddEntries([]string{"c"})
 		time.Sleep(time.Second)
-		f.Assert(f.inForce("c"), qt.Equals, int64(5))
+		f.Assert(f.configVersion("c"), qt.Equals, int64(5))
 	})
 }
 
-// An older configuration arrives after a newer one, by a stale read or a slow
-// link. A process that went back would refuse what it has just served.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// Guards against an older configuration, from a stale read or a slow link, replacing a newer one.
+// The entry would then refuse requests of a kind that it has just served.
+func TestOlderConfigIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
 		e := f.entry("a")
-		f.Assert(e.Offer(7, []byte("seven")), qt.IsNil)
-		f.Assert(e.Offer(6, []byte("six")), qt.IsNil)
+		f.Assert(e.OfferConfig(7, []byte("seven")), qt.IsNil)
+		f.Assert(e.OfferConfig(6, []byte("six")), qt.IsNil)
 		version, document := e.Config()
 		f.Assert(version, qt.Equals, int64(7))
 		f.Assert(string(document), qt.Equals, "seven")
 	})
 }
 
-// Every address in a guard's settings is of an entry that has been replaced. The
-// guard finds the others in the store; its worker would stand idle for good.
-func TestGuardFindsEntriesInTheStore(t *testing.T) {
+// Guards against a worker that stays idle because all entries in the settings of its guard have
+// been replaced. The guard must look up the current ones in the store.
+func TestGuardFindsEntriesInStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -165,9 +166,9 @@
 	})
 }
 
-// A guard is stopped as planned while a task runs. The task ends, its caller gets
-// the answer, and the worker is told that the end was noted.
-func TestPlannedStopOfAGuardLetsTasksEnd(t *testing.T) {
+// Guards against a planned stop of a guard that interrupts a running task. The task must end, its
+// caller must receive the outcome, and the end must be acknowledged to the worker.
+func TestGuardDrainWaitsForRunningTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -179,44 +180,44 @@
 		outs := make(chan *batch.Outcome, 1)
 		go func() { outs <- e.Submit(f.ctx, testJob("1", 1), 5*time.Second) }()
 		time.Sleep(100 * time.Millisecond)
-		limit, cancel := context.WithTimeout(f.ctx, 5*time.Second)
+		drainCtx, cancel := context.WithTimeout(f.ctx, 5*time.Second)
 		defer cancel()
-		g.Drain(limit)
-		f.Assert(limit.Err(), qt.IsNil)
-		f.complete(<-outs)
+		g.Drain(drainCtx)
+		f.Assert(drainCtx.Err(), qt.IsNil)
+		f.assertComplete(<-outs)
 		f.Assert(e.Submit(f.ctx, testJob("2", 1), time.Second).Err.Kind, qt.Equals, errkind.NoWorkers)
 	})
 }
 
-// memory is a Memory that a test looks into.
-type memory struct {
+// memoryReportStore is a Memory that holds the report in a variable.
+type memoryReportStore struct {
 	mu  sync.Mutex
 	rep *runs.Report
 }
 
-func (m *memory) Load(context.Context) (*runs.Report, error) {
+func (m *memoryReportStore) Load(context.Context) (*runs.Report, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rep, nil
 }
 
-func (m *memory) Save(_ context.Context, rep *runs.Report) error {
+func (m *memoryReportStore) Save(_ context.Context, rep *runs.Report) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rep = rep
 	return nil
 }
 
-// All guards are killed at once. Their workers report only a second later; until
-// then every request would be refused for want of a worker.
-func TestGuardBeginsWithWhatItsPredecessorKnew(t *testing.T) {
+// Guards against every request being refused for lack of workers after all guards were killed at
+// once: the next reports of their workers arrive only a second later.
+func TestGuardStartsFromStoredReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
-		w, mem := newWorker(f, time.Second), new(memory)
+		w, reports := newWorker(f, time.Second), new(memoryReportStore)
 		ctx, kill := context.WithCancel(f.ctx)
 		first := NewGuard(GuardOptions{
-			Name: "guard", Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(), Memory: mem,
+			Name: "guard", Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), Memory: reports,
 			Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go first.Run(ctx)
@@ -225,7 +226,7 @@
 		kill()
 		e := f.entry("a")
 		second := NewGuard(GuardOptions{
-			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(), Memory: mem,
+			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), Memory: reports,
 			Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go second.Run(f.ctx)
@@ -234,9 +235,9 @@
 	})
 }
 
-// A worker had announced that it leaves before its guard was killed. The successor
-// must not begin with the report from before.
-func TestGuardDoesNotBeginWithALeavingWorker(t *testing.T) {
+// Guards against a restarted guard using a worker that had announced its termination before the
+// guard was killed.
+func TestGuardIgnoresStoredReportOfDrainingWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
@@ -245,8 +246,8 @@
 		rep.Draining = true
 		e := f.entry("a")
 		g := NewGuard(GuardOptions{
-			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: quiet(),
-			Memory: &memory{rep: rep}, Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
+			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(),
+			Memory: &memoryReportStore{rep: rep}, Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go g.Run(f.ctx)
 		time.Sleep(time.Second)
@@ -254,10 +255,10 @@
 	})
 }
 
-// All entries lose their power and come back. Until their earlier registrations
-// lapse, the list names each address twice. Counted so, each entry counted on half
-// of its part of the workers, and refused jobs that had time for six seconds.
-func TestEntryThatIsListedTwiceIsCountedOnce(t *testing.T) {
+// Guards against entries counted twice after a power loss of all of them: until the earlier
+// registrations expire, the list contains each address twice. Each entry then assumed half of its
+// share of the workers, and for six seconds refused jobs that it could have completed in time.
+func TestDuplicateEntryAddressesAreCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.stop()
--- a/internal/batchnode/query.go
+++ b/internal/batchnode/query.go
@@ -9,159 +9,168 @@
 	"wigeontray/internal/wire"
 )
 
-// Entries have no links to each other. A caller may ask any of them for its job;
-// one that does not run it asks the others over a guard.
+// Entries have no links to each other. A caller may send a query or a cancellation for its job
+// to any of them; an entry that does not run the job asks the others through a guard, which
+// relays the query and the reports.
 
 // Timing of queries.
 const (
-	// queryTime bounds the wait for the words of the other entries. Two round trips
-	// take 2 to 10 ms within a region and 50 ms between two; a frozen entry or guard
-	// does not answer at all.
-	queryTime = 200 * time.Millisecond
-	// queryTries is how many guards are asked in turn, as one may be frozen.
-	queryTries = 2
-	// heldUpTime bounds the wait before a job that may have been held up begins.
-	heldUpTime = 50 * time.Millisecond
+	// queryTimeout is how long an entry waits for the reports of the other entries. Two
+	// round trips take 2 to 10 ms within a region and 50 ms between two regions; a frozen
+	// entry or guard does not answer at all.
+	queryTimeout = 200 * time.Millisecond
+	// maxQueryAttempts is how many guards are tried one after the other, as one may be frozen.
+	maxQueryAttempts = 2
+	// heldUpQueryTimeout is the maximum delay that the query adds to a job whose request may
+	// have been delayed by a network partition.
+	heldUpQueryTimeout = 50 * time.Millisecond
 )
 
-// queries are an entry's questions that are under way. The entry's lock covers it.
+// queries holds the queries of an entry that wait for reports. It is guarded by Entry.mu.
 type queries struct {
-	last uint64
-	open map[uint64]*query
+	lastSeq uint64
+	pending map[uint64]*query
 }
 
-// query is one question to all other entries.
+// query is one query to all other entries.
 type query struct {
-	wanted  int // words that make it certain
-	asked   int // entries that the guard has asked; -1 until it tells
-	heard   int
-	state   batch.State   // Unknown until an entry knows the job
-	settled chan struct{} // closed when there is nothing more to wait for
+	expectedReports int // reports needed for a certain result: one from each other entry
+	relayedTo       int // entries to which the guard relayed the query; -1 until it reports that
+	receivedReports int
+	state           batch.State   // Unknown until an entry reports the job
+	done            chan struct{} // closed when all reports have arrived
 }
 
-func (q *queries) begin(wanted int) (uint64, *query) {
-	q.last++
-	o := &query{wanted: wanted, asked: -1, settled: make(chan struct{})}
-	q.open[q.last] = o
-	return q.last, o
+// begin adds a query and returns it with its sequence number.
+func (q *queries) begin(expectedReports int) (uint64, *query) {
+	q.lastSeq++
+	added := &query{expectedReports: expectedReports, relayedTo: -1, done: make(chan struct{})}
+	q.pending[q.lastSeq] = added
+	return q.lastSeq, added
 }
 
-// take notes the word of a guard or an entry.
-func (q *queries) take(r *wire.JobReport) {
-	o := q.open[r.Seq]
+// handleReport handles the report of a guard (with Asked) or of an entry.
+func (q *queries) handleReport(r *wire.JobReport) {
+	pendingQuery := q.pending[r.Seq]
 	switch {
-	case o == nil:
-		return // it came too late
+	case pendingQuery == nil:
+		return // the query has timed out or is complete
 	case r.Asked != nil:
-		o.asked = *r.Asked
+		pendingQuery.relayedTo = *r.Asked
 	default:
-		o.heard++
+		pendingQuery.receivedReports++
 		if s := batch.State(r.State); s != batch.Unknown {
-			o.state = s
+			pendingQuery.state = s
 		}
 	}
-	if o.heard == o.asked {
-		close(o.settled)
-		delete(q.open, r.Seq)
+	if pendingQuery.receivedReports == pendingQuery.relayedTo {
+		close(pendingQuery.done)
+		delete(q.pending, r.Seq)
 	}
 }
 
-// certain tells whether all other entries have answered.
-func (o *query) certain() bool { return o.heard >= o.wanted && o.heard == o.asked }
+// isCertain reports whether all other entries have answered.
+func (q *query) isCertain() bool {
+	return q.receivedReports >= q.expectedReports && q.receivedReports == q.relayedTo
+}
 
-// Query tells what is known of a job anywhere, and withdraws it where it is under
-// way if cancel is set. If the answer is not certain, an entry that did not answer
-// may run the job.
-func (e *Entry) Query(ctx context.Context, id string, cancel bool) (s batch.State, certain bool) {
-	if cancel && e.Cancel(id) {
+// Query returns the state of a job at this entry or at any other. If cancelJob is set, the job is
+// cancelled where it is queued or running. If the result is not certain, an entry that did not
+// answer may run the job.
+func (e *Entry) Query(ctx context.Context, id string, cancelJob bool) (s batch.State, certain bool) {
+	if cancelJob && e.Cancel(id) {
 		return batch.Cancelled, true
 	}
 	if s := e.State(id); s != batch.Unknown {
 		return s, true
 	}
-	if e.alone() {
+	if e.isOnlyEntry() {
 		return batch.Unknown, true
 	}
-	asked := make(map[identity.Incarnation]bool)
-	for range queryTries {
-		s, certain = e.queryOthers(ctx, id, cancel, asked)
-		if certain || !cancel && s != batch.Unknown {
+	triedGuards := make(map[identity.Incarnation]bool)
+	for range maxQueryAttempts {
+		s, certain = e.queryOthers(ctx, id, cancelJob, triedGuards)
+		if certain || !cancelJob && s != batch.Unknown {
 			return s, true
 		}
 	}
 	return s, false
 }
 
-// runsElsewhere tells whether another entry says that a job is under way there.
+// runsElsewhere reports whether another entry answers that a job is queued or running there.
 func (e *Entry) runsElsewhere(ctx context.Context, id string) bool {
-	if e.alone() {
+	if e.isOnlyEntry() {
 		return false
 	}
-	ctx, end := context.WithTimeout(ctx, heldUpTime)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, heldUpQueryTimeout)
+	defer cancel()
 	s, _ := e.queryOthers(ctx, id, false, make(map[identity.Incarnation]bool))
 	return s == batch.Queued || s == batch.Running
 }
 
-func (e *Entry) alone() bool {
+// isOnlyEntry reports whether no other entry is known.
+func (e *Entry) isOnlyEntry() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.known) == 1
 }
 
-// queryOthers asks over a guard that is not in asked yet.
-func (e *Entry) queryOthers(ctx context.Context, id string, cancel bool, asked map[identity.Incarnation]bool) (batch.State, bool) {
-	ctx, end := context.WithTimeout(ctx, queryTime)
-	defer end()
+// queryOthers queries all other entries through a guard that is not in triedGuards, and adds it
+// there.
+func (e *Entry) queryOthers(ctx context.Context, id string, cancelJob bool, triedGuards map[identity.Incarnation]bool) (batch.State, bool) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
 	e.mu.Lock()
 	seq, q := e.queries.begin(len(e.known) - 1)
-	e.postQuery(&wire.JobQuery{Seq: seq, From: e.id, Job: id, Cancel: cancel}, asked)
+	e.sendQuery(&wire.JobQuery{Seq: seq, From: e.id, Job: id, Cancel: cancelJob}, triedGuards)
 	e.mu.Unlock()
 	select {
-	case <-q.settled:
+	case <-q.done:
 	case <-ctx.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.queries.open, seq)
-	return q.state, q.certain()
+	delete(e.queries.pending, seq)
+	return q.state, q.isCertain()
 }
 
-// postQuery needs mu.
-func (e *Entry) postQuery(q *wire.JobQuery, asked map[identity.Incarnation]bool) {
+// sendQuery sends a query to a guard that is not in triedGuards. mu must be held.
+func (e *Entry) sendQuery(q *wire.JobQuery, triedGuards map[identity.Incarnation]bool) {
 	for guard := range e.links {
-		if !asked[guard] {
-			asked[guard] = true
-			e.post(guard, &wire.Frame{JobQuery: q})
+		if !triedGuards[guard] {
+			triedGuards[guard] = true
+			e.sendToGuard(guard, &wire.Frame{JobQuery: q})
 			return
 		}
 	}
 }
 
-// report answers another entry's query over the guard that relayed it. It needs mu.
-func (e *Entry) report(guard identity.Incarnation, q *wire.JobQuery) {
+// answerQuery answers the query of another entry through the guard that relayed it. mu must be
+// held.
+func (e *Entry) answerQuery(guard identity.Incarnation, q *wire.JobQuery) {
 	s := e.machine.State(q.Job)
 	if q.Cancel && (s == batch.Queued || s == batch.Running) {
 		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Cancel(now, q.Job) })
 		s = batch.Cancelled
 	}
-	e.post(guard, &wire.Frame{JobReport: &wire.JobReport{Seq: q.Seq, To: q.From, State: int(s)}})
+	e.sendToGuard(guard, &wire.Frame{JobReport: &wire.JobReport{Seq: q.Seq, To: q.From, State: int(s)}})
 }
 
-// relayQuery passes an entry's query on to all others. It needs mu.
+// relayQuery relays the query of an entry to all other entries, and reports their number to it.
+// mu must be held.
 func (g *Guard) relayQuery(from *guardLink, q *wire.JobQuery) {
-	asked := 0
+	relayed := 0
 	for name, l := range g.links {
 		if name != from.entry && l.link.Send(&wire.Frame{JobQuery: q}) == nil {
-			asked++
+			relayed++
 		}
 	}
-	g.relayReport(&wire.JobReport{Seq: q.Seq, To: q.From, Asked: &asked})
+	g.relayReport(&wire.JobReport{Seq: q.Seq, To: q.From, Asked: &relayed})
 }
 
-// relayReport passes an answer on to the entry that asked. It needs mu.
+// relayReport relays a report to the entry that sent the query. mu must be held.
 func (g *Guard) relayReport(r *wire.JobReport) {
 	if l := g.links[r.To]; l != nil {
-		_ = l.link.Send(&wire.Frame{JobReport: r}) // an entry that hears nothing asks another guard
+		_ = l.link.Send(&wire.Frame{JobReport: r}) // an entry without a response tries another guard
 	}
 }
--- a/internal/batchnode/returns.go
+++ b/internal/batchnode/returns.go
@@ -6,45 +6,47 @@
 	"time"
 )
 
-// StoreReturns tells those who wait to call the store once more that it answers again. The
-// one who follows the configuration asks all the while, and notices first. A nil pointer
-// tells nothing.
+// StoreReturns wakes goroutines that wait before they retry a call to the store, as soon as the
+// store is reachable again. Source.Follow retries all the time and detects that first. All
+// methods work on a nil pointer, which never wakes anyone.
 type StoreReturns struct {
-	mu   sync.Mutex
-	next chan struct{} // closed at the next return; nil if nobody waits
+	mu        sync.Mutex
+	recovered chan struct{} // closed when the store is reachable again; nil if no goroutine waits
 }
 
+// announce wakes all waiting goroutines.
 func (r *StoreReturns) announce() {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.next != nil {
-		close(r.next)
-		r.next = nil
+	if r.recovered != nil {
+		close(r.recovered)
+		r.recovered = nil
 	}
 }
 
-// wait waits for d, until the store returns, or until ctx ends.
+// wait returns after d, when the store is reachable again, or when ctx ends.
 func (r *StoreReturns) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-r.returned():
+	case <-r.nextRecovery():
 	case <-ctx.Done():
 	}
 }
 
-func (r *StoreReturns) returned() <-chan struct{} {
+// nextRecovery returns a channel that the next announce closes.
+func (r *StoreReturns) nextRecovery() <-chan struct{} {
 	if r == nil {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.next == nil {
-		r.next = make(chan struct{})
+	if r.recovered == nil {
+		r.recovered = make(chan struct{})
 	}
-	return r.next
+	return r.recovered
 }
--- a/internal/batchnode/texts.go
+++ b/internal/batchnode/texts.go
@@ -16,112 +16,117 @@
 	"wigeontray/internal/runs"
 )
 
-// Bounds of the texts that a guard has ready for others.
+// Limits of the texts that a guard caches for others.
 const (
-	// textKept is how long a text is ready. All tasks of a job are placed within that
-	// time, or fetch it in vain and get it from their entry.
-	textKept = 2 * time.Second
-	// textAwaited is how long a request waits for a text that is still on its way here.
-	textAwaited = 60 * time.Millisecond
-	// textsBytes bounds what is ready; beyond it the oldest text goes.
-	textsBytes = 1 << 20
-	// textBytes bounds what is read of another guard's answer.
-	textBytes = 1 << 20
+	// textRetention is how long a text is cached. Tasks of the job that are placed later do
+	// not find it and get it from their entry.
+	textRetention = 2 * time.Second
+	// textWaitTimeout is how long a request waits for a text that this guard has not received
+	// yet.
+	textWaitTimeout = 60 * time.Millisecond
+	// maxCachedTextBytes is the maximum size of all cached texts; above it the oldest one is
+	// evicted.
+	maxCachedTextBytes = 1 << 20
+	// maxFetchedTextBytes is the maximum size of a text fetched from another guard.
+	maxFetchedTextBytes = 1 << 20
 )
 
-// TextsPath is where a guard serves texts to others.
+// TextsPath is the HTTP path at which a guard serves texts to other guards.
 const TextsPath = "/inner/texts/"
 
-// textKey names a text: identities of jobs are chosen by callers, and two entries may have
-// jobs of one name with different texts.
+// textKey identifies a text. The job ID alone is not unique: it is chosen by the caller, and two
+// entries may have jobs of the same ID with different texts.
 type textKey struct {
 	entry identity.Incarnation
 	job   string
 }
 
-// keptText is a text, or the wait for one. ready is closed once it is there.
-type keptText struct {
-	text  string
-	ready chan struct{}
-	until time.Time
+// cachedText is a text, or the placeholder for one that has not arrived; ready is closed when it
+// arrives.
+type cachedText struct {
+	text      string
+	ready     chan struct{}
+	expiresAt time.Time
 }
 
-// Texts has the texts of jobs ready for other guards whose workers run tasks of them. An
-// entry with a thin link sends a text to one guard only.
+// Texts caches the texts of jobs for other guards that run tasks of the same jobs, so that an
+// entry with a slow uplink sends each text to one guard only.
 type Texts struct {
-	mu    sync.Mutex
-	kept  map[textKey]*keptText
-	order []textKey // oldest first
-	bytes int
+	mu             sync.Mutex
+	byKey          map[textKey]*cachedText
+	insertionOrder []textKey // oldest first; without placeholders
+	totalBytes     int
 }
 
-// NewTexts returns an empty Texts.
-func NewTexts() *Texts { return &Texts{kept: make(map[textKey]*keptText)} }
+// NewTexts returns an empty cache.
+func NewTexts() *Texts { return &Texts{byKey: make(map[textKey]*cachedText)} }
 
-// keep has a text ready for a while.
-func (t *Texts) keep(k textKey, text string) {
+// add caches a text for textRetention. An empty text, or one that is cached already, is ignored.
+func (t *Texts) add(k textKey, text string) {
 	if text == "" {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.drop(time.Now())
-	e := t.await(k)
-	if e.text != "" {
+	t.evict(time.Now())
+	cached := t.getOrCreate(k)
+	if cached.text != "" {
 		return
 	}
-	e.text, e.until = text, time.Now().Add(textKept)
-	close(e.ready)
-	t.order = append(t.order, k)
-	t.bytes += len(text)
+	cached.text, cached.expiresAt = text, time.Now().Add(textRetention)
+	close(cached.ready)
+	t.insertionOrder = append(t.insertionOrder, k)
+	t.totalBytes += len(text)
 }
 
-// await gives the entry of a text. mu is held.
-func (t *Texts) await(k textKey) *keptText {
-	e := t.kept[k]
-	if e == nil {
-		e = &keptText{ready: make(chan struct{})}
-		t.kept[k] = e
+// getOrCreate returns the cached text or the placeholder for it. mu must be held.
+func (t *Texts) getOrCreate(k textKey) *cachedText {
+	cached := t.byKey[k]
+	if cached == nil {
+		cached = &cachedText{ready: make(chan struct{})}
+		t.byKey[k] = cached
 	}
-	return e
+	return cached
 }
 
-// drop forgets texts whose time is over, and the oldest beyond textsBytes. mu is held.
-func (t *Texts) drop(now time.Time) {
-	for len(t.order) > 0 {
-		k := t.order[0]
-		e := t.kept[k]
-		if now.Before(e.until) && t.bytes <= textsBytes {
+// evict removes expired texts, and the oldest ones until at most maxCachedTextBytes are left. mu
+// must be held.
+func (t *Texts) evict(now time.Time) {
+	for len(t.insertionOrder) > 0 {
+		k := t.insertionOrder[0]
+		cached := t.byKey[k]
+		if now.Before(cached.expiresAt) && t.totalBytes <= maxCachedTextBytes {
 			return
 		}
-		t.order = t.order[1:]
-		t.bytes -= len(e.text)
-		delete(t.kept, k)
+		t.insertionOrder = t.insertionOrder[1:]
+		t.totalBytes -= len(cached.text)
+		delete(t.byKey, k)
 	}
 }
 
-// get gives a text, if it is there or comes soon. It may be asked for before it has come:
-// its frame and the one that leads here take different ways.
+// get returns a text if it is cached or arrives within textWaitTimeout. A request may be earlier
+// than the text, because the frame with the text and the frame that refers the other guard to
+// this one take different paths.
 func (t *Texts) get(ctx context.Context, k textKey) (string, bool) {
 	t.mu.Lock()
-	e := t.await(k)
+	cached := t.getOrCreate(k)
 	t.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, textAwaited)
+	ctx, cancel := context.WithTimeout(ctx, textWaitTimeout)
 	defer cancel()
 	select {
-	case <-e.ready:
-		return e.text, true
+	case <-cached.ready:
+		return cached.text, true
 	case <-ctx.Done():
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.kept[k] == e && e.text == "" {
-		delete(t.kept, k) // nobody else is served worse: they time out alike
+	if t.byKey[k] == cached && cached.text == "" {
+		delete(t.byKey, k) // other requests that wait for it time out as well
 	}
-	return e.text, e.text != ""
+	return cached.text, cached.text != ""
 }
 
-// ServeHTTP answers other guards.
+// ServeHTTP serves cached texts to other guards.
 func (t *Texts) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	k := textKey{entry: identity.Incarnation(r.URL.Query().Get("entry")), job: r.URL.Query().Get("job")}
 	text, ok := t.get(r.Context(), k)
@@ -130,48 +135,48 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = io.WriteString(w, text) // a guard that has left gets the text from its entry
+	_, _ = io.WriteString(w, text) // on a failure the other guard gets the text from its entry
 }
 
-// Connections to other guards.
+// Limits of the HTTP connections to other guards.
 const (
-	textsConnect = 40 * time.Millisecond
-	textsIdle    = 10 * time.Second
-	textsPerHost = 2
+	textConnectTimeout      = 40 * time.Millisecond
+	textIdleTimeout         = 10 * time.Second
+	maxIdleTextConnsPerHost = 2
 )
 
 // TextClient fetches texts from other guards.
 type TextClient struct{ http *http.Client }
 
-// NewTextClient returns a client without connections.
+// NewTextClient returns a client without open connections.
 func NewTextClient() *TextClient {
-	d := &net.Dialer{Timeout: textsConnect, KeepAlive: -1}
+	d := &net.Dialer{Timeout: textConnectTimeout, KeepAlive: -1}
 	return &TextClient{http: &http.Client{Transport: &http.Transport{
-		DialContext: d.DialContext, IdleConnTimeout: textsIdle, MaxIdleConnsPerHost: textsPerHost, DisableCompression: true,
+		DialContext: d.DialContext, IdleConnTimeout: textIdleTimeout, MaxIdleConnsPerHost: maxIdleTextConnsPerHost, DisableCompression: true,
 	}}}
 }
 
-// Fetch gets the text of a job.
+// Fetch fetches the text of a job.
 func (c *TextClient) Fetch(ctx context.Context, f *runs.Fetch) (string, error) {
-	q := url.Values{"entry": {string(f.From)}, "job": {f.Job}}
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Source+TextsPath+"?"+q.Encode(), nil)
+	query := url.Values{"entry": {string(f.From)}, "job": {f.Job}}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Source+TextsPath+"?"+query.Encode(), nil)
 	if err != nil {
 		return "", fmt.Errorf("fetch text: %w", err)
 	}
-	answer, err := c.http.Do(r)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return "", fmt.Errorf("fetch text: %w", err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("fetch text: %s", answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return "", fmt.Errorf("fetch text: %s", response.Status)
 	}
-	text, err := io.ReadAll(io.LimitReader(answer.Body, textBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxFetchedTextBytes))
 	switch {
 	case err != nil:
 		return "", fmt.Errorf("fetch text: %w", err)
-	case len(text) == 0 || int64(len(text)) != answer.ContentLength:
-		return "", errors.New("fetch text: the answer is cut")
+	case len(text) == 0 || int64(len(text)) != response.ContentLength:
+		return "", errors.New("fetch text: response is empty or truncated")
 	}
 	return string(text), nil
 }
