--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -12,9 +12,9 @@
 	"wigeontray/internal/jobs"
 )
 
-// The bodies of the callers' API. docs/http.md is their reference.
+// The response bodies of the callers' API, as documented in docs/http.md.
 
-// jobBody answers for one job.
+// jobBody is the response body for one job.
 type jobBody struct {
 	Job      string        `json:"job,omitempty"`
 	State    string        `json:"state"`
@@ -30,8 +30,8 @@
 	stateFailed   = "failed"
 )
 
-// resultBody is one task's result: the upstream's body as JSON where it is
-// JSON, else in base64.
+// resultBody is the result of one task. The upstream's body is embedded as JSON if
+// it is valid JSON, else it is encoded in base64.
 type resultBody struct {
 	Status int             `json:"status"`
 	JSON   json.RawMessage `json:"body,omitempty"`
@@ -39,12 +39,12 @@
 }
 
 type errorBody struct {
-	Kind    string `json:"kind"`
-	Message string `json:"message"`
-	Detail  string `json:"detail,omitempty"`
-	Ran     string `json:"ran"`
-	Advice  string `json:"advice"`
-	AfterMs int64  `json:"retry_after_ms,omitempty"`
+	Kind         string `json:"kind"`
+	Message      string `json:"message"`
+	Detail       string `json:"detail,omitempty"`
+	Ran          string `json:"ran"`
+	Advice       string `json:"advice"`
+	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 }
 
 type failureBody struct {
@@ -57,23 +57,24 @@
 func newErrorBody(e *errkind.Error) *errorBody {
 	row := e.Kind.Answer()
 	return &errorBody{
-		Kind: row.Name, Message: row.Text, Detail: clip(e.Detail),
-		Ran: e.Ran.String(), Advice: row.Advice.String(), AfterMs: e.After.Milliseconds(),
+		Kind: row.Name, Message: row.Text, Detail: truncateDetail(e.Detail),
+		Ran: e.Ran.String(), Advice: row.Advice.String(), RetryAfterMs: e.After.Milliseconds(),
 	}
 }
 
-// maxDetail bounds the detail of an answer, in bytes. Some repeat what the caller
-// sent, which would come back in full and be held for resubmissions.
-const maxDetail = 1 << 10
+// maxDetailBytes limits the detail of an answer. Some details repeat input of the
+// caller, which would otherwise be returned in full and kept in memory for
+// resubmissions.
+const maxDetailBytes = 1 << 10
 
-func clip(detail string) string {
-	if len(detail) <= maxDetail {
+func truncateDetail(detail string) string {
+	if len(detail) <= maxDetailBytes {
 		return detail
 	}
-	return strings.ToValidUTF8(detail[:maxDetail], "") + "..."
+	return strings.ToValidUTF8(detail[:maxDetailBytes], "") + "..."
 }
 
-// outcomeAnswer renders the final answer of a job.
+// outcomeAnswer returns the final answer of a job.
 func outcomeAnswer(key string, o *dispatch.Outcome) *jobs.Answer {
 	if o.Err != nil {
 		return failedAnswer(key, o.Err, o.Failures)
@@ -82,7 +83,7 @@
 	for i, r := range o.Results {
 		body.Results[i] = newResultBody(r)
 	}
-	return &jobs.Answer{Ran: errkind.RanYes, Body: marshal(body)}
+	return &jobs.Answer{Ran: errkind.RanYes, Body: mustMarshal(body)}
 }
 
 func newResultBody(r dispatch.TaskResult) resultBody {
@@ -95,13 +96,14 @@
 func failedAnswer(key string, e *errkind.Error, failures []dispatch.TaskFailure) *jobs.Answer {
 	body := jobBody{Job: key, State: stateFailed, Error: newErrorBody(e)}
 	for _, f := range failures {
-		body.Failures = append(body.Failures, failureBody{Task: f.Task, Kind: f.Kind.String(), Ran: f.Ran.String(), Detail: clip(f.Detail)})
+		body.Failures = append(body.Failures, failureBody{Task: f.Task, Kind: f.Kind.String(), Ran: f.Ran.String(), Detail: truncateDetail(f.Detail)})
 	}
-	return &jobs.Answer{Kind: e.Kind, Ran: e.Ran, Body: marshal(body), After: e.After}
+	return &jobs.Answer{Kind: e.Kind, Ran: e.Ran, Body: mustMarshal(body), After: e.After}
 }
 
-// heldAnswer gives the body of a, or tells that it was dropped.
-func heldAnswer(key string, a *jobs.Answer) *jobs.Answer {
+// answerWithBody returns a, or an error answer that says that the body of a has
+// been dropped from memory.
+func answerWithBody(key string, a *jobs.Answer) *jobs.Answer {
 	if a.Body != nil {
 		return a
 	}
@@ -111,17 +113,17 @@
 	return failedAnswer(key, errkind.New(a.Kind, "the list of failures is no longer held").WithRan(a.Ran), nil)
 }
 
-func runningBody(key string) []byte { return marshal(jobBody{Job: key, State: stateRunning}) }
+func runningBody(key string) []byte { return mustMarshal(jobBody{Job: key, State: stateRunning}) }
 
-func marshal(v any) []byte {
+func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the types above always encode; raw JSON was checked
+		panic(err) // the types above can always be encoded, and raw JSON was validated
 	}
 	return b
 }
 
-// writeAnswer sends an answer with its status and Retry-After.
+// writeAnswer sends an answer with its status code and Retry-After header.
 func writeAnswer(w http.ResponseWriter, a *jobs.Answer) {
 	writeBody(w, a.Kind.Answer().Status, a.Body, a.After)
 }
@@ -130,15 +132,16 @@
 	writeAnswer(w, failedAnswer(key, errkind.From(err), nil))
 }
 
-// writeBody sends JSON. after becomes a Retry-After of whole seconds, rounded
-// up, so that a caller that obeys it does not come back too early.
-func writeBody(w http.ResponseWriter, status int, body []byte, after time.Duration) {
+// writeBody sends a JSON body. A positive retryAfter is sent as Retry-After in
+// whole seconds, rounded up so that a caller that respects it does not retry too
+// early.
+func writeBody(w http.ResponseWriter, status int, body []byte, retryAfter time.Duration) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if after > 0 {
-		h.Set("Retry-After", strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10))
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatInt(int64((retryAfter+time.Second-1)/time.Second), 10))
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a caller that has gone resubmits and joins the record
+	_, _ = w.Write(body) // a caller that has disconnected can resubmit to get the recorded answer
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -13,13 +13,13 @@
 
 // Headers of the callers' API.
 const (
-	headerKey  = "Idempotency-Key"
-	headerHome = "Wigeontray-Home" // home incarnation for tickets, on every answer
+	idempotencyKeyHeader = "Idempotency-Key"
+	homeHeader           = "Wigeontray-Home" // on every response: the entry that issues tickets under this name
 )
 
 const statusRunning = http.StatusAccepted
 
-// Handler serves callers: jobs, tickets and the operators' records.
+// Handler serves the callers' API: jobs, tickets and the record API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/jobs", s.member(s.postJob))
@@ -33,33 +33,35 @@
 	return httpserve.Unmatched(mux, s.refuseUnmatched)
 }
 
-// refuseUnmatched answers for a path or method that nothing serves.
+// refuseUnmatched answers requests for an unknown path or method.
 func (s *Server) refuseUnmatched(w http.ResponseWriter, err *errkind.Error) {
-	w.Header().Set(headerHome, string(s.id))
+	w.Header().Set(homeHeader, string(s.id))
 	s.refuse(w, "", err)
 }
 
-// unrecorded takes back a kind's claim that the identity never ran. Nothing is
-// recorded of a request that is refused this early: the identity may have run
-// before, or run when it is sent again without the fault.
-func unrecorded(err *errkind.Error) *errkind.Error { return err.WithRan(errkind.RanUnknown) }
+// withRanUnknown sets the Ran field of a refusal to unknown. A request that is
+// refused this early is not recorded: a job with the same key may have run before,
+// or may run when the request is sent again without the fault, so the answer must
+// not say that it never ran.
+func withRanUnknown(err *errkind.Error) *errkind.Error { return err.WithRan(errkind.RanUnknown) }
 
-// member wraps a handler with authentication.
+// member wraps a handler with authentication and with the limits on the member's
+// open requests.
 func (s *Server) member(next func(w http.ResponseWriter, r *http.Request, member string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.waiters.Add(1)
 		defer s.waiters.Add(-1)
-		w.Header().Set(headerHome, string(s.id))
+		w.Header().Set(homeHeader, string(s.id))
 		name, err := s.Authenticate(r)
 		if err != nil {
-			s.refuse(w, "", unrecorded(err))
+			s.refuse(w, "", withRanUnknown(err))
 			return
 		}
 		if err := s.config.CheckRegion(name); err != nil {
 			s.refuse(w, "", err)
 			return
 		}
-		release, err := s.claim(name, r)
+		release, err := s.acquireRequest(name, r)
 		if err != nil {
 			s.refuse(w, "", err)
 			return
@@ -69,18 +71,18 @@
 	}
 }
 
-// Authenticate finds the member whose bearer token the request carries.
+// Authenticate returns the member whose bearer token the request carries.
 func (s *Server) Authenticate(r *http.Request) (string, *errkind.Error) {
 	if s.config.Revision() == 0 {
-		// Before the first configuration every token would look wrong, and
-		// "wrong token" would be an untrue refusal.
+		// Without a configuration every token is unknown, and a refusal as
+		// unauthenticated could be wrong.
 		return "", errkind.New(errkind.StoreUnavailable, "no configuration is in force yet").WithAfter(time.Second)
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return "", errkind.New(errkind.Unauthenticated, "want a bearer token")
 	}
-	name, ok := s.config.Member(token)
+	name, ok := s.config.MemberForToken(token)
 	if !ok {
 		return "", errkind.New(errkind.Unauthenticated, "no member has this token")
 	}
@@ -90,72 +92,72 @@
 func (s *Server) refuse(w http.ResponseWriter, key string, err *errkind.Error) {
 	s.metrics.Refused(err.Kind)
 	if err.Kind == errkind.Unauthenticated {
-		w.Header().Set("WWW-Authenticate", "Bearer") // RFC 9110 demands it with 401
+		w.Header().Set("WWW-Authenticate", "Bearer") // required with 401 by RFC 9110
 	}
 	writeError(w, key, err)
 }
 
 func (s *Server) postJob(w http.ResponseWriter, r *http.Request, member string) {
-	key, refusal := headerIdentity(r)
+	key, refusal := keyFromHeader(r)
 	if refusal != nil {
 		s.refuse(w, "", refusal)
 		return
 	}
 	body, refusal := readBody(w, r, s.opts.MaxBody)
 	if refusal != nil {
-		s.refuse(w, key.Text, unrecorded(refusal))
+		s.refuse(w, key.Text, withRanUnknown(refusal))
 		return
 	}
 	w.Header().Set("Location", "/v1/jobs/"+key.Text)
-	s.answer(w, r, &request{op: wire.OpSubmit, member: member, key: key, wait: preference(r), body: body})
+	s.serveRequest(w, r, &request{op: wire.OpSubmit, member: member, key: key, wait: parsePrefer(r), body: body})
 }
 
-// headerIdentity reads the identity of a submission. Two of them are refused:
-// callers and what stands between could disagree about which one counts.
-func headerIdentity(r *http.Request) (identity.Key, *errkind.Error) {
-	values := r.Header.Values(headerKey)
+// keyFromHeader returns the job key of a submission. A request with several keys is
+// refused, because the caller and proxies could disagree about which one counts.
+func keyFromHeader(r *http.Request) (identity.Key, *errkind.Error) {
+	values := r.Header.Values(idempotencyKeyHeader)
 	if len(values) != 1 {
-		return identity.Key{}, errkind.New(errkind.BadRequest, "want one %s, not %d", headerKey, len(values))
+		return identity.Key{}, errkind.New(errkind.BadRequest, "want one %s, not %d", idempotencyKeyHeader, len(values))
 	}
 	key, err := identity.Parse(values[0])
 	if err != nil {
-		return identity.Key{}, errkind.New(errkind.BadRequest, "%s: %w", headerKey, err)
+		return identity.Key{}, errkind.New(errkind.BadRequest, "%s: %w", idempotencyKeyHeader, err)
 	}
 	return key, nil
 }
 
 func (s *Server) getJob(w http.ResponseWriter, r *http.Request, member string) {
-	s.answerKeyed(w, r, member, wire.OpFetch)
+	s.serveExistingJob(w, r, member, wire.OpFetch)
 }
 
 func (s *Server) deleteJob(w http.ResponseWriter, r *http.Request, member string) {
-	s.answerKeyed(w, r, member, wire.OpCancel)
+	s.serveExistingJob(w, r, member, wire.OpCancel)
 }
 
-// answerKeyed serves the operations on an existing job.
-func (s *Server) answerKeyed(w http.ResponseWriter, r *http.Request, member, op string) {
+// serveExistingJob serves fetch and cancel requests.
+func (s *Server) serveExistingJob(w http.ResponseWriter, r *http.Request, member, op string) {
 	key, err := identity.Parse(r.PathValue("key"))
 	if err != nil {
 		s.refuse(w, "", errkind.New(errkind.BadRequest, "job: %w", err))
 		return
 	}
-	s.answer(w, r, &request{op: op, member: member, key: key, wait: preference(r)})
+	s.serveRequest(w, r, &request{op: op, member: member, key: key, wait: parsePrefer(r)})
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, q *request) {
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, q *request) {
 	a := s.route(r.Context(), q)
-	writeBody(w, a.status, a.body, a.after)
+	writeBody(w, a.status, a.body, a.retryAfter)
 }
 
-// ticketBody answers GET /v1/ticket.
+// ticketBody is the response body of GET /v1/ticket.
 type ticketBody struct {
 	Ticket string `json:"ticket"`
 	Home   string `json:"home"`
 }
 
-// getTicket mints an identity by this entry's clock, for callers that have no
-// UUIDv7 or whose clock is wrong.
+// getTicket issues a job key based on this entry's clock, for callers that cannot
+// create a UUIDv7 or whose clock is wrong.
 func (s *Server) getTicket(w http.ResponseWriter, _ *http.Request, _ string) {
 	k := identity.NewTicket(s.id, time.Now())
-	writeBody(w, http.StatusOK, marshal(ticketBody{Ticket: k.Text, Home: string(s.id)}), 0)
+	writeBody(w, http.StatusOK, mustMarshal(ticketBody{Ticket: k.Text, Home: string(s.id)}), 0)
 }
--- a/internal/entry/config.go
+++ b/internal/entry/config.go
@@ -11,13 +11,13 @@
 	"wigeontray/internal/wire"
 )
 
-// SyncedConfig is the Config that confsync keeps fresh.
+// SyncedConfig implements Config on top of a confsync.Sync.
 type SyncedConfig struct {
 	sync   *confsync.Sync
 	region string
 }
 
-// NewSyncedConfig serves s to an entry in region.
+// NewSyncedConfig returns the Config of an entry in the given region.
 func NewSyncedConfig(s *confsync.Sync, region string) *SyncedConfig {
 	return &SyncedConfig{sync: s, region: region}
 }
@@ -25,43 +25,45 @@
 // Revision implements Config.
 func (c *SyncedConfig) Revision() int64 { return c.sync.Revision() }
 
-// ForPeers implements Config.
-func (c *SyncedConfig) ForPeers() *wire.Config { return frame(c.sync.Encoded()) }
+// SnapshotForPeers implements Config.
+func (c *SyncedConfig) SnapshotForPeers() *wire.Config { return configMessage(c.sync.Encoded()) }
 
-// ForGuard implements Config.
-func (c *SyncedConfig) ForGuard(service string) (*wire.Config, []byte) {
-	f := frame(c.sync.EncodedFor(service))
+// SnapshotForGuard implements Config.
+func (c *SyncedConfig) SnapshotForGuard(service string) (*wire.Config, []byte) {
+	f := configMessage(c.sync.EncodedFor(service))
 	if f == nil {
 		return nil, nil
 	}
 	return f, record.OwnRecord(f.Snapshot)
 }
 
-// frame gives the message for a snapshot; nil where there is none. A snapshot
-// that was decoded or built encodes, so that errors leave nothing out.
-func frame(b []byte, revision int64, err error) *wire.Config {
+// configMessage returns the message that carries an encoded snapshot, or nil if
+// there is none. It ignores err, because a snapshot that was decoded or built here
+// can always be encoded.
+func configMessage(b []byte, revision int64, err error) *wire.Config {
 	if err != nil || b == nil {
 		return nil
 	}
 	return &wire.Config{Revision: revision, Snapshot: b}
 }
 
-// FromPeer implements Config. confsync counts what it cannot take.
-func (c *SyncedConfig) FromPeer(offered *wire.Config) {
+// ReceiveFromPeer implements Config. Snapshots that are rejected are counted by
+// confsync.
+func (c *SyncedConfig) ReceiveFromPeer(offered *wire.Config) {
 	if offered.Revision > c.sync.Revision() {
 		_, _ = c.sync.Offer(offered.Snapshot)
 	}
 }
 
-// FromGuard implements Config.
-func (c *SyncedConfig) FromGuard(offered *wire.Config) {
+// ReceiveFromGuard implements Config.
+func (c *SyncedConfig) ReceiveFromGuard(offered *wire.Config) {
 	if offered.Revision > c.sync.Revision() {
 		_, _ = c.sync.OfferFromGuard(offered.Snapshot)
 	}
 }
 
-// Member implements Config.
-func (c *SyncedConfig) Member(token string) (string, bool) {
+// MemberForToken implements Config.
+func (c *SyncedConfig) MemberForToken(token string) (string, bool) {
 	snap := c.sync.Current()
 	if snap == nil {
 		return "", false
@@ -86,9 +88,9 @@
 	return m.GuardKeys, true
 }
 
-// CheckRegion implements Config. An identity must have one owner in the world;
-// since rosters are kept for each region, a member's requests are accepted in
-// one region only.
+// CheckRegion implements Config. A job key must have exactly one owner worldwide.
+// Rosters are kept per region, so a member's requests are accepted in a single
+// region only.
 func (c *SyncedConfig) CheckRegion(member string) *errkind.Error {
 	m, ok := c.sync.Current().Member(member)
 	if !ok || m.HomeRegion == "" || m.HomeRegion == c.region {
@@ -100,7 +102,7 @@
 // Resolve implements Config.
 func (c *SyncedConfig) Resolve(member string, s *submission) (string, ServiceLimits, *errkind.Error) {
 	snap := c.sync.Current()
-	if err := knownTeam(snap, member, s.Team); err != nil {
+	if err := checkTeam(snap, member, s.Team); err != nil {
 		return "", ServiceLimits{}, err
 	}
 	if s.Job != "" {
@@ -110,7 +112,7 @@
 	if !ok {
 		return "", ServiceLimits{}, errkind.New(errkind.UnknownService, "no service %q", s.Service)
 	}
-	return sv.Name, serviceLimits(sv), checkBodies(sv, s)
+	return sv.Name, serviceLimits(sv), checkBodySizes(sv, s)
 }
 
 func serviceLimits(sv *record.Service) ServiceLimits {
@@ -120,7 +122,8 @@
 	}
 }
 
-// resolveJob tightens a service's limits by those of a declared kind of job.
+// resolveJob returns the limits of a service, overridden by those of a declared
+// kind of job; the task limit can only be lowered.
 func resolveJob(snap *record.Snapshot, member string, s *submission) (string, ServiceLimits, *errkind.Error) {
 	j, ok := snap.Job(member + "/" + s.Job)
 	if !ok {
@@ -141,21 +144,21 @@
 		l.DeclaredMs = j.DeclaredMs
 	}
 	l.Need = overrideNeed(l.Need, j.Need)
-	return sv.Name, l, checkBodies(sv, s)
+	return sv.Name, l, checkBodySizes(sv, s)
 }
 
-// overrideNeed replaces the fields of a need that a closer declaration sets.
-func overrideNeed(need, by dispatch.Need) dispatch.Need {
-	if by.Accelerators > 0 {
-		need.Accelerators = by.Accelerators
+// overrideNeed replaces those fields of need that override sets.
+func overrideNeed(need, override dispatch.Need) dispatch.Need {
+	if override.Accelerators > 0 {
+		need.Accelerators = override.Accelerators
 	}
-	if by.MemoryMB > 0 {
-		need.MemoryMB = by.MemoryMB
+	if override.MemoryMB > 0 {
+		need.MemoryMB = override.MemoryMB
 	}
 	return need
 }
 
-func checkBodies(sv *record.Service, s *submission) *errkind.Error {
+func checkBodySizes(sv *record.Service, s *submission) *errkind.Error {
 	if sv.MaxBody == 0 {
 		return nil
 	}
@@ -167,9 +170,9 @@
 	return nil
 }
 
-// knownTeam refuses teams that the member has not declared: an invented team
-// would have no quota.
-func knownTeam(snap *record.Snapshot, member, team string) *errkind.Error {
+// checkTeam refuses a team that the member has not declared, because no quota would
+// apply to it.
+func checkTeam(snap *record.Snapshot, member, team string) *errkind.Error {
 	if team == "" {
 		return nil
 	}
@@ -191,7 +194,7 @@
 	return dispatch.DefaultPolicy()
 }
 
-// Watch calls f after each change of the snapshot until ctx ends.
+// Watch implements Config.
 func (c *SyncedConfig) Watch(ctx context.Context, f func()) {
 	changed, stop := c.sync.Subscribe()
 	defer stop()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,7 +1,8 @@
-// Package entry owns the entry process: callers' and operators' HTTP, links to
-// guards and to other entries, and the configuration in force. Decisions are
-// made elsewhere: dispatch places and assembles, jobs remembers identities, and
-// the Router owns who may start what.
+// Package entry implements the entry process: the HTTP API for callers and
+// operators, the links to guards and to other entries, and the application of
+// configuration changes. Package dispatch places tasks and assembles results,
+// package jobs keeps the job records, and the Router decides which entry may start
+// a job.
 //
 // The package may import every other package but guard, ledger and replay.
 package entry
@@ -25,88 +26,95 @@
 	"wigeontray/internal/wire"
 )
 
-// ServiceLimits are what the configuration says of one service's jobs.
+// ServiceLimits holds the limits that the configuration sets for the jobs of one
+// service.
 type ServiceLimits struct {
-	Deadline   time.Duration
-	MaxTasks   int
-	DeclaredMs int64
-	Need       dispatch.Need // of a task that names none
+	Deadline   time.Duration // for submissions without a deadline
+	MaxTasks   int           // max. tasks in a job
+	DeclaredMs int64         // estimated run time of a task, for submissions without one
+	Need       dispatch.Need // for tasks that declare no need of their own
 }
 
-// Config is the configuration in force, as the entry needs it.
+// Config provides the current configuration to the entry.
 type Config interface {
-	// Revision is that of the snapshot in force; 0 before the first.
+	// Revision returns the revision of the current snapshot, or 0 before the first
+	// one.
 	Revision() int64
-	// ForPeers is the snapshot in force for other entries; nil before the first.
-	ForPeers() *wire.Config
-	// ForGuard is what a guard of a service gets, and the part of it that the
-	// guard reads, its service's record; nil before the first.
-	ForGuard(service string) (c *wire.Config, own []byte)
-	// FromPeer and FromGuard take what another process holds; what is not newer
-	// or not trustworthy is passed over and counted.
-	FromPeer(c *wire.Config)
-	FromGuard(c *wire.Config)
-	// GuardKeys gives the hashes of a member's guard keys; known is false if the
-	// member has no record in force.
+	// SnapshotForPeers returns the current snapshot to send to other entries, or
+	// nil before the first one.
+	SnapshotForPeers() *wire.Config
+	// SnapshotForGuard returns the snapshot to send to guards of a service, and the
+	// encoded record of that service, which is the only part that the guard itself
+	// reads. Both are nil before the first snapshot.
+	SnapshotForGuard(service string) (c *wire.Config, serviceRecord []byte)
+	// ReceiveFromPeer and ReceiveFromGuard handle a configuration sent by another
+	// process. A snapshot that is not newer, or that cannot be authenticated, is
+	// ignored and counted.
+	ReceiveFromPeer(c *wire.Config)
+	ReceiveFromGuard(c *wire.Config)
+	// GuardKeys returns the hashes of a member's guard keys; known is false if the
+	// current configuration has no record of the member.
 	GuardKeys(member string) (keys []record.TokenHash, known bool)
-	// Member authenticates a bearer token.
-	Member(token string) (name string, ok bool)
-	// CheckRegion refuses, with WrongRegion, a member that is served elsewhere.
+	// MemberForToken returns the member that a bearer token belongs to.
+	MemberForToken(token string) (name string, ok bool)
+	// CheckRegion returns a WrongRegion error if the member is served in another
+	// region.
 	CheckRegion(member string) *errkind.Error
-	// Resolve finds the service that a submission is for.
+	// Resolve returns the service that a submission is for, and its limits.
 	Resolve(member string, s *submission) (service string, limits ServiceLimits, err *errkind.Error)
-	// Policy gives the policy of a service.
+	// Policy returns the dispatch policy of a service.
 	Policy(service string) dispatch.Policy
 	// Watch calls f after each change of the snapshot, one call at a time, until
 	// ctx ends.
 	Watch(ctx context.Context, f func())
 }
 
-// Options configures a Server. Zero limits take defaults.
+// Options configures a Server. Limits that are zero take their defaults.
 type Options struct {
 	ID       identity.Incarnation
 	Domain   string
-	FleetKey string // accepted of guards whose member lists no key of its own
+	FleetKey string // accepted from guards whose member has no guard keys of its own
 	Software string
-	MaxBody  int64 // bytes in a submission
-	// OpenRequests and OpenBytes bound one member's open requests and their bodies.
-	OpenRequests int
-	OpenBytes    int64
-	MaxSlots     int           // slots that one guard may claim
-	MaxDeadline  time.Duration // longest deadline of a job
-	Jobs         jobs.Limits
-	Seed         uint64
-	Config       Config
-	Router       Router
-	Metrics      *telemetry.Registry
-	Log          *log.Logger
-	// Records serves the operators' record API, if set.
+	MaxBody  int64 // max. size of a submission, in bytes
+	// OpenRequests and OpenBytes limit the open requests of one member and the
+	// total size of their bodies.
+	OpenRequests  int
+	OpenBytes     int64
+	MaxGuardSlots int           // max. slots that one guard may report
+	MaxDeadline   time.Duration // longest deadline of a job
+	Jobs          jobs.Limits
+	Seed          uint64
+	Config        Config
+	Router        Router
+	Metrics       *telemetry.Registry
+	Log           *log.Logger
+	// Records serves the record API for operators, if set.
 	Records http.Handler
-	// OnConfig is called after a new snapshot is in force here, if set.
+	// OnConfig is called after a new snapshot has been applied, if set.
 	OnConfig func()
 }
 
 // Defaults of Options.
 const (
-	DefaultMaxBody      = 4 << 20
-	DefaultOpenRequests = 4000
-	DefaultOpenBytes    = 64 << 20
-	DefaultMaxSlots     = 1024
-	DefaultMaxDeadline  = time.Minute
+	DefaultMaxBodyBytes    = 4 << 20
+	DefaultMaxOpenRequests = 4000
+	DefaultMaxOpenBytes    = 64 << 20
+	DefaultMaxGuardSlots   = 1024
+	DefaultMaxDeadline     = time.Minute
 )
 
 func (o *Options) setDefaults() {
 	if o.MaxBody == 0 {
-		o.MaxBody = DefaultMaxBody
+		o.MaxBody = DefaultMaxBodyBytes
 	}
 	if o.OpenRequests == 0 {
-		o.OpenRequests = DefaultOpenRequests
+		o.OpenRequests = DefaultMaxOpenRequests
 	}
 	if o.OpenBytes == 0 {
-		o.OpenBytes = DefaultOpenBytes
+		o.OpenBytes = DefaultMaxOpenBytes
 	}
-	if o.MaxSlots == 0 {
-		o.MaxSlots = DefaultMaxSlots
+	if o.MaxGuardSlots == 0 {
+		o.MaxGuardSlots = DefaultMaxGuardSlots
 	}
 	if o.MaxDeadline == 0 {
 		o.MaxDeadline = DefaultMaxDeadline
@@ -116,54 +124,57 @@
 	}
 }
 
-// Server is one entry. Its handlers may be called from many goroutines.
+// Server is one entry. Its handlers are safe for concurrent use.
 type Server struct {
-	opts     Options
-	id       identity.Incarnation
-	config   Config
-	router   Router
-	registry *jobs.Registry
-	links    *linkTable // verified guards
-	greeted  greetedTable
-	lanes    sync.Map // service to *lane; written once a service
-	laneMu   sync.Mutex
-	// announceMu keeps a guard's return and the decision to give up on it apart.
-	// Lock order: announceMu, then the router's own, then those of links and lanes.
+	opts          Options
+	id            identity.Incarnation
+	config        Config
+	router        Router
+	registry      *jobs.Registry
+	links         *linkTable // links of verified guards
+	openLinks     openLinkSet
+	dispatchers   sync.Map // service name to *dispatcher; each key is written once
+	dispatchersMu sync.Mutex
+	// announceMu serialises the return of a guard with the decision to stop waiting
+	// for it. Lock order: announceMu, then the router's lock, then those of links
+	// and dispatchers.
 	announceMu sync.Mutex
-	// shareMu orders what guards are sent of the configuration, so that none is
-	// left out that links during a change. Lock order: shareMu, then links.
-	shareMu  sync.Mutex
-	metrics  *telemetry.Registry
-	log      *log.Logger
-	traffic  *wire.Traffic
-	stopping atomic.Bool // fresh jobs are refused
-	leaving  atomic.Bool // not ready, but still serving
-	waiters  atomic.Int64
-	open     shares // of callers' requests
-	amending shares // of amendments of records
+	// configSendMu serialises the sending of configurations to guards, so that a
+	// guard that links during a change still receives it. Lock order: configSendMu,
+	// then links.
+	configSendMu     sync.Mutex
+	metrics          *telemetry.Registry
+	log              *log.Logger
+	traffic          *wire.Traffic
+	draining         atomic.Bool  // new jobs are refused
+	notReady         atomic.Bool  // reports not ready, but still serves requests
+	waiters          atomic.Int64 // requests of callers in progress
+	requestUsage     usageTable   // open requests of callers
+	recordWriteUsage usageTable   // writes to the record API in progress
 
-	ctx context.Context // ends with Close
-	end context.CancelFunc
+	ctx       context.Context // cancelled by Close
+	cancelCtx context.CancelFunc
 }
 
-// New returns a server that is ready to take links and requests.
+// New returns a server that is ready to accept links and requests.
 func New(o Options) *Server {
 	o.setDefaults()
 	s := &Server{
 		opts: o, id: o.ID, config: o.Config, router: o.Router,
 		registry: jobs.New(o.Jobs), links: newLinkTable(),
-		greeted: greetedTable{links: make(map[*guardLink]struct{})},
-		metrics: o.Metrics, log: o.Log, traffic: new(wire.Traffic),
+		openLinks: openLinkSet{links: make(map[*guardLink]struct{})},
+		metrics:   o.Metrics, log: o.Log, traffic: new(wire.Traffic),
 	}
-	s.ctx, s.end = context.WithCancel(context.Background())
-	s.readFigures()
+	s.ctx, s.cancelCtx = context.WithCancel(context.Background())
+	s.registerMetrics()
 	go s.config.Watch(s.ctx, s.configChanged)
-	go s.followEntries(s.ctx)
+	go s.watchEntries(s.ctx)
 	return s
 }
 
-// readFigures ties the gauges and counters that live elsewhere to the metrics.
-func (s *Server) readFigures() {
+// registerMetrics registers the gauges and counters whose values are read from
+// other components.
+func (s *Server) registerMetrics() {
 	m := s.metrics
 	m.ReadCounter(telemetry.FramesOut, s.traffic.FramesOut.Load)
 	m.ReadCounter(telemetry.FramesIn, s.traffic.FramesIn.Load)
@@ -173,7 +184,7 @@
 	m.ReadGauge(telemetry.ConfigRevision, func() int64 { return s.config.Revision() })
 	m.ReadGauge(telemetry.Peers, func() int64 { return int64(len(s.router.Roster().Linked)) })
 	m.ReadGauge(telemetry.RosterVersion, func() int64 { return s.router.Roster().Version })
-	m.ReadGauge(telemetry.Guards, func() int64 { return int64(len(s.links.all())) })
+	m.ReadGauge(telemetry.Guards, func() int64 { return int64(len(s.links.guardHellos())) })
 	m.ReadGauge(telemetry.JobsHeld, func() int64 { held, _ := s.registry.Count(); return int64(held) })
 	m.ReadGauge(telemetry.JobsOpen, func() int64 { _, open := s.registry.Count(); return int64(open) })
 	m.ReadGauge(telemetry.Ready, func() int64 {
@@ -184,29 +195,30 @@
 	})
 }
 
-// lane finds or makes the lane of a service.
-func (s *Server) lane(service string) *lane {
-	if l, ok := s.lanes.Load(service); ok {
-		return l.(*lane)
+// dispatcher returns the dispatcher of a service, and creates it on first use.
+func (s *Server) dispatcher(service string) *dispatcher {
+	if d, ok := s.dispatchers.Load(service); ok {
+		return d.(*dispatcher)
 	}
-	s.laneMu.Lock()
-	defer s.laneMu.Unlock()
-	if l, ok := s.lanes.Load(service); ok {
-		return l.(*lane)
+	s.dispatchersMu.Lock()
+	defer s.dispatchersMu.Unlock()
+	if d, ok := s.dispatchers.Load(service); ok {
+		return d.(*dispatcher)
 	}
-	l := newLane(service, s.id, meter.Wrap(dispatch.New(service, s.policy(service), s.opts.Seed), s.metrics), s.finish)
-	s.lanes.Store(service, l)
-	return l
+	d := newDispatcher(service, s.id, meter.Wrap(dispatch.New(service, s.policy(service), s.opts.Seed), s.metrics), s.finishJob)
+	s.dispatchers.Store(service, d)
+	return d
 }
 
-func (s *Server) eachLane(f func(l *lane)) {
-	s.lanes.Range(func(_, v any) bool {
-		f(v.(*lane))
+func (s *Server) forEachDispatcher(visit func(l *dispatcher)) {
+	s.dispatchers.Range(func(_, v any) bool {
+		visit(v.(*dispatcher))
 		return true
 	})
 }
 
-// policy completes the configured policy with what only this entry knows.
+// policy returns the configured policy of a service, completed with the number of
+// entries and this entry's failure domain.
 func (s *Server) policy(service string) dispatch.Policy {
 	p := s.config.Policy(service)
 	p.Entries = max(len(s.router.Entries()), 1)
@@ -214,69 +226,70 @@
 	return p
 }
 
-// configChanged puts a new snapshot in force here and passes it to the guards.
-// Links are judged first: one whose key was removed must get nothing more.
+// configChanged applies a new snapshot and sends it to the guards. Links are
+// verified first, because a guard whose key was removed must not receive anything
+// more.
 func (s *Server) configChanged() {
-	s.verifyAll()
+	s.reverifyLinks()
 	s.Reconfigure()
 	s.metrics.Inc(telemetry.ConfigsApplied)
-	s.shareChange()
+	s.sendChangedConfig()
 	if s.opts.OnConfig != nil {
 		s.opts.OnConfig()
 	}
 }
 
-// Reconfigure applies the policies again, after the configuration or the number
-// of entries has changed.
+// Reconfigure applies the dispatch policies again after a change of the
+// configuration or of the number of entries.
 func (s *Server) Reconfigure() {
-	s.eachLane(func(l *lane) { l.configure(s.policy(l.service)) })
+	s.forEachDispatcher(func(d *dispatcher) { d.configure(s.policy(d.service)) })
 }
 
-// Ready tells whether the balancer should send requests here: a configuration
-// is in force and no stop has begun.
-func (s *Server) Ready() bool { return !s.leaving.Load() && s.config.Revision() > 0 }
+// Ready reports whether the load balancer should send requests here: a
+// configuration has been applied and shutdown has not begun.
+func (s *Server) Ready() bool { return !s.notReady.Load() && s.config.Revision() > 0 }
 
-// Leave makes the entry not ready. It goes on serving all requests, so that
-// none is refused before the balancer has taken notice.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Leave makes the entry report not ready. It continues to serve all requests, so
+// that none is refused before the load balancer has noticed.
+func (s *Server) Leave() { s.notReady.Store(true) }
 
-// Drain refuses fresh jobs and waits until every open one is answered, or ctx
-// ends. Resubmissions and fetches are still answered.
+// Drain refuses new jobs and waits until all open jobs are answered or ctx ends.
+// Resubmissions and fetches are still answered.
 func (s *Server) Drain(ctx context.Context) error {
-	s.leaving.Store(true)
-	s.stopping.Store(true)
-	const poll = 20 * time.Millisecond
-	t := time.NewTicker(poll)
-	defer t.Stop()
+	s.notReady.Store(true)
+	s.draining.Store(true)
+	const pollInterval = 20 * time.Millisecond
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		if _, open := s.registry.Count(); open == 0 {
 			return nil
 		}
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// Close ends all links. Jobs that are still open get no answer from here.
+// Close closes all links. Jobs that are still open are not answered by this entry.
 func (s *Server) Close() {
-	s.end()
+	s.cancelCtx()
 	s.links.broadcast(&wire.Frame{Goodbye: &wire.Goodbye{Reason: "entry stops"}})
 	s.links.close()
-	s.eachLane((*lane).close)
+	s.forEachDispatcher((*dispatcher).close)
 }
 
-// Guards lists the linked guards.
-func (s *Server) Guards() []*wire.Hello { return s.links.all() }
+// Guards returns the Hello messages of the linked guards.
+func (s *Server) Guards() []*wire.Hello { return s.links.guardHellos() }
 
-// InnerHandler serves the guards' end of the inner protocol.
+// InnerHandler accepts links from guards.
 func (s *Server) InnerHandler() http.Handler { return http.HandlerFunc(s.serveGuard) }
 
-// Usable counts the guards that tasks may be sent to.
+// Usable returns the number of guards that tasks can be sent to.
 func (s *Server) Usable() int {
 	n := 0
-	s.eachLane(func(l *lane) { n += len(l.guards()) })
+	s.forEachDispatcher(func(d *dispatcher) { n += len(d.guardHellos()) })
 	return n
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -18,370 +18,373 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-func decode(b *bench, body []byte) jobBody {
+func decodeJob(e *testEntry, body []byte) jobBody {
 	var j jobBody
-	b.Assert(json.Unmarshal(body, &j), qt.IsNil, qt.Commentf("%s", body))
+	e.Assert(json.Unmarshal(body, &j), qt.IsNil, qt.Commentf("%s", body))
 	return j
 }
 
-func TestServesARequest(t *testing.T) {
+func TestSubmitReturnsResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		answer := b.post("ayni", b.ticket(), booking)
-		st := b.next(g).Start
-		b.Assert(string(st.Body), qt.Equals, `{"seat":"12A"}`)
-		b.Assert(st.Home, qt.Equals, b.s.id)
-		b.ok(g, st, `{"escort":7}`)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		st := e.recvFrame(g).Start
+		e.Assert(string(st.Body), qt.Equals, `{"seat":"12A"}`)
+		e.Assert(st.Home, qt.Equals, e.server.id)
+		e.sendResult(g, st, `{"escort":7}`)
 		w := <-answer
-		b.Assert(w.Code, qt.Equals, http.StatusOK)
-		j := decode(b, w.Body.Bytes())
-		b.Assert(j.State, qt.Equals, stateComplete)
-		b.Assert(string(j.Results[0].JSON), qt.Equals, `{"escort":7}`)
+		e.Assert(w.Code, qt.Equals, http.StatusOK)
+		j := decodeJob(e, w.Body.Bytes())
+		e.Assert(j.State, qt.Equals, stateComplete)
+		e.Assert(string(j.Results[0].JSON), qt.Equals, `{"escort":7}`)
 	})
 }
 
-// A kiosk's first request is still running when it asks again, and asks once
-// more after the answer. All three must get the one booking.
+// Protects against a second start when a job is resubmitted while it runs and again
+// after it was answered: every request must get the same answer.
 func TestResubmissionsShareOneStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		key := b.ticket()
-		first := b.post("ayni", key, booking)
-		st := b.next(g).Start
-		second := b.post("ayni", key, booking)
-		b.silent(g)
-		b.ok(g, st, `{"escort":7}`)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		key := e.newTicket()
+		first := e.submit("ayni", key, testSubmission)
+		st := e.recvFrame(g).Start
+		second := e.submit("ayni", key, testSubmission)
+		e.assertNoFrame(g)
+		e.sendResult(g, st, `{"escort":7}`)
 		want := (<-first).Body.String()
-		b.Assert((<-second).Body.String(), qt.Equals, want)
-		b.Assert((<-b.post("ayni", key, booking)).Body.String(), qt.Equals, want)
-		b.silent(g)
+		e.Assert((<-second).Body.String(), qt.Equals, want)
+		e.Assert((<-e.submit("ayni", key, testSubmission)).Body.String(), qt.Equals, want)
+		e.assertNoFrame(g)
 	})
 }
 
-// A caller hangs up while its booking runs. The booking goes on, and the
-// resubmission gets its answer in place of a second booking.
-func TestCallerHangsUp(t *testing.T) {
+// Protects against a job that is stopped, or run a second time, because its caller
+// disconnects: the job continues and the resubmission gets its answer.
+func TestJobContinuesAfterCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		key := b.ticket()
-		ctx, hangUp := context.WithCancel(context.Background())
-		gone := make(chan struct{})
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		key := e.newTicket()
+		ctx, disconnect := context.WithCancel(context.Background())
+		returned := make(chan struct{})
 		go func() {
-			b.do(b.request("ayni", "POST", "/v1/jobs", key, booking).WithContext(ctx))
-			close(gone)
+			e.serve(e.newRequest("ayni", "POST", "/v1/jobs", key, testSubmission).WithContext(ctx))
+			close(returned)
 		}()
-		st := b.next(g).Start
-		hangUp()
-		<-gone
-		again := b.post("ayni", key, booking)
-		b.ok(g, st, `{"escort":7}`)
-		b.Assert((<-again).Code, qt.Equals, http.StatusOK)
-		b.silent(g)
+		st := e.recvFrame(g).Start
+		disconnect()
+		<-returned
+		resubmitted := e.submit("ayni", key, testSubmission)
+		e.sendResult(g, st, `{"escort":7}`)
+		e.Assert((<-resubmitted).Code, qt.Equals, http.StatusOK)
+		e.assertNoFrame(g)
 	})
 }
 
-// Two rival members happen to use the same identity. Each must get its own
-// answer, and neither may read or cancel the other's job.
-func TestRivalsWithTheSameIdentity(t *testing.T) {
+// Protects against mixing up two members that use the same key: each must get its
+// own answer, and neither may read or cancel the other's job.
+func TestSameKeyOfTwoMembersIsTwoJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		key := b.ticket()
-		mine := b.post("ayni", key, booking)
-		st := b.next(g).Start
-		b.Assert(st.Ref.Member, qt.Equals, "ayni")
-		w := b.do(b.request("leeuwin", "GET", "/v1/jobs/"+key, "", ""))
-		b.Assert(w.Code, qt.Equals, http.StatusNotFound)
-		w = b.do(b.request("leeuwin", "DELETE", "/v1/jobs/"+key, "", ""))
-		b.Assert(w.Code, qt.Equals, http.StatusNotFound)
-		b.silent(g)
-		b.ok(g, st, `{"escort":7}`)
-		b.Assert((<-mine).Code, qt.Equals, http.StatusOK)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		key := e.newTicket()
+		answer := e.submit("ayni", key, testSubmission)
+		st := e.recvFrame(g).Start
+		e.Assert(st.Ref.Member, qt.Equals, "ayni")
+		w := e.serve(e.newRequest("leeuwin", "GET", "/v1/jobs/"+key, "", ""))
+		e.Assert(w.Code, qt.Equals, http.StatusNotFound)
+		w = e.serve(e.newRequest("leeuwin", "DELETE", "/v1/jobs/"+key, "", ""))
+		e.Assert(w.Code, qt.Equals, http.StatusNotFound)
+		e.assertNoFrame(g)
+		e.sendResult(g, st, `{"escort":7}`)
+		e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// A refused request's copy was delayed by the network and arrives when there is
-// room. The caller was told "not run" and may have booked by telephone, so the
-// copy must be refused as well.
-func TestRefusalStaysTrue(t *testing.T) {
+// Protects against running a delayed duplicate of a request whose caller was told
+// that the job did not run: the caller may have ordered the work elsewhere, so the
+// duplicate must get the same refusal.
+func TestRefusalIsRepeatedOnResubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		key := b.ticket()
-		w := <-b.post("ayni", key, booking)
-		b.Assert(w.Code, qt.Equals, http.StatusServiceUnavailable)
-		j := decode(b, w.Body.Bytes())
-		b.Assert(j.Error.Kind, qt.Equals, errkind.NoWorkers.String())
-		b.Assert(j.Error.Ran, qt.Equals, "no")
-		g := b.guard("guard-1", 8)
-		again := <-b.post("ayni", key, booking)
-		b.Assert(again.Body.String(), qt.Equals, w.Body.String())
-		b.silent(g)
+		e := newTestEntry(t)
+		key := e.newTicket()
+		w := <-e.submit("ayni", key, testSubmission)
+		e.Assert(w.Code, qt.Equals, http.StatusServiceUnavailable)
+		j := decodeJob(e, w.Body.Bytes())
+		e.Assert(j.Error.Kind, qt.Equals, errkind.NoWorkers.String())
+		e.Assert(j.Error.Ran, qt.Equals, "no")
+		g := e.linkGuard("guard-1", 8)
+		resubmitted := <-e.submit("ayni", key, testSubmission)
+		e.Assert(resubmitted.Body.String(), qt.Equals, w.Body.String())
+		e.assertNoFrame(g)
 	})
 }
 
-// A caller asks for more accelerators than any worker has. Told "no workers", its
-// kiosk would ask again for ever.
-func TestNeedThatNoWorkerMeets(t *testing.T) {
+// A request for more accelerators than any worker has must not be refused as "no
+// workers", because its caller would retry it forever.
+func TestUnsatisfiableNeedIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		w := <-b.post("ayni", b.ticket(), strings.Replace(booking, "{", `{"accelerators":1,`, 1))
-		b.Assert(w.Code, qt.Equals, http.StatusUnprocessableEntity)
-		j := decode(b, w.Body.Bytes())
-		b.Assert(j.Error.Kind, qt.Equals, errkind.NeverFits.String())
-		b.Assert(j.Error.Ran, qt.Equals, "no")
-		answer := b.post("ayni", b.ticket(), strings.Replace(booking, "{", `{"memory_mb":64000,`, 1))
-		b.ok(g, b.next(g).Start, `{"escort":7}`)
-		b.Assert((<-answer).Code, qt.Equals, http.StatusOK)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		w := <-e.submit("ayni", e.newTicket(), strings.Replace(testSubmission, "{", `{"accelerators":1,`, 1))
+		e.Assert(w.Code, qt.Equals, http.StatusUnprocessableEntity)
+		j := decodeJob(e, w.Body.Bytes())
+		e.Assert(j.Error.Kind, qt.Equals, errkind.NeverFits.String())
+		e.Assert(j.Error.Ran, qt.Equals, "no")
+		answer := e.submit("ayni", e.newTicket(), strings.Replace(testSubmission, "{", `{"memory_mb":64000,`, 1))
+		e.sendResult(g, e.recvFrame(g).Start, `{"escort":7}`)
+		e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// A submission's own need goes before its kind of job's, and that before the
-// service's; a field that is left out or 0 keeps what is farther away.
-func TestNeedOfASubmission(t *testing.T) {
+// A submission's own need overrides that of the job kind, which overrides that of
+// the service; fields that are omitted or 0 keep the inherited value.
+func TestSubmissionOverridesNeed(t *testing.T) {
 	c := qt.New(t)
-	far := dispatch.Need{Accelerators: 1, MemoryMB: 1000}
-	c.Assert(overrideNeed(far, dispatch.Need{}), qt.Equals, far)
-	c.Assert(overrideNeed(far, dispatch.Need{Accelerators: 4}), qt.Equals, dispatch.Need{Accelerators: 4, MemoryMB: 1000})
-	one, two := submission{Service: "reserva"}, submission{Service: "reserva", Accelerators: 1}
-	c.Assert(one.fingerprint(), qt.Not(qt.Equals), two.fingerprint())
+	base := dispatch.Need{Accelerators: 1, MemoryMB: 1000}
+	c.Assert(overrideNeed(base, dispatch.Need{}), qt.Equals, base)
+	c.Assert(overrideNeed(base, dispatch.Need{Accelerators: 4}), qt.Equals, dispatch.Need{Accelerators: 4, MemoryMB: 1000})
+	without, with := submission{Service: "reserva"}, submission{Service: "reserva", Accelerators: 1}
+	c.Assert(without.fingerprint(), qt.Not(qt.Equals), with.fingerprint())
 }
 
-// A guard's link breaks and returns while a task runs. The start is sent again
-// to the same guard, which knows it, and the caller gets the one result.
-func TestLinkReturnsDuringTask(t *testing.T) {
+// Protects against a lost or repeated run when a guard's link breaks and reconnects
+// while a task runs: the start is sent again to the same guard, which recognises
+// it, and the caller gets the single result.
+func TestStartIsResentAfterLinkReconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		answer := b.post("ayni", b.ticket(), booking)
-		first := b.next(g).Start
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		first := e.recvFrame(g).Start
 		g.Close("cut")
 		synctest.Wait()
-		g = b.guard("guard-1", 8)
-		again := b.next(g).Start
-		b.Assert(again.Ref, qt.Equals, first.Ref)
-		b.ok(g, again, `{"escort":7}`)
-		b.Assert((<-answer).Code, qt.Equals, http.StatusOK)
+		g = e.linkGuard("guard-1", 8)
+		resent := e.recvFrame(g).Start
+		e.Assert(resent.Ref, qt.Equals, first.Ref)
+		e.sendResult(g, resent, `{"escort":7}`)
+		e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// A guard is cut off for so long that the entry gives up on it, and returns. It
-// must be used again, or the fleet would shrink with every cut.
-func TestGuardReturnsAfterALongCut(t *testing.T) {
+// Protects against a guard that stays unused after it was down for longer than the
+// loss timeout and reconnects: the fleet would shrink with every long network
+// failure.
+func TestGuardIsReusedAfterLossTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.guard("guard-1", 8).Close("cut")
-		time.Sleep(2 * forgetAfter)
-		g := b.guard("guard-1", 8)
-		answer := b.post("ayni", b.ticket(), booking)
-		b.ok(g, b.next(g).Start, `1`)
-		b.Assert((<-answer).Code, qt.Equals, http.StatusOK)
+		e := newTestEntry(t)
+		e.linkGuard("guard-1", 8).Close("cut")
+		time.Sleep(2 * guardLossTimeout)
+		g := e.linkGuard("guard-1", 8)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		e.sendResult(g, e.recvFrame(g).Start, `1`)
+		e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// A worker dies with a task. Nobody can know whether the task ran, so the
-// caller is told exactly that, soon, and the task goes to no other worker.
-func TestGuardDiesWithTask(t *testing.T) {
+// Protects against a false answer or a second run when a worker fails with a task
+// on it: it is unknown whether the task ran, so the caller must be told that soon,
+// and the task must not be sent to another worker.
+func TestTaskOfLostGuardFailsWithRanUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		answer := b.post("ayni", b.ticket(), booking)
-		b.next(g)
-		other := b.guard("guard-2", 8)
-		began := time.Now()
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		e.recvFrame(g)
+		other := e.linkGuard("guard-2", 8)
+		startTime := time.Now()
 		g.Close("killed")
 		w := <-answer
-		b.Assert(time.Since(began) < 3*time.Second, qt.IsTrue)
-		j := decode(b, w.Body.Bytes())
-		b.Assert(j.State, qt.Equals, stateFailed)
-		b.Assert(j.Results, qt.IsNil)
-		b.Assert(j.Error.Kind, qt.Equals, errkind.WorkerLost.String())
-		b.Assert(j.Error.Ran, qt.Equals, "unknown")
-		b.silent(other)
+		e.Assert(time.Since(startTime) < 3*time.Second, qt.IsTrue)
+		j := decodeJob(e, w.Body.Bytes())
+		e.Assert(j.State, qt.Equals, stateFailed)
+		e.Assert(j.Results, qt.IsNil)
+		e.Assert(j.Error.Kind, qt.Equals, errkind.WorkerLost.String())
+		e.Assert(j.Error.Ran, qt.Equals, "unknown")
+		e.assertNoFrame(other)
 	})
 }
 
-// One of three tasks fails after the others have answered. The caller must see
-// a failed job without results, never two thirds of an answer.
-func TestAnswerIsNeverPartial(t *testing.T) {
+// Protects against a partial answer when one of three tasks fails after the others
+// have succeeded: the job must fail without results.
+func TestFailedJobHasNoPartialResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		answer := b.post("ayni", b.ticket(), `{"service":"reserva","tasks":[1,2,3]}`)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		answer := e.submit("ayni", e.newTicket(), `{"service":"reserva","tasks":[1,2,3]}`)
 		for i := range 3 {
-			st := b.next(g).Start
+			st := e.recvFrame(g).Start
 			if i < 2 {
-				b.ok(g, st, `1`)
+				e.sendResult(g, st, `1`)
 				continue
 			}
-			b.Assert(g.Send(&wire.Frame{Result: &wire.Result{Ref: st.Ref, Kind: errkind.UpstreamPartial, Ran: errkind.RanYes}}), qt.IsNil)
+			e.Assert(g.Send(&wire.Frame{Result: &wire.Result{Ref: st.Ref, Kind: errkind.UpstreamPartial, Ran: errkind.RanYes}}), qt.IsNil)
 		}
 		w := <-answer
-		b.Assert(w.Code, qt.Equals, http.StatusBadGateway)
-		j := decode(b, w.Body.Bytes())
-		b.Assert(j.State, qt.Equals, stateFailed)
-		b.Assert(j.Results, qt.IsNil)
-		b.Assert(len(j.Failures) > 0, qt.IsTrue)
+		e.Assert(w.Code, qt.Equals, http.StatusBadGateway)
+		j := decodeJob(e, w.Body.Bytes())
+		e.Assert(j.State, qt.Equals, stateFailed)
+		e.Assert(j.Results, qt.IsNil)
+		e.Assert(len(j.Failures) > 0, qt.IsTrue)
 	})
 }
 
-// Results arrive in another order than the tasks were sent, and one of them
-// twice. Each must stand at its own task's place.
-func TestResultsOutOfOrderAndTwice(t *testing.T) {
+// Protects against misplaced results when they arrive in a different order than the
+// tasks were sent, and one of them twice.
+func TestOutOfOrderAndDuplicateResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		answer := b.post("ayni", b.ticket(), `{"service":"reserva","tasks":[0,1,2,3]}`)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		answer := e.submit("ayni", e.newTicket(), `{"service":"reserva","tasks":[0,1,2,3]}`)
 		var starts []*wire.Start
 		for range 4 {
-			starts = append(starts, b.next(g).Start)
+			starts = append(starts, e.recvFrame(g).Start)
 		}
 		for _, i := range []int{3, 1, 1, 0, 2} {
-			b.ok(g, starts[i], string(starts[i].Body))
+			e.sendResult(g, starts[i], string(starts[i].Body))
 		}
-		j := decode(b, (<-answer).Body.Bytes())
+		j := decodeJob(e, (<-answer).Body.Bytes())
 		for i, r := range j.Results {
-			b.Assert(string(r.JSON), qt.Equals, string('0'+rune(i)))
+			e.Assert(string(r.JSON), qt.Equals, string('0'+rune(i)))
 		}
 	})
 }
 
-// An entry stops as planned while a task runs and a kiosk resubmits it. Both
-// requests get the answer, a fresh one is refused as not run, and the stop ends.
-func TestPlannedStopCutsOffNothing(t *testing.T) {
+// Protects against dropped requests in a planned shutdown: a running job and its
+// resubmission are answered, a new job is refused as not run, and Drain returns.
+func TestDrainWaitsForOpenJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		key := b.ticket()
-		answer := b.post("ayni", key, booking)
-		st := b.next(g).Start
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		key := e.newTicket()
+		answer := e.submit("ayni", key, testSubmission)
+		st := e.recvFrame(g).Start
 		drained := make(chan error, 1)
-		go func() { drained <- b.s.Drain(context.Background()) }()
+		go func() { drained <- e.server.Drain(context.Background()) }()
 		synctest.Wait()
-		again := b.post("ayni", key, booking)
-		fresh := <-b.post("ayni", b.ticket(), booking)
-		b.Assert(decode(b, fresh.Body.Bytes()).Error.Kind, qt.Equals, errkind.Draining.String())
-		b.ok(g, st, `1`)
-		b.Assert((<-answer).Code, qt.Equals, http.StatusOK)
-		b.Assert((<-again).Code, qt.Equals, http.StatusOK)
-		b.Assert(<-drained, qt.IsNil)
+		resubmitted := e.submit("ayni", key, testSubmission)
+		refused := <-e.submit("ayni", e.newTicket(), testSubmission)
+		e.Assert(decodeJob(e, refused.Body.Bytes()).Error.Kind, qt.Equals, errkind.Draining.String())
+		e.sendResult(g, st, `1`)
+		e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
+		e.Assert((<-resubmitted).Code, qt.Equals, http.StatusOK)
+		e.Assert(<-drained, qt.IsNil)
 	})
 }
 
-// A caller that will not wait gets 202 and fetches the answer later.
+// A caller that does not want to wait gets 202 and fetches the answer later.
 func TestAsyncSubmitAndFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		key := b.ticket()
-		r := b.request("ayni", "POST", "/v1/jobs", key, booking)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		key := e.newTicket()
+		r := e.newRequest("ayni", "POST", "/v1/jobs", key, testSubmission)
 		r.Header.Set("Prefer", "respond-async")
-		w := b.do(r)
-		b.Assert(w.Code, qt.Equals, http.StatusAccepted)
-		b.Assert(w.Header().Get("Location"), qt.Equals, "/v1/jobs/"+key)
-		b.ok(g, b.next(g).Start, `1`)
-		w = b.do(b.request("ayni", "GET", "/v1/jobs/"+key, "", ""))
-		b.Assert(w.Code, qt.Equals, http.StatusOK)
+		w := e.serve(r)
+		e.Assert(w.Code, qt.Equals, http.StatusAccepted)
+		e.Assert(w.Header().Get("Location"), qt.Equals, "/v1/jobs/"+key)
+		e.sendResult(g, e.recvFrame(g).Start, `1`)
+		w = e.serve(e.newRequest("ayni", "GET", "/v1/jobs/"+key, "", ""))
+		e.Assert(w.Code, qt.Equals, http.StatusOK)
 	})
 }
 
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		e := newTestEntry(t)
 		tasks := strings.Repeat("1,", MaxTasks) + "1"
 		for _, tt := range []struct {
 			member, key, body string
 			kind              errkind.Kind
 		}{
-			{"nobody", b.ticket(), booking, errkind.Unauthenticated},
-			{"ayni", "", booking, errkind.BadRequest},
-			{"ayni", "booking-7", booking, errkind.BadRequest},
-			{"ayni", b.ticket(), `{`, errkind.BadRequest},
-			{"ayni", b.ticket(), booking + booking, errkind.BadRequest},
-			{"ayni", b.ticket(), `{"service":"reserva","tasks":[]}`, errkind.BadRequest},
-			{"ayni", b.ticket(), `{"service":"reserva","tasks":[` + tasks + `]}`, errkind.TooManyTasks},
-			{"ayni", b.ticket(), `{"service":"other","tasks":[1]}`, errkind.UnknownService},
-			{"ayni", b.ticket(), `{"service":"reserva","tasks":["` + strings.Repeat("x", DefaultMaxBody) + `"]}`, errkind.TooLarge},
-			{"ayni", identity.NewTicket("entry-b-9", time.Now()).Text, booking, errkind.OutcomeUnknown},
-			{"ayni", identity.NewTicket(b.s.id, time.Now().Add(-time.Hour)).Text, booking, errkind.IdentityExpired},
+			{"nobody", e.newTicket(), testSubmission, errkind.Unauthenticated},
+			{"ayni", "", testSubmission, errkind.BadRequest},
+			{"ayni", "booking-7", testSubmission, errkind.BadRequest},
+			{"ayni", e.newTicket(), `{`, errkind.BadRequest},
+			{"ayni", e.newTicket(), testSubmission + testSubmission, errkind.BadRequest},
+			{"ayni", e.newTicket(), `{"service":"reserva","tasks":[]}`, errkind.BadRequest},
+			{"ayni", e.newTicket(), `{"service":"reserva","tasks":[` + tasks + `]}`, errkind.TooManyTasks},
+			{"ayni", e.newTicket(), `{"service":"other","tasks":[1]}`, errkind.UnknownService},
+			{"ayni", e.newTicket(), `{"service":"reserva","tasks":["` + strings.Repeat("x", DefaultMaxBodyBytes) + `"]}`, errkind.TooLarge},
+			{"ayni", identity.NewTicket("entry-b-9", time.Now()).Text, testSubmission, errkind.OutcomeUnknown},
+			{"ayni", identity.NewTicket(e.server.id, time.Now().Add(-time.Hour)).Text, testSubmission, errkind.IdentityExpired},
 		} {
-			w := <-b.post(tt.member, tt.key, tt.body)
-			b.Check(w.Code, qt.Equals, tt.kind.Answer().Status, qt.Commentf("%s", tt.kind))
-			b.Check(decode(b, w.Body.Bytes()).Error.Kind, qt.Equals, tt.kind.String())
+			w := <-e.submit(tt.member, tt.key, tt.body)
+			e.Check(w.Code, qt.Equals, tt.kind.Answer().Status, qt.Commentf("%s", tt.kind))
+			e.Check(decodeJob(e, w.Body.Bytes()).Error.Kind, qt.Equals, tt.kind.String())
 		}
 	})
 }
 
-// Peers with a wrong key, an absurd number of slots, or no hello at all must be
-// turned away without a lane or a start.
-func TestBadGuardsAreRefused(t *testing.T) {
+// A guard with a wrong key, an implausible number of slots, an incompatible version
+// or no Hello at all must be refused before a dispatcher uses it.
+func TestInvalidGuardsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		good := wire.Hello{Version: 1, MinVersion: 1, Incarnation: "g", Service: "ayni/reserva", Slots: 8, Key: "fleet"}
-		bad := map[string]func(*wire.Hello){
+		e := newTestEntry(t)
+		valid := wire.Hello{Version: 1, MinVersion: 1, Incarnation: "g", Service: "ayni/reserva", Slots: 8, Key: "fleet"}
+		invalid := map[string]func(*wire.Hello){
 			"key":     func(h *wire.Hello) { h.Key = "other" },
 			"slots":   func(h *wire.Hello) { h.Slots = 1 << 20 },
 			"version": func(h *wire.Hello) { h.Version, h.MinVersion = 99, 98 },
 			"name":    func(h *wire.Hello) { h.Incarnation = "" },
 		}
-		for name, spoil := range bad {
-			h := good
-			spoil(&h)
-			ours, theirs := wiretest.Pipe()
-			go b.s.ServeGuardLink(context.Background(), ours)
-			b.Assert(theirs.Send(&wire.Frame{Hello: &h}), qt.IsNil)
-			<-theirs.Done()
-			b.Check(len(b.s.Guards()), qt.Equals, 0, qt.Commentf(name))
+		for name, breakHello := range invalid {
+			h := valid
+			breakHello(&h)
+			entryEnd, guardEnd := wiretest.Pipe()
+			go e.server.ServeGuardLink(context.Background(), entryEnd)
+			e.Assert(guardEnd.Send(&wire.Frame{Hello: &h}), qt.IsNil)
+			<-guardEnd.Done()
+			e.Check(len(e.server.Guards()), qt.Equals, 0, qt.Commentf(name))
 		}
-		ours, theirs := wiretest.Pipe()
-		go b.s.ServeGuardLink(context.Background(), ours)
-		began := time.Now()
-		<-theirs.Done()
-		b.Assert(time.Since(began), qt.Equals, helloTimeout)
+		entryEnd, guardEnd := wiretest.Pipe()
+		go e.server.ServeGuardLink(context.Background(), entryEnd)
+		startTime := time.Now()
+		<-guardEnd.Done()
+		e.Assert(time.Since(startTime), qt.Equals, helloTimeout)
 	})
 }
 
-// A guard links before its upstream has passed the first health check, and says
-// that it has while the entry still waits to use it. The report must count, or
-// each request is refused for want of workers until the next change.
-func TestReportBeforeTheLinkIsUsed(t *testing.T) {
+// Protects against losing the load report that a guard sends before its link is in
+// use: its Hello was sent before the first health check of the upstream, so every
+// request would be refused because no workers are available until the next report.
+func TestLoadReportBeforeActivationIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.router.hold = make(chan struct{})
-		ours, theirs := wiretest.Pipe()
-		go b.s.ServeGuardLink(context.Background(), ours)
-		b.Assert(theirs.Send(&wire.Frame{Hello: &wire.Hello{
+		e := newTestEntry(t)
+		e.router.readyGate = make(chan struct{})
+		entryEnd, guardEnd := wiretest.Pipe()
+		go e.server.ServeGuardLink(context.Background(), entryEnd)
+		e.Assert(guardEnd.Send(&wire.Frame{Hello: &wire.Hello{
 			Version: 1, MinVersion: 1, Incarnation: "guard-1", Service: "ayni/reserva", Worker: "w1", Slots: 8, Key: "fleet",
 			Load: wire.Load{Seq: 1, Slots: 8},
 		}}), qt.IsNil)
-		b.Assert(b.next(theirs).Welcome, qt.IsNotNil)
-		b.Assert(theirs.Send(&wire.Frame{Load: &wire.Load{Seq: 2, Slots: 8, Healthy: true}}), qt.IsNil)
+		e.Assert(e.recvFrame(guardEnd).Welcome, qt.IsNotNil)
+		e.Assert(guardEnd.Send(&wire.Frame{Load: &wire.Load{Seq: 2, Slots: 8, Healthy: true}}), qt.IsNil)
 		synctest.Wait()
-		close(b.router.hold)
+		close(e.router.readyGate)
 		synctest.Wait()
-		answer := b.post("ayni", b.ticket(), booking)
-		b.ok(theirs, b.next(theirs).Start, `1`)
-		b.Assert((<-answer).Code, qt.Equals, http.StatusOK)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		e.sendResult(guardEnd, e.recvFrame(guardEnd).Start, `1`)
+		e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// All entries are replaced one by one over a day. A guard that was never told of
-// the new ones would in the end be linked to none of the living, and its worker
-// would stand idle.
-func TestGuardsAreToldOfEntriesThatJoin(t *testing.T) {
+// Protects against workers that become unreachable when all entries are replaced
+// one by one: guards must receive the addresses of new entries, or they would
+// eventually have no link left.
+func TestGuardsReceiveNewEntryAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		time.Sleep(3 * entriesEvery)
-		b.silent(g)
-		b.router.more.Store(&wire.EntryAddr{Incarnation: "entry-b-1", Inner: "127.0.0.1:2"})
-		w := b.next(g).Welcome
-		b.Assert(w, qt.IsNotNil)
-		b.Assert(w.Entries, qt.HasLen, 2)
-		time.Sleep(3 * entriesEvery)
-		b.silent(g)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		time.Sleep(3 * entriesPollInterval)
+		e.assertNoFrame(g)
+		e.router.extra.Store(&wire.EntryAddr{Incarnation: "entry-b-1", Inner: "127.0.0.1:2"})
+		w := e.recvFrame(g).Welcome
+		e.Assert(w, qt.IsNotNil)
+		e.Assert(w.Entries, qt.HasLen, 2)
+		time.Sleep(3 * entriesPollInterval)
+		e.assertNoFrame(g)
 	})
 }
--- a/internal/entry/guards.go
+++ b/internal/entry/guards.go
@@ -16,30 +16,34 @@
 	"wigeontray/internal/wire"
 )
 
-// helloTimeout bounds how long a new link may stay silent. A stranger that
-// connects and says nothing would otherwise hold a connection for good.
+// helloTimeout limits how long a new link may take to send its Hello. Without it, a
+// client that connects and sends nothing would hold a connection forever.
 const helloTimeout = 5 * time.Second
 
-// guardLink is one guard's link as the lane sees it.
+// guardLink is the link to one guard.
 type guardLink struct {
-	link  wire.Link
-	hello *wire.Hello
-	key   [sha256.Size]byte    // hash of the key with which the link was opened
-	lane  atomic.Pointer[lane] // nil until the key is verified
+	link       wire.Link
+	hello      *wire.Hello
+	keyHash    [sha256.Size]byte          // hash of the key in the guard's Hello
+	dispatcher atomic.Pointer[dispatcher] // nil until the key is verified
 
-	own         []byte // record of its service, as the guard has it; under Server.shareMu
-	owed, acked int64  // revisions sent and confirmed; under linkTable.mu
+	// serviceRecord is the record of the guard's service in the guard's current
+	// configuration. It is guarded by Server.configSendMu.
+	serviceRecord []byte
+	// sentRevision is the last revision sent to the guard, and ackedRevision the
+	// newest one that it has acknowledged. They are guarded by linkTable.mu.
+	sentRevision, ackedRevision int64
 }
 
 func newGuardLink(link wire.Link, h *wire.Hello) *guardLink {
-	g := &guardLink{link: link, hello: h, key: record.HashToken(h.Key)}
-	h.Key = "" // not to be kept in memory
+	g := &guardLink{link: link, hello: h, keyHash: record.HashToken(h.Key)}
+	h.Key = "" // the plain key is not kept in memory
 	return g
 }
 
-// serveGuard upgrades a guard's request. The link is served by a goroutine of
-// its own, so that the request, its buffers and its deep stack are not held for
-// as long as the guard lives.
+// serveGuard upgrades the request of a guard to a link. The link is served by its
+// own goroutine, so that the request, its buffers and its deep stack are not kept
+// in memory for the lifetime of the link.
 func (s *Server) serveGuard(w http.ResponseWriter, r *http.Request) {
 	link, err := wire.Accept(w, r, s.traffic)
 	if err != nil {
@@ -49,168 +53,175 @@
 	go s.ServeGuardLink(s.ctx, link)
 }
 
-// ServeGuardLink handles an established link to a guard and returns when it
-// has ended.
+// ServeGuardLink serves an established link to a guard and returns when the link
+// has closed.
 func (s *Server) ServeGuardLink(ctx context.Context, link wire.Link) {
 	defer link.Close("done")
-	g, err := s.greet(ctx, link)
+	g, err := s.handshake(ctx, link)
 	if err != nil {
 		if errors.Is(err, context.Canceled) {
-			return // this process stops, and no guard was refused
+			return // the entry is shutting down; the guard was not refused
 		}
 		s.metrics.Inc(telemetry.LinksRefused)
 		s.log.Warn("guard refused", "err", err)
 		return
 	}
-	// The link is listed before it is judged, so that a configuration that comes
-	// into force meanwhile judges it too.
-	s.greeted.add(g)
-	defer context.AfterFunc(ctx, func() { s.endUnverified(g) })()
-	if s.verify(g) {
-		s.shareOnLink(g)
+	// The link is added before it is verified, so that a configuration applied in
+	// the meantime verifies it as well.
+	s.openLinks.add(g)
+	defer context.AfterFunc(ctx, func() { s.closeUnverified(g) })()
+	if s.verifyLink(g) {
+		s.sendConfigOnLink(g)
 	}
-	err = s.pump(g)
-	s.delist(g, err)
+	err = s.receiveFrames(g)
+	s.removeLink(g, err)
 }
 
-// enlist puts a verified link to use; false if the entry is closing or the guard
-// goes by another one's name.
-func (s *Server) enlist(g *guardLink) bool {
+// activateLink makes a verified link available for dispatch. It returns false if
+// the entry is closing or a guard of another service is linked under the same
+// incarnation.
+func (s *Server) activateLink(g *guardLink) bool {
 	h := g.hello
 	if old := s.links.get(h.Incarnation); old != nil && old.hello.Service != h.Service {
-		// Fences and questions about results go to guards by incarnation: in
-		// another's name it would be asked about that member's jobs.
+		// Fences and queries for results are addressed to guards by incarnation.
+		// Under another guard's incarnation, this guard would receive queries about
+		// that member's jobs.
 		s.metrics.Inc(telemetry.LinksRefused)
 		g.link.Close("the incarnation is another's")
 		return false
 	}
-	l := s.lane(h.Service)
+	d := s.dispatcher(h.Service)
 	if !s.links.add(g) {
 		g.link.Close("entry stops")
 		return false
 	}
-	g.lane.Store(l)
-	s.log.Info("guard up", "guard", h.Incarnation, "service", h.Service, "worker", h.Worker, "slots", h.Slots)
+	g.dispatcher.Store(d)
+	s.log.Info("guard connected", "guard", h.Incarnation, "service", h.Service, "worker", h.Worker, "slots", h.Slots)
 	s.metrics.Inc(telemetry.LinksOpened)
-	s.announce(g)
+	s.announceGuard(g)
 	return true
 }
 
-// endUnverified ends a link that Close, which looks at verified ones, leaves.
-func (s *Server) endUnverified(g *guardLink) {
-	if g.lane.Load() == nil {
+// closeUnverified closes a link that is still unverified when the context ends;
+// Close itself only covers verified links.
+func (s *Server) closeUnverified(g *guardLink) {
+	if g.dispatcher.Load() == nil {
 		g.link.Close("entry stops")
 	}
 }
 
-// delist forgets a link that has ended.
-func (s *Server) delist(g *guardLink, err error) {
-	s.greeted.mu.Lock()
-	defer s.greeted.mu.Unlock()
-	delete(s.greeted.links, g)
-	l := g.lane.Load()
-	if l == nil {
+// removeLink removes a link that has closed. If the guard does not reconnect within
+// guardLossTimeout, it is treated as lost.
+func (s *Server) removeLink(g *guardLink, err error) {
+	s.openLinks.mu.Lock()
+	defer s.openLinks.mu.Unlock()
+	delete(s.openLinks.links, g)
+	d := g.dispatcher.Load()
+	if d == nil {
 		return
 	}
-	l.down(g)
+	d.linkDown(g)
 	s.metrics.Inc(telemetry.LinksLost)
 	if s.links.remove(g) {
 		s.router.GuardDown(g.hello.Incarnation)
-		s.shareOnLoss()
-		time.AfterFunc(forgetAfter, func() { s.forget(g.hello.Incarnation) })
+		s.sendConfigToNewReplicas()
+		time.AfterFunc(guardLossTimeout, func() { s.expire(g.hello.Incarnation) })
 	}
-	s.log.Info("guard down", "guard", g.hello.Incarnation, "err", err)
+	s.log.Info("guard disconnected", "guard", g.hello.Incarnation, "err", err)
 }
 
-// forgetAfter is how long a guard's link may be down before the entry gives up
-// on the guard. It exceeds the time for which tasks in doubt are held.
-const forgetAfter = 30 * time.Second
+// guardLossTimeout is how long a guard's link may be down before the entry treats
+// the guard as lost. It is longer than the time for which tasks with an unknown
+// state are held.
+const guardLossTimeout = 30 * time.Second
 
-// announce makes a linked guard usable: at once if it was before its link broke,
-// else when the router says so.
-func (s *Server) announce(g *guardLink) {
+// announceGuard makes a linked guard available for dispatch: at once if it was
+// available before its link broke, else as soon as the router calls GuardReady.
+func (s *Server) announceGuard(g *guardLink) {
 	s.announceMu.Lock()
 	defer s.announceMu.Unlock()
 	s.router.GuardUp(g.hello.Incarnation)
-	if s.links.ready(g.hello.Incarnation) {
+	if s.links.isReady(g.hello.Incarnation) {
 		s.GuardReady(g.hello.Incarnation)
 	}
 }
 
-// forget gives up on a guard that has not come back.
-func (s *Server) forget(g identity.Incarnation) {
+// expire treats a guard as lost if it has not reconnected.
+func (s *Server) expire(g identity.Incarnation) {
 	s.announceMu.Lock()
 	defer s.announceMu.Unlock()
-	if s.ctx.Err() == nil && s.links.forget(g) {
+	if s.ctx.Err() == nil && s.links.expire(g) {
 		s.metrics.Inc(telemetry.GuardsLost)
 		s.router.GuardLost(g)
 	}
 }
 
-// GuardReady lets the lane use a linked guard. The router calls it once those
-// that would have to answer for this entry after its death know of the guard.
+// GuardReady makes a linked guard available for dispatch. The router calls it once
+// the entries that would recover this entry's jobs after a crash have recorded the
+// guard.
 func (s *Server) GuardReady(id identity.Incarnation) {
 	g := s.links.setReady(id)
 	if g == nil {
 		return
 	}
-	l := s.lane(g.hello.Service)
-	l.up(g)
-	// The link may have ended between the two, after its own l.down.
+	d := s.dispatcher(g.hello.Service)
+	d.linkUp(g)
+	// The link may have closed in between, after removeLink called linkDown.
 	if s.links.get(id) != g {
-		l.down(g)
+		d.linkDown(g)
 	}
 }
 
-// greet reads and checks the Hello and answers it. A key that is known to be
-// wrong gets no Welcome: the guard would take it for success and dial again at
-// once.
-func (s *Server) greet(ctx context.Context, link wire.Link) (*guardLink, error) {
+// handshake reads and checks the Hello and answers it with a Welcome. A guard whose
+// key is rejected gets no Welcome, because it would treat that as success and
+// reconnect at once.
+func (s *Server) handshake(ctx context.Context, link wire.Link) (*guardLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	f, err := link.Recv(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("await hello: %w", err)
+		return nil, fmt.Errorf("receive hello: %w", err)
 	}
 	h := f.Hello
 	if err := s.checkHello(h); err != nil {
 		return nil, err
 	}
 	g := newGuardLink(link, h)
-	if s.verdict(g) == rejected {
+	if s.keyStatus(g) == keyRejected {
 		return nil, fmt.Errorf("guard %s of %s: %w", h.Incarnation, h.Service, errWrongKey)
 	}
-	if err := link.Send(&wire.Frame{Welcome: s.welcome(min(wire.Version, h.Version))}); err != nil {
+	if err := link.Send(&wire.Frame{Welcome: s.newWelcome(min(wire.Version, h.Version))}); err != nil {
 		return nil, fmt.Errorf("send welcome: %w", err)
 	}
 	return g, nil
 }
 
-// checkHello refuses guards of a version too far away, or with claims that no
-// worker can meet: one that announces a million slots would draw all work to
-// itself.
+// checkHello refuses guards with an incompatible protocol version or with an
+// implausible number of slots: a guard that reported a million slots would attract
+// all tasks.
 func (s *Server) checkHello(h *wire.Hello) error {
 	switch {
 	case h == nil:
-		return fmt.Errorf("first frame is no hello")
+		return fmt.Errorf("first frame is not a hello")
 	case h.MinVersion > wire.Version || h.Version < wire.MinVersion:
-		return fmt.Errorf("protocol versions %d to %d, here %d to %d", h.MinVersion, h.Version, wire.MinVersion, wire.Version)
+		return fmt.Errorf("protocol versions %d to %d do not overlap with %d to %d", h.MinVersion, h.Version, wire.MinVersion, wire.Version)
 	case h.Incarnation == "" || h.Service == "":
-		return fmt.Errorf("no incarnation or service")
-	case h.Slots < 1 || h.Slots > s.opts.MaxSlots:
-		return fmt.Errorf("%d slots, want 1 to %d", h.Slots, s.opts.MaxSlots)
+		return fmt.Errorf("hello has no incarnation or service")
+	case h.Slots < 1 || h.Slots > s.opts.MaxGuardSlots:
+		return fmt.Errorf("hello has %d slots, want 1 to %d", h.Slots, s.opts.MaxGuardSlots)
 	}
 	return nil
 }
 
-// errForeignFrame ends a link whose guard sent what only entries send, or spoke
-// of another member's job.
-var errForeignFrame = errors.New("a frame that this guard may not send")
+// errFrameNotAllowed closes a link whose guard sent a frame that only entries may
+// send, or a report on another member's job.
+var errFrameNotAllowed = errors.New("frame is not allowed from this guard")
 
-// speaksFor tells whether f is a guard's word on jobs of its own member. Believed
-// on those of others, a rival's guard could make up their results when an entry
-// is gone, or pass them off as started.
-func (g *guardLink) speaksFor(f *wire.Frame) bool {
+// mayReport reports whether f is a fence or recovery report that only concerns jobs
+// of the guard's own member. If reports on other members' jobs were accepted, a
+// guard could forge their results after an entry has crashed, or claim that they
+// were started.
+func (g *guardLink) mayReport(f *wire.Frame) bool {
 	member := record.Owner(g.hello.Service)
 	switch {
 	case f.FenceReport != nil:
@@ -224,32 +235,33 @@
 	return false
 }
 
-// pump reads the link until it ends. It waits under no context that can end:
-// each frame would enter and leave the list of what hangs on it, under one lock
-// for all links. Server.Close ends the links themselves.
-func (s *Server) pump(g *guardLink) error {
+// receiveFrames handles the frames of a link until it closes. It receives with a
+// context that is never cancelled: with a cancellable one, each frame would be
+// added to and removed from the context's list of children, under one lock shared
+// by all links. Server.Close closes the links directly.
+func (s *Server) receiveFrames(g *guardLink) error {
 	for {
 		f, err := g.link.Recv(context.Background())
 		if err != nil {
 			return err
 		}
-		l := g.lane.Load()
+		d := g.dispatcher.Load()
 		switch {
-		case l == nil:
-			s.fromUnverified(g, f)
+		case d == nil:
+			s.handleUnverifiedFrame(g, f)
 		case f.Result != nil, f.Load != nil, f.Offer != nil, f.Goodbye != nil:
-			l.receive(g, f)
+			d.handleFrame(g, f)
 		case f.Config != nil:
-			s.config.FromGuard(f.Config)
+			s.config.ReceiveFromGuard(f.Config)
 		case f.ConfigAck != nil:
-			s.links.acknowledged(g, f.ConfigAck.Revision)
-		case g.speaksFor(f):
-			s.router.FromGuard(g.hello.Incarnation, f)
+			s.links.setAcked(g, f.ConfigAck.Revision)
+		case g.mayReport(f):
+			s.router.ReceiveFromGuard(g.hello.Incarnation, f)
 		case *f == (wire.Frame{}):
 			s.metrics.Inc(telemetry.FramesUnknown)
 		default:
 			s.metrics.Inc(telemetry.FramesRefused)
-			return errForeignFrame
+			return errFrameNotAllowed
 		}
 	}
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -23,142 +23,147 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-// fixedConfig knows two members whose tokens are their names.
-type fixedConfig struct {
-	revision int64
-	own      string                        // record of every service
-	keys     map[string][]record.TokenHash // guard keys by member
-	offers   int                           // configurations that guards offered
+// fakeConfig is a Config with two members, whose tokens are their names.
+type fakeConfig struct {
+	revision      int64
+	serviceRecord string                        // returned as the record of every service
+	guardKeys     map[string][]record.TokenHash // guard keys by member
+	guardOffers   int                           // number of configurations offered by guards
 }
 
-func (c *fixedConfig) Revision() int64        { return c.revision }
-func (c *fixedConfig) ForPeers() *wire.Config { return nil }
-func (c *fixedConfig) ForGuard(string) (*wire.Config, []byte) {
-	return &wire.Config{Revision: c.revision, Snapshot: []byte("snapshot")}, []byte(c.own)
+func (c *fakeConfig) Revision() int64                { return c.revision }
+func (c *fakeConfig) SnapshotForPeers() *wire.Config { return nil }
+func (c *fakeConfig) SnapshotForGuard(string) (*wire.Config, []byte) {
+	return &wire.Config{Revision: c.revision, Snapshot: []byte("snapshot")}, []byte(c.serviceRecord)
 }
-func (c *fixedConfig) FromPeer(*wire.Config)  {}
-func (c *fixedConfig) FromGuard(*wire.Config) { c.offers++ }
-func (c *fixedConfig) GuardKeys(member string) ([]record.TokenHash, bool) {
-	return c.keys[member], true
+func (c *fakeConfig) ReceiveFromPeer(*wire.Config)  {}
+func (c *fakeConfig) ReceiveFromGuard(*wire.Config) { c.guardOffers++ }
+func (c *fakeConfig) GuardKeys(member string) ([]record.TokenHash, bool) {
+	return c.guardKeys[member], true
 }
-func (c *fixedConfig) Member(token string) (string, bool) {
+func (c *fakeConfig) MemberForToken(token string) (string, bool) {
 	return token, token == "ayni" || token == "leeuwin"
 }
-func (c *fixedConfig) Resolve(member string, s *submission) (string, ServiceLimits, *errkind.Error) {
+func (c *fakeConfig) Resolve(member string, s *submission) (string, ServiceLimits, *errkind.Error) {
 	if s.Service != "reserva" && s.Service != "clubcast" {
 		return "", ServiceLimits{}, errkind.New(errkind.UnknownService, "no service %q", s.Service)
 	}
 	return member + "/" + s.Service, ServiceLimits{Deadline: 5 * time.Second, MaxTasks: 10}, nil
 }
-func (c *fixedConfig) CheckRegion(string) *errkind.Error { return nil }
-func (c *fixedConfig) Policy(string) dispatch.Policy     { return dispatch.DefaultPolicy() }
-func (c *fixedConfig) Watch(context.Context, func())     {}
-
-// soleRouter is a roster of one entry: plain keys are its own, and other
-// homes are gone.
-type soleRouter struct {
-	id    identity.Incarnation
-	ready func(identity.Incarnation)
-	known map[identity.Incarnation]bool
-	more  atomic.Pointer[wire.EntryAddr] // another entry, if set
-	hold  chan struct{}                  // delays readiness until it is closed, if set
-	peer  *Server                        // serves what is forwarded, if set
-	heard []*wire.Frame                  // of guards
-}
-
-func (r *soleRouter) MayStart(string, identity.Key) *errkind.Error { return nil }
-func (r *soleRouter) GuardUp(g identity.Incarnation) {
-	if !r.known[g] { // as the real one, it says so once
-		r.known[g] = true
-		if r.hold != nil {
+func (c *fakeConfig) CheckRegion(string) *errkind.Error { return nil }
+func (c *fakeConfig) Policy(string) dispatch.Policy     { return dispatch.DefaultPolicy() }
+func (c *fakeConfig) Watch(context.Context, func())     {}
+
+// fakeRouter is a Router for a single entry: it owns all keys without a home, and
+// other homes are lost.
+type fakeRouter struct {
+	id          identity.Incarnation
+	onReady     func(identity.Incarnation)
+	announced   map[identity.Incarnation]bool
+	extra       atomic.Pointer[wire.EntryAddr] // another entry, if set
+	readyGate   chan struct{}                  // if set, delays readiness until it is closed
+	peer        *Server                        // if set, serves forwarded requests
+	guardFrames []*wire.Frame                  // frames received from guards
+}
+
+func (r *fakeRouter) MayStart(string, identity.Key) *errkind.Error { return nil }
+func (r *fakeRouter) GuardUp(g identity.Incarnation) {
+	if !r.announced[g] { // like the real router, reports readiness once
+		r.announced[g] = true
+		if r.readyGate != nil {
 			go func() {
-				<-r.hold
-				r.ready(g)
+				<-r.readyGate
+				r.onReady(g)
 			}()
 			return
 		}
-		r.ready(g)
+		r.onReady(g)
 	}
 }
-func (r *soleRouter) Roster() RosterStatus             { return RosterStatus{} }
-func (r *soleRouter) GuardDown(identity.Incarnation)   {}
-func (r *soleRouter) GuardLost(g identity.Incarnation) { delete(r.known, g) }
-func (r *soleRouter) Owner(_ string, k identity.Key) (identity.Incarnation, *errkind.Error) {
+func (r *fakeRouter) Roster() RosterStatus             { return RosterStatus{} }
+func (r *fakeRouter) GuardDown(identity.Incarnation)   {}
+func (r *fakeRouter) GuardLost(g identity.Incarnation) { delete(r.announced, g) }
+func (r *fakeRouter) Owner(_ string, k identity.Key) (identity.Incarnation, *errkind.Error) {
 	if k.Home != "" {
 		return k.Home, nil
 	}
 	return r.id, nil
 }
-func (r *soleRouter) Forward(ctx context.Context, _ identity.Incarnation, f *wire.Forward) (*wire.Forwarded, error) {
+func (r *fakeRouter) Forward(ctx context.Context, _ identity.Incarnation, f *wire.Forward) (*wire.Forwarded, error) {
 	if r.peer != nil {
 		return r.peer.ServeForward(ctx, f), nil
 	}
 	return nil, errkind.New(errkind.HomeUnreachable, "no peers")
 }
-func (r *soleRouter) Recover(context.Context, identity.Incarnation, string, identity.Key) *Recovered {
-	return &Recovered{Err: errkind.New(errkind.OutcomeUnknown, "the home is gone")}
+func (r *fakeRouter) Recover(context.Context, identity.Incarnation, string, identity.Key) *RecoveryResult {
+	return &RecoveryResult{Err: errkind.New(errkind.OutcomeUnknown, "the home is gone")}
 }
-func (r *soleRouter) Entries() []wire.EntryAddr {
+func (r *fakeRouter) Entries() []wire.EntryAddr {
 	list := []wire.EntryAddr{{Incarnation: r.id, Inner: "127.0.0.1:1"}}
-	if more := r.more.Load(); more != nil {
-		list = append(list, *more)
+	if extra := r.extra.Load(); extra != nil {
+		list = append(list, *extra)
 	}
 	return list
 }
-func (r *soleRouter) FromGuard(_ identity.Incarnation, f *wire.Frame) { r.heard = append(r.heard, f) }
+func (r *fakeRouter) ReceiveFromGuard(_ identity.Incarnation, f *wire.Frame) {
+	r.guardFrames = append(r.guardFrames, f)
+}
 
-// bench is one entry with guards that the test plays.
-type bench struct {
+// testEntry is an entry whose guards are simulated by the test.
+type testEntry struct {
 	*qt.C
 	t       testing.TB
-	s       *Server
-	router  *soleRouter
-	config  *fixedConfig
+	server  *Server
+	router  *fakeRouter
+	config  *fakeConfig
 	handler http.Handler
 }
 
-// benchRequests is how many requests a member may have open at a bench's entry.
-const benchRequests = 4
+// testMaxOpenRequests is the number of requests that a member may have open at a
+// test entry.
+const testMaxOpenRequests = 4
 
-func newBench(t testing.TB) *bench { return newBenchOf(t, "entry-a-000001") }
+func newTestEntry(t testing.TB) *testEntry { return newTestEntryWithID(t, "entry-a-000001") }
 
-func newBenchOf(t testing.TB, id identity.Incarnation) *bench {
-	router := &soleRouter{id: id, known: make(map[identity.Incarnation]bool)}
-	config := &fixedConfig{revision: 7}
-	s := New(Options{
+func newTestEntryWithID(t testing.TB, id identity.Incarnation) *testEntry {
+	router := &fakeRouter{id: id, announced: make(map[identity.Incarnation]bool)}
+	config := &fakeConfig{revision: 7}
+	server := New(Options{
 		ID: id, Config: config, Router: router,
 		Metrics: telemetry.New(), Log: log.New(io.Discard), FleetKey: "fleet",
-		OpenRequests: benchRequests,
+		OpenRequests: testMaxOpenRequests,
 	})
-	router.ready = s.GuardReady
-	t.Cleanup(s.Close)
-	return &bench{C: qt.New(t), t: t, s: s, router: router, config: config, handler: s.Handler()}
+	router.onReady = server.GuardReady
+	t.Cleanup(server.Close)
+	return &testEntry{C: qt.New(t), t: t, server: server, router: router, config: config, handler: server.Handler()}
 }
 
-// guard links a guard of ayni/reserva and returns the guard's end.
-func (b *bench) guard(incarnation string, slots int) *wiretest.End {
-	return b.guardOf("ayni/reserva", incarnation, "fleet", slots)
+// linkGuard links a guard of ayni/reserva with the fleet key and returns the
+// guard's end of the link.
+func (e *testEntry) linkGuard(incarnation string, slots int) *wiretest.End {
+	return e.linkGuardOf("ayni/reserva", incarnation, "fleet", slots)
 }
 
-// guardOf links a guard of any service with any key. The link may be closed.
-func (b *bench) guardOf(service, incarnation, key string, slots int) *wiretest.End {
-	ours, theirs := wiretest.Pipe()
-	go b.s.ServeGuardLink(context.Background(), ours)
+// linkGuardOf links a guard of the given service with the given key. The entry may
+// close the link.
+func (e *testEntry) linkGuardOf(service, incarnation, key string, slots int) *wiretest.End {
+	entryEnd, guardEnd := wiretest.Pipe()
+	go e.server.ServeGuardLink(context.Background(), entryEnd)
 	hello := &wire.Hello{
 		Version: wire.Version, MinVersion: wire.MinVersion, Incarnation: identity.Incarnation(incarnation),
 		Service: service, Worker: incarnation, Slots: slots, Key: key,
 		Load: wire.Load{Seq: 1, Slots: slots, Healthy: true},
 	}
-	b.Assert(theirs.Send(&wire.Frame{Hello: hello}), qt.IsNil)
+	e.Assert(guardEnd.Send(&wire.Frame{Hello: hello}), qt.IsNil)
 	synctest.Wait()
-	if !closed(theirs) {
-		b.Assert(b.next(theirs).Welcome, qt.IsNotNil)
+	if !isClosed(guardEnd) {
+		e.Assert(e.recvFrame(guardEnd).Welcome, qt.IsNotNil)
 	}
-	return theirs
+	return guardEnd
 }
 
-// closed tells whether the entry has closed a guard's link.
-func closed(l wire.Link) bool {
+// isClosed reports whether the entry has closed a guard's link.
+func isClosed(l wire.Link) bool {
 	synctest.Wait()
 	select {
 	case <-l.Done():
@@ -168,23 +173,23 @@
 	}
 }
 
-// next reads the next frame that is no configuration.
-func (b *bench) next(l wire.Link) *wire.Frame {
-	b.t.Helper()
+// recvFrame returns the next frame that is not a configuration.
+func (e *testEntry) recvFrame(l wire.Link) *wire.Frame {
+	e.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for {
 		f, err := l.Recv(ctx)
-		b.Assert(err, qt.IsNil)
+		e.Assert(err, qt.IsNil)
 		if f.Config == nil {
 			return f
 		}
 	}
 }
 
-// silent checks that nothing waits to be read.
-func (b *bench) silent(l wire.Link) {
-	b.t.Helper()
+// assertNoFrame checks that no frame other than configurations is waiting.
+func (e *testEntry) assertNoFrame(l wire.Link) {
+	e.t.Helper()
 	synctest.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
@@ -193,40 +198,40 @@
 		if err != nil {
 			return
 		}
-		b.Assert(f.Config, qt.IsNotNil, qt.Commentf("unexpected frame %+v", f))
+		e.Assert(f.Config, qt.IsNotNil, qt.Commentf("unexpected frame %+v", f))
 	}
 }
 
-func (b *bench) ok(l wire.Link, st *wire.Start, body string) {
-	b.Assert(l.Send(&wire.Frame{Result: &wire.Result{
+func (e *testEntry) sendResult(l wire.Link, st *wire.Start, body string) {
+	e.Assert(l.Send(&wire.Frame{Result: &wire.Result{
 		Ref: st.Ref, Ran: errkind.RanYes, Status: 200, Body: []byte(body),
 		Load: wire.Load{Seq: uint64(time.Now().UnixNano()), Slots: 8, Healthy: true},
 	}}), qt.IsNil)
 }
 
-func (b *bench) request(member, method, path, key, body string) *http.Request {
+func (e *testEntry) newRequest(member, method, path, key, body string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+member)
 	if key != "" {
-		r.Header.Set(headerKey, key)
+		r.Header.Set(idempotencyKeyHeader, key)
 	}
 	return r
 }
 
-func (b *bench) do(r *http.Request) *httptest.ResponseRecorder {
+func (e *testEntry) serve(r *http.Request) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
-	b.handler.ServeHTTP(w, r)
+	e.handler.ServeHTTP(w, r)
 	return w
 }
 
-// post submits in the background; the answer comes on the channel.
-func (b *bench) post(member, key, body string) <-chan *httptest.ResponseRecorder {
+// submit sends a submission in the background; the response is sent on the channel.
+func (e *testEntry) submit(member, key, body string) <-chan *httptest.ResponseRecorder {
 	out := make(chan *httptest.ResponseRecorder, 1)
-	go func() { out <- b.do(b.request(member, "POST", "/v1/jobs", key, body)) }()
+	go func() { out <- e.serve(e.newRequest(member, "POST", "/v1/jobs", key, body)) }()
 	synctest.Wait()
 	return out
 }
 
-func (b *bench) ticket() string { return identity.NewTicket(b.s.id, time.Now()).Text }
+func (e *testEntry) newTicket() string { return identity.NewTicket(e.server.id, time.Now()).Text }
 
-const booking = `{"service":"reserva","tasks":[{"seat":"12A"}]}`
+const testSubmission = `{"service":"reserva","tasks":[{"seat":"12A"}]}`
--- a/internal/entry/holders_test.go
+++ b/internal/entry/holders_test.go
@@ -21,191 +21,192 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-// many is a number of guards well above holders.
-const many = 3 * holders
-
-// reconfigure puts a configuration in force at the entry and lets it go out.
-func (b *bench) reconfigure(c fixedConfig) {
-	*b.config = c
-	b.s.configChanged()
+// fleetSize is a number of guards well above configReplicas.
+const fleetSize = 3 * configReplicas
+
+// applyConfig changes the configuration of the entry and waits until it has been
+// sent.
+func (e *testEntry) applyConfig(c fakeConfig) {
+	*e.config = c
+	e.server.configChanged()
 	synctest.Wait()
 }
 
-// fleet links many guards and reads what they are sent on linking.
-func (b *bench) fleet() []*wiretest.End {
-	out := make([]*wiretest.End, many)
+// linkFleet links fleetSize guards and reads the configuration that each receives.
+func (e *testEntry) linkFleet() []*wiretest.End {
+	out := make([]*wiretest.End, fleetSize)
 	for i := range out {
-		out[i] = b.guard(fmt.Sprintf("guard-%d", i), 8)
-		b.Assert(b.received(out[i]), qt.Equals, int64(7))
+		out[i] = e.linkGuard(fmt.Sprintf("guard-%d", i), 8)
+		e.Assert(e.ackNextConfig(out[i]), qt.Equals, int64(7))
 	}
 	return out
 }
 
-// received reads the next frame and acknowledges the configuration in it; 0 if
-// nothing waits.
-func (b *bench) received(l *wiretest.End) int64 {
-	b.t.Helper()
+// ackNextConfig reads and acknowledges the next configuration, and returns its
+// revision, or 0 if no frame is waiting.
+func (e *testEntry) ackNextConfig(l *wiretest.End) int64 {
+	e.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	f, err := l.Recv(ctx)
 	if err != nil {
 		return 0
 	}
-	b.Assert(f.Config, qt.IsNotNil)
-	b.Assert(l.Send(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: f.Config.Revision}}), qt.IsNil)
+	e.Assert(f.Config, qt.IsNotNil)
+	e.Assert(l.Send(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: f.Config.Revision}}), qt.IsNil)
 	synctest.Wait()
 	return f.Config.Revision
 }
 
-// holding lists the guards that were sent a revision.
-func (b *bench) holding(guards []*wiretest.End, revision int64) []int {
-	b.t.Helper()
+// guardsThatReceived returns the indexes of the guards that were sent a revision.
+func (e *testEntry) guardsThatReceived(guards []*wiretest.End, revision int64) []int {
+	e.t.Helper()
 	var out []int
 	for i, g := range guards {
-		if r := b.received(g); r != 0 {
-			b.Assert(r, qt.Equals, revision)
+		if r := e.ackNextConfig(g); r != 0 {
+			e.Assert(r, qt.Equals, revision)
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// A change that concerns no guard goes to the few that keep the configuration.
-// Were it sent to all, most of what an entry sends would be copies of it.
-func TestChangeGoesToAFewGuards(t *testing.T) {
+// Protects against sending a change that concerns no guard to all of them: it must
+// go to the replicas only, or most of an entry's traffic would be copies of the
+// configuration.
+func TestConfigChangeGoesToReplicasOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		guards := b.fleet()
-		b.Assert(b.s.status().Behind, qt.Equals, 0)
-		b.reconfigure(fixedConfig{revision: 8})
-		b.Assert(b.s.status().Behind, qt.Equals, holders)
-		first := b.holding(guards, 8)
-		b.Assert(first, qt.HasLen, holders)
-		b.Assert(b.s.status().Behind, qt.Equals, 0)
-		b.reconfigure(fixedConfig{revision: 9})
-		b.Assert(b.holding(guards, 9), qt.DeepEquals, first)
+		e := newTestEntry(t)
+		guards := e.linkFleet()
+		e.Assert(e.server.status().GuardsBehind, qt.Equals, 0)
+		e.applyConfig(fakeConfig{revision: 8})
+		e.Assert(e.server.status().GuardsBehind, qt.Equals, configReplicas)
+		replicas := e.guardsThatReceived(guards, 8)
+		e.Assert(replicas, qt.HasLen, configReplicas)
+		e.Assert(e.server.status().GuardsBehind, qt.Equals, 0)
+		e.applyConfig(fakeConfig{revision: 9})
+		e.Assert(e.guardsThatReceived(guards, 9), qt.DeepEquals, replicas)
 	})
 }
 
-func TestChangeOfAServiceGoesToItsGuards(t *testing.T) {
+func TestServiceChangeGoesToItsGuards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		guards := b.fleet()
-		b.reconfigure(fixedConfig{revision: 8, own: "path"})
-		b.Assert(b.s.status().Behind, qt.Equals, many)
-		b.Assert(b.holding(guards, 8), qt.HasLen, many)
-		b.Assert(b.s.status().Behind, qt.Equals, 0)
-		b.reconfigure(fixedConfig{revision: 9, own: "path"})
-		b.Assert(b.holding(guards, 9), qt.HasLen, holders)
+		e := newTestEntry(t)
+		guards := e.linkFleet()
+		e.applyConfig(fakeConfig{revision: 8, serviceRecord: "path"})
+		e.Assert(e.server.status().GuardsBehind, qt.Equals, fleetSize)
+		e.Assert(e.guardsThatReceived(guards, 8), qt.HasLen, fleetSize)
+		e.Assert(e.server.status().GuardsBehind, qt.Equals, 0)
+		e.applyConfig(fakeConfig{revision: 9, serviceRecord: "path"})
+		e.Assert(e.guardsThatReceived(guards, 9), qt.HasLen, configReplicas)
 	})
 }
 
-// The guards that keep the configuration are replaced one after the other, as
-// workers are every day. If their places were not taken, the last copy of an
-// accepted change would go with them, and an entry that starts in an outage of
-// the store would revert it.
-func TestPlacesOfLostHoldersAreTaken(t *testing.T) {
+// Protects against losing the last copy of an accepted change: the replicas are
+// replaced one after the other, as workers are every day. Without new replicas, an
+// entry that starts while the store is down would revert the change.
+func TestLostConfigReplicasAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		guards := b.fleet()
-		b.reconfigure(fixedConfig{revision: 8})
-		first := b.holding(guards, 8)
-		for _, i := range first {
+		e := newTestEntry(t)
+		guards := e.linkFleet()
+		e.applyConfig(fakeConfig{revision: 8})
+		replicas := e.guardsThatReceived(guards, 8)
+		for _, i := range replicas {
 			guards[i].Close("replaced")
 			synctest.Wait()
-			b.Assert(b.holding(guards, 8), qt.HasLen, 1)
+			e.Assert(e.guardsThatReceived(guards, 8), qt.HasLen, 1)
 		}
 	})
 }
 
-// The store is down and every entry has gone. A new entry comes up and only
-// guards can tell it what was accepted; most of them have not been sent the last
-// change. If the entry stayed at what those hold, members would see an accepted
-// amendment reverted.
-func TestEntryStartedInAnOutageFindsTheLastChange(t *testing.T) {
+// Protects against reverting an accepted change when all entries are replaced while
+// the store is down: a new entry gets its configuration only from guards, and most
+// of them were not sent the last change.
+func TestEntryStartedDuringStoreOutageRecoversLatestConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		platform := standin.New()
-		defer platform.Close()
-		before := newSyncedBench(t, platform)
-		before.amend("first")
-		guards := make([]*wiretest.End, many)
+		storeServer := standin.New()
+		defer storeServer.Close()
+		before := newSyncedTestEntry(t, storeServer)
+		before.putMember("first")
+		guards := make([]*wiretest.End, fleetSize)
 		for i := range guards {
-			guards[i] = before.guard(fmt.Sprintf("guard-%d", i), 8)
+			guards[i] = before.linkGuard(fmt.Sprintf("guard-%d", i), 8)
 		}
-		held := make([]*wire.Config, many)
-		before.collect(guards, held)
-		last := before.amend("second")
-		before.collect(guards, held)
-		platform.SetDown(true)
-		before.s.Close()
-
-		after := newSyncedBench(t, platform)
-		after.Assert(after.s.config.Revision(), qt.Equals, int64(0))
-		newest := 0
-		for i, c := range held {
-			if c.Revision == last {
-				newest++
+		configs := make([]*wire.Config, fleetSize)
+		before.readConfigs(guards, configs)
+		latestRevision := before.putMember("second")
+		before.readConfigs(guards, configs)
+		storeServer.SetDown(true)
+		before.server.Close()
+
+		after := newSyncedTestEntry(t, storeServer)
+		after.Assert(after.server.config.Revision(), qt.Equals, int64(0))
+		upToDate := 0
+		for i, c := range configs {
+			if c.Revision == latestRevision {
+				upToDate++
 			}
-			g := after.guard(fmt.Sprintf("guard-%d", i), 8)
+			g := after.linkGuard(fmt.Sprintf("guard-%d", i), 8)
 			after.Assert(g.Send(&wire.Frame{Config: c}), qt.IsNil)
 		}
 		synctest.Wait()
-		after.Assert(newest, qt.Equals, holders)
-		after.Assert(after.s.config.Revision(), qt.Equals, last)
+		after.Assert(upToDate, qt.Equals, configReplicas)
+		after.Assert(after.server.config.Revision(), qt.Equals, latestRevision)
 		m, ok := after.sync.Current().Member("ayni")
 		after.Assert(ok, qt.IsTrue)
 		after.Assert(m.HomeRegion, qt.Equals, "second")
-		after.s.Close()
+		after.server.Close()
 	})
 }
 
-// syncedBench is an entry whose configuration comes from a stand-in of the store.
-type syncedBench struct {
-	bench
+// syncedTestEntry is a test entry with a configuration from a simulated store.
+type syncedTestEntry struct {
+	testEntry
 	store    store.Store
 	sync     *confsync.Sync
-	revision int64 // of the member's record
+	revision int64 // revision of the member's record
 }
 
-func newSyncedBench(t *testing.T, platform *standin.Server) *syncedBench {
+func newSyncedTestEntry(t *testing.T, storeServer *standin.Server) *syncedTestEntry {
 	kv := store.NewEtcd(store.Options{
-		Endpoints: []string{"http://store"}, Timeout: time.Second, Transport: &standin.Transport{Handler: platform},
+		Endpoints: []string{"http://store"}, Timeout: time.Second, Transport: &standin.Transport{Handler: storeServer},
 	})
 	sealer, err := record.NewSealer("the key of all entries")
 	qt.Assert(t, err, qt.IsNil)
-	b := &syncedBench{store: kv, sync: confsync.New(confsync.Options{Store: kv, Sealer: sealer})}
+	e := &syncedTestEntry{store: kv, sync: confsync.New(confsync.Options{Store: kv, Sealer: sealer})}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go func() { _ = b.sync.Run(ctx) }()
-	router := &soleRouter{id: "entry-a-000001", known: make(map[identity.Incarnation]bool)}
-	s := New(Options{
-		ID: router.id, Config: NewSyncedConfig(b.sync, "lima"), Router: router,
+	go func() { _ = e.sync.Run(ctx) }()
+	router := &fakeRouter{id: "entry-a-000001", announced: make(map[identity.Incarnation]bool)}
+	server := New(Options{
+		ID: router.id, Config: NewSyncedConfig(e.sync, "lima"), Router: router,
 		Metrics: telemetry.New(), Log: log.New(io.Discard), FleetKey: "fleet",
 	})
-	router.ready = s.GuardReady
-	t.Cleanup(s.Close)
-	b.bench = bench{C: qt.New(t), t: t, s: s, router: router, handler: s.Handler()}
+	router.onReady = server.GuardReady
+	t.Cleanup(server.Close)
+	e.testEntry = testEntry{C: qt.New(t), t: t, server: server, router: router, handler: server.Handler()}
 	synctest.Wait()
-	return b
+	return e
 }
 
-// amend writes the member's record and gives the revision that is then in force.
-func (b *syncedBench) amend(region string) int64 {
+// putMember writes the member's record and returns the revision that is then in
+// force.
+func (e *syncedTestEntry) putMember(region string) int64 {
 	value := fmt.Appendf(nil, `{"kind":"member","name":"ayni","schema":1,"home_region":%q}`, region)
-	revision, err := b.store.Put(b.t.Context(), record.Key(record.KindMember, "ayni"), value, b.revision, 0)
-	b.Assert(err, qt.IsNil)
-	b.revision = revision
+	revision, err := e.store.Put(e.t.Context(), record.Key(record.KindMember, "ayni"), value, e.revision, 0)
+	e.Assert(err, qt.IsNil)
+	e.revision = revision
 	synctest.Wait()
-	b.Assert(b.s.config.Revision(), qt.Equals, revision)
+	e.Assert(e.server.config.Revision(), qt.Equals, revision)
 	return revision
 }
 
-// collect reads what each guard has been sent.
-func (b *syncedBench) collect(guards []*wiretest.End, held []*wire.Config) {
+// readConfigs stores the latest configuration sent to each guard in latest.
+func (e *syncedTestEntry) readConfigs(guards []*wiretest.End, latest []*wire.Config) {
 	for i, g := range guards {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		for f, err := g.Recv(ctx); err == nil; f, err = g.Recv(ctx) {
-			held[i] = f.Config
+			latest[i] = f.Config
 		}
 		cancel()
 	}
--- a/internal/entry/hostile_test.go
+++ b/internal/entry/hostile_test.go
@@ -17,106 +17,106 @@
 	"wigeontray/internal/identity"
 )
 
-// refused checks an answer for one kind of the closed list.
-func (b *bench) refused(w *httptest.ResponseRecorder, kind errkind.Kind) *errorBody {
-	b.t.Helper()
-	b.Check(w.Code, qt.Equals, kind.Answer().Status)
-	b.Check(w.Header().Get("Content-Type"), qt.Equals, "application/json")
-	j := decode(b, w.Body.Bytes())
-	b.Assert(j.Error, qt.IsNotNil)
-	b.Check(j.Error.Kind, qt.Equals, kind.String())
+// assertRefused checks that a response is an error of the given kind.
+func (e *testEntry) assertRefused(w *httptest.ResponseRecorder, kind errkind.Kind) *errorBody {
+	e.t.Helper()
+	e.Check(w.Code, qt.Equals, kind.Answer().Status)
+	e.Check(w.Header().Get("Content-Type"), qt.Equals, "application/json")
+	j := decodeJob(e, w.Body.Bytes())
+	e.Assert(j.Error, qt.IsNotNil)
+	e.Check(j.Error.Kind, qt.Equals, kind.String())
 	return j.Error
 }
 
-// A kiosk's booking runs, its answer is lost, and the kiosk asks again with a
-// body that was cut off, too large, or under a token that has been replaced since.
-// Told that the booking never ran, it would book a second escort.
-func TestSpoiltResubmissionIsNotToldNotRun(t *testing.T) {
+// Protects against telling a caller that a job never ran, when the job has run and
+// its resubmission is malformed, too large, or sent with a token that has been
+// replaced since: the caller would submit the work again under another key.
+func TestMalformedResubmissionReportsRanUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		key := b.ticket()
-		answer := b.post("ayni", key, booking)
-		b.ok(g, b.next(g).Start, `1`)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		key := e.newTicket()
+		answer := e.submit("ayni", key, testSubmission)
+		e.sendResult(g, e.recvFrame(g).Start, `1`)
 		<-answer
 		for _, tt := range []struct {
 			member, body string
 			kind         errkind.Kind
 		}{
-			{"ayni", booking[:20], errkind.BadRequest},
+			{"ayni", testSubmission[:20], errkind.BadRequest},
 			{"ayni", `{"service":"reserva","tasks":[]}`, errkind.BadRequest},
-			{"ayni", strings.Repeat(" ", DefaultMaxBody+1), errkind.TooLarge},
-			{"old-token", booking, errkind.Unauthenticated},
+			{"ayni", strings.Repeat(" ", DefaultMaxBodyBytes+1), errkind.TooLarge},
+			{"old-token", testSubmission, errkind.Unauthenticated},
 		} {
-			refusal := b.refused(<-b.post(tt.member, key, tt.body), tt.kind)
-			b.Check(refusal.Ran, qt.Equals, "unknown", qt.Commentf("%s", tt.kind))
+			refusal := e.assertRefused(<-e.submit(tt.member, key, tt.body), tt.kind)
+			e.Check(refusal.Ran, qt.Equals, "unknown", qt.Commentf("%s", tt.kind))
 		}
 	})
 }
 
-// A client of another product, or a scanner, asks for paths and methods that
-// nothing serves. It must get the closed list's form, and callers' libraries no
-// page of plain text.
+// Unknown paths and methods must be answered with a JSON error of a known kind, not
+// with a page of plain text, which callers' libraries cannot read.
 func TestUnmatchedRequests(t *testing.T) {
-	b := newBench(t)
+	e := newTestEntry(t)
 	for _, path := range []string{"/", "/v1", "/v1/jobs/", "/v1/jobs/a/b", "/v2/jobs"} {
-		b.refused(b.do(b.request("ayni", "GET", path, "", "")), errkind.NotFound)
+		e.assertRefused(e.serve(e.newRequest("ayni", "GET", path, "", "")), errkind.NotFound)
 	}
 	for method, path := range map[string]string{"PUT": "/v1/jobs", "PATCH": "/v1/jobs/x", "OPTIONS": "/v1/jobs", "DELETE": "/v1/ticket", "HEAD": "/v1/jobs"} {
-		w := b.do(b.request("ayni", method, path, "", ""))
-		b.refused(w, errkind.MethodNotAllowed)
-		b.Check(w.Header().Get("Allow"), qt.Not(qt.Equals), "", qt.Commentf("%s", path))
+		w := e.serve(e.newRequest("ayni", method, path, "", ""))
+		e.assertRefused(w, errkind.MethodNotAllowed)
+		e.Check(w.Header().Get("Allow"), qt.Not(qt.Equals), "", qt.Commentf("%s", path))
 	}
 	w := httptest.NewRecorder()
-	b.s.AdminHandler().ServeHTTP(w, b.request("", "POST", "/drain", "", ""))
-	b.refused(w, errkind.NotFound)
-	b.Check(b.s.metrics.Refusals(errkind.NotFound), qt.Equals, int64(5))
-	b.Check(b.do(b.request("ayni", "HEAD", "/v1/ticket", "", "")).Code, qt.Equals, http.StatusOK)
+	e.server.AdminHandler().ServeHTTP(w, e.newRequest("", "POST", "/drain", "", ""))
+	e.assertRefused(w, errkind.NotFound)
+	e.Check(e.server.metrics.Refusals(errkind.NotFound), qt.Equals, int64(5))
+	e.Check(e.serve(e.newRequest("ayni", "HEAD", "/v1/ticket", "", "")).Code, qt.Equals, http.StatusOK)
 }
 
-// Identities as no library of ours makes them: none of them may start a task.
-func TestOddIdentities(t *testing.T) {
+// Keys that no client library creates must be refused, and must not start a task.
+func TestMalformedKeysAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		good := b.ticket()
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		valid := e.newTicket()
 		for _, key := range []string{
-			strings.Repeat("k", identity.MaxKeyLen+1), strings.Repeat("k", 1<<20), strings.ToUpper(good), good + " x",
-			"." + good, "../" + good, strings.Replace(good, ".", "..", 1), good[:len(good)-1], "\x00", "ñ" + good,
+			strings.Repeat("k", identity.MaxKeyLen+1), strings.Repeat("k", 1<<20), strings.ToUpper(valid), valid + " x",
+			"." + valid, "../" + valid, strings.Replace(valid, ".", "..", 1), valid[:len(valid)-1], "\x00", "ñ" + valid,
 		} {
-			refusal := b.refused(<-b.post("ayni", key, booking), errkind.BadRequest)
-			b.Check(len(refusal.Detail) <= 2*maxDetail, qt.IsTrue)
+			refusal := e.assertRefused(<-e.submit("ayni", key, testSubmission), errkind.BadRequest)
+			e.Check(len(refusal.Detail) <= 2*maxDetailBytes, qt.IsTrue)
 		}
-		twice := b.request("ayni", "POST", "/v1/jobs", good, booking)
-		twice.Header.Add(headerKey, b.ticket())
-		b.refused(b.do(twice), errkind.BadRequest)
-		b.silent(g)
+		duplicate := e.newRequest("ayni", "POST", "/v1/jobs", valid, testSubmission)
+		duplicate.Header.Add(idempotencyKeyHeader, e.newTicket())
+		e.assertRefused(e.serve(duplicate), errkind.BadRequest)
+		e.assertNoFrame(g)
 	})
 }
 
-// A caller's library sends the greatest number for "no deadline". The job must be
-// given the longest deadline there is and not be refused as long expired.
-func TestHugeTimes(t *testing.T) {
+// Protects against refusing a job as long expired because of an overflow: some
+// client libraries send the largest integer for "no deadline". The job must get the
+// longest allowed deadline.
+func TestHugeDeadlinesAreCapped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
 		for _, ms := range []int64{math.MaxInt64, math.MaxInt64 / 1_000_000, 1 << 44, 86_400_000} {
 			text := strconv.FormatInt(ms, 10)
-			answer := b.post("ayni", b.ticket(), `{"service":"reserva","deadline_ms":`+text+`,"tasks":[1]}`)
-			st := b.next(g).Start
-			b.Assert(st.LeftMs, qt.Equals, DefaultMaxDeadline.Milliseconds())
-			b.ok(g, st, `1`)
-			b.Assert((<-answer).Code, qt.Equals, http.StatusOK)
-			b.refused(<-b.post("ayni", b.ticket(), `{"service":"reserva","deadline_ms":-`+text+`,"tasks":[1]}`), errkind.BadRequest)
+			answer := e.submit("ayni", e.newTicket(), `{"service":"reserva","deadline_ms":`+text+`,"tasks":[1]}`)
+			st := e.recvFrame(g).Start
+			e.Assert(st.LeftMs, qt.Equals, DefaultMaxDeadline.Milliseconds())
+			e.sendResult(g, st, `1`)
+			e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
+			e.assertRefused(<-e.submit("ayni", e.newTicket(), `{"service":"reserva","deadline_ms":-`+text+`,"tasks":[1]}`), errkind.BadRequest)
 		}
-		answer := <-b.post("ayni", b.ticket(), `{"service":"reserva","declared_ms":9223372036854775807,"tasks":[1]}`)
-		b.refused(answer, errkind.CannotFinishInTime)
+		answer := <-e.submit("ayni", e.newTicket(), `{"service":"reserva","declared_ms":9223372036854775807,"tasks":[1]}`)
+		e.assertRefused(answer, errkind.CannotFinishInTime)
 	})
 }
 
-func TestPreference(t *testing.T) {
+func TestParsePrefer(t *testing.T) {
 	for prefer, want := range map[string]time.Duration{
-		"":                          waitForever,
+		"":                          maxWait,
 		"respond-async":             0,
 		"wait=10":                   10 * time.Second,
 		`wait="10"`:                 10 * time.Second,
@@ -125,36 +125,36 @@
 		"wait=10, respond-async":    10 * time.Second,
 		"wait=10; priority=5":       10 * time.Second,
 		"return=minimal, wait=10":   10 * time.Second,
-		"wait=-1":                   waitForever,
-		"wait=1.5":                  waitForever,
+		"wait=-1":                   maxWait,
+		"wait=1.5":                  maxWait,
 		"wait=, respond-async":      0,
-		"wait=99999999999999999999": waitForever,
+		"wait=99999999999999999999": maxWait,
 	} {
 		r := httptest.NewRequest("GET", "/", nil)
 		r.Header.Set("Prefer", prefer)
-		qt.Check(t, preference(r), qt.Equals, want, qt.Commentf("%q", prefer))
+		qt.Check(t, parsePrefer(r), qt.Equals, want, qt.Commentf("%q", prefer))
 	}
 }
 
-// Names of megabytes come back in refusals, which are held for resubmissions. A
-// team's faulty client would push the member's other answers out of memory, whose
-// callers would then be told that they are no longer held.
-func TestLongNamesAreNotHeld(t *testing.T) {
+// Protects against keeping names of megabytes in refusals: one faulty client could
+// evict the member's other answers from memory, and their callers would be told
+// that the answers are no longer kept.
+func TestOverlongNamesAreNotStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		e := newTestEntry(t)
 		long := strings.Repeat("<", 1<<20)
 		for _, body := range []string{`{"service":"` + long + `","tasks":[1]}`, `{"` + long + `":1}`} {
-			w := <-b.post("ayni", b.ticket(), body)
-			b.refused(w, errkind.BadRequest)
-			b.Check(w.Body.Len() < 8*maxDetail, qt.IsTrue)
+			w := <-e.submit("ayni", e.newTicket(), body)
+			e.assertRefused(w, errkind.BadRequest)
+			e.Check(w.Body.Len() < 8*maxDetailBytes, qt.IsTrue)
 		}
-		held, _ := b.s.registry.Count()
-		b.Assert(held, qt.Equals, 0)
+		held, _ := e.server.registry.Count()
+		e.Assert(held, qt.Equals, 0)
 	})
 }
 
-// Anybody with a token can send any bytes as a submission. What is accepted must
-// keep its tasks as they are, since the upstream gets nothing else.
+// Any bytes can be sent as a submission. An accepted one must keep its tasks
+// unchanged, since they are all that the upstream gets.
 func FuzzParseSubmission(f *testing.F) {
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := parseSubmission(body)
@@ -166,7 +166,7 @@
 		}
 		for i, task := range s.bodies() {
 			if !json.Valid(task) {
-				t.Fatalf("task %d is no JSON: %q", i, task)
+				t.Fatalf("task %d is not JSON: %q", i, task)
 			}
 		}
 		again, err := parseSubmission(body)
@@ -176,22 +176,22 @@
 	})
 }
 
-// Whatever comes to the callers' listener, the answer is JSON of the closed list,
-// and nothing that was not admitted is told to have run.
+// Every request must be answered with a JSON error of a known kind, and a request
+// that was not admitted must never be reported as run.
 func FuzzPost(f *testing.F) {
-	b := newBench(f)
+	e := newTestEntry(f)
 	f.Fuzz(func(t *testing.T, key, prefer string, body []byte) {
-		b := &bench{C: qt.New(t), t: t, s: b.s, handler: b.handler}
-		r := b.request("ayni", "POST", "/v1/jobs", "", string(body))
-		r.Header.Set(headerKey, strings.Replace(key, "HOME", string(b.s.id), 1))
+		e := &testEntry{C: qt.New(t), t: t, server: e.server, handler: e.handler}
+		r := e.newRequest("ayni", "POST", "/v1/jobs", "", string(body))
+		r.Header.Set(idempotencyKeyHeader, strings.Replace(key, "HOME", string(e.server.id), 1))
 		r.Header.Set("Prefer", prefer)
-		w := b.do(r)
-		j := decode(b, w.Body.Bytes()) // no guard is linked, so nothing can succeed
-		b.Assert(j.Error, qt.IsNotNil)
-		b.Assert(j.Error.Ran, qt.Not(qt.Equals), "yes")
+		w := e.serve(r)
+		j := decodeJob(e, w.Body.Bytes()) // no guard is linked, so no job can succeed
+		e.Assert(j.Error, qt.IsNotNil)
+		e.Assert(j.Error.Ran, qt.Not(qt.Equals), "yes")
 		for _, k := range errkind.All() {
 			if k.String() == j.Error.Kind {
-				b.Assert(w.Code, qt.Equals, k.Answer().Status)
+				e.Assert(w.Code, qt.Equals, k.Answer().Status)
 				return
 			}
 		}
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -17,56 +17,57 @@
 	"wigeontray/internal/wire"
 )
 
-// A rival has seen the identity of an Ayni booking, and asks for it or cancels it
-// at another entry, which passes the request on to the owner. He must learn
-// nothing and stop nothing; Ayni gets its answer by the same way.
-func TestRivalAsksThroughAnotherEntry(t *testing.T) {
+// Protects against access to another member's job by its key through a second
+// entry, which forwards the request to the owner: the job can be neither read nor
+// cancelled, while its own member gets the answer the same way.
+func TestForwardedRequestCannotReachAnotherMembersJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner, other := newBench(t), newBenchOf(t, "entry-b-000002")
-		other.router.peer = owner.s
-		g := owner.guard("guard-1", 8)
-		key := owner.ticket()
-		mine := owner.post("ayni", key, booking)
-		st := owner.next(g).Start
+		owner, other := newTestEntry(t), newTestEntryWithID(t, "entry-b-000002")
+		other.router.peer = owner.server
+		g := owner.linkGuard("guard-1", 8)
+		key := owner.newTicket()
+		answer := owner.submit("ayni", key, testSubmission)
+		st := owner.recvFrame(g).Start
 		for _, method := range []string{"GET", "DELETE"} {
-			other.refused(other.do(other.request("leeuwin", method, "/v1/jobs/"+key, "", "")), errkind.NotFound)
+			other.assertRefused(other.serve(other.newRequest("leeuwin", method, "/v1/jobs/"+key, "", "")), errkind.NotFound)
 		}
-		owner.silent(g)
-		owner.ok(g, st, `{"escort":7}`)
-		b := (<-mine).Body.String()
-		w := other.do(other.request("ayni", "GET", "/v1/jobs/"+key, "", ""))
+		owner.assertNoFrame(g)
+		owner.sendResult(g, st, `{"escort":7}`)
+		want := (<-answer).Body.String()
+		w := other.serve(other.newRequest("ayni", "GET", "/v1/jobs/"+key, "", ""))
 		other.Assert(w.Code, qt.Equals, http.StatusOK)
-		other.Assert(w.Body.String(), qt.Equals, b)
+		other.Assert(w.Body.String(), qt.Equals, want)
 	})
 }
 
-// A rival's guard, or another one of Ayni's own, answers for a booking that it
-// was never sent. Completed by that, the passenger would be told of an escort
-// that nobody booked.
-func TestResultOfAGuardThatWasNotAsked(t *testing.T) {
+// Protects against a job that is completed by a guard which was never sent its
+// task, whether of another member or of the same one: the caller would get a result
+// that did not happen.
+func TestResultFromUnassignedGuardIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		answer := b.post("ayni", b.ticket(), booking)
-		st := b.next(g).Start
-		rival := b.guardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
-		own := b.guard("guard-3", 8)
-		for _, l := range []wire.Link{rival, own} {
-			b.ok(l, st, `{"escort":666}`)
-			b.Assert(l.Send(&wire.Frame{Result: &wire.Result{Ref: st.Ref, Kind: errkind.Busy, Ran: errkind.RanNo}}), qt.IsNil)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		st := e.recvFrame(g).Start
+		otherMember := e.linkGuardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
+		sameMember := e.linkGuard("guard-3", 8)
+		for _, guard := range []wire.Link{otherMember, sameMember} {
+			e.sendResult(guard, st, `{"escort":666}`)
+			e.Assert(guard.Send(&wire.Frame{Result: &wire.Result{Ref: st.Ref, Kind: errkind.Busy, Ran: errkind.RanNo}}), qt.IsNil)
 		}
-		b.silent(own)
-		b.Assert(answer, qt.HasLen, 0)
-		b.ok(g, st, `{"escort":7}`)
-		b.Assert(string(decode(b, (<-answer).Body.Bytes()).Results[0].JSON), qt.Equals, `{"escort":7}`)
+		e.assertNoFrame(sameMember)
+		e.Assert(answer, qt.HasLen, 0)
+		e.sendResult(g, st, `{"escort":7}`)
+		e.Assert(string(decodeJob(e, (<-answer).Body.Bytes()).Results[0].JSON), qt.Equals, `{"escort":7}`)
 	})
 }
 
-// A guard sends what only entries send, to fetch other members' answers or to
-// take part in the roster. Each must be refused, counted, and end the link.
-func TestGuardSendsFramesOfEntries(t *testing.T) {
+// Protects against frames that only entries may send, with which a guard could
+// fetch other members' answers or take part in the roster: each must be refused and
+// counted, and must close the link.
+func TestEntryFramesFromGuardAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		e := newTestEntry(t)
 		frames := []*wire.Frame{
 			{Forward: &wire.Forward{Op: wire.OpFetch, Member: "ayni"}}, {Forwarded: &wire.Forwarded{}},
 			{Promise: &wire.Promise{Version: 9}}, {Roster: &wire.Roster{Version: 9}}, {Join: &wire.Join{}},
@@ -75,75 +76,76 @@
 			{Welcome: &wire.Welcome{}}, {Hello: &wire.Hello{}}, {Reserve: &wire.Reserve{}},
 		}
 		for _, f := range frames {
-			g := b.guard("guard-1", 8)
-			b.Assert(g.Send(f), qt.IsNil)
-			b.Check(closed(g), qt.IsTrue, qt.Commentf("%+v", f))
+			g := e.linkGuard("guard-1", 8)
+			e.Assert(g.Send(f), qt.IsNil)
+			e.Check(isClosed(g), qt.IsTrue, qt.Commentf("%+v", f))
 		}
-		b.Assert(b.s.metrics.Count(telemetry.FramesRefused), qt.Equals, int64(len(frames)))
-		g := b.guard("guard-1", 8)
-		b.Assert(g.Send(&wire.Frame{}), qt.IsNil) // of a newer version
-		b.Assert(closed(g), qt.IsFalse)
+		e.Assert(e.server.metrics.Count(telemetry.FramesRefused), qt.Equals, int64(len(frames)))
+		g := e.linkGuard("guard-1", 8)
+		e.Assert(g.Send(&wire.Frame{}), qt.IsNil) // as a frame of a newer version is decoded
+		e.Assert(isClosed(g), qt.IsFalse)
 	})
 }
 
-// An entry has died, and another recovers its jobs from guards. A rival's guard
-// makes up a result for an Ayni booking, or says that it started it. The caller
-// would get an answer that no upstream of Ayni's gave.
-func TestRivalSpeaksOfAnothersJobs(t *testing.T) {
+// Protects against forged recovery reports: when an entry is lost and another one
+// recovers its jobs from guards, a guard of another member could invent a result or
+// claim to have started the job.
+func TestReportsOnAnotherMembersJobsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		e := newTestEntry(t)
 		ref := wire.Ref{Member: "ayni", Key: "k"}
-		foreign := []*wire.Frame{
+		reports := []*wire.Frame{
 			{Collected: &wire.Collected{Member: "ayni", Key: "k", Of: 1, Results: []wire.Result{{Ref: ref}}}},
 			{Collected: &wire.Collected{Member: "leeuwin", Key: "k", Results: []wire.Result{{Ref: ref}}}},
 			{FenceReport: &wire.FenceReport{Gone: "entry-b-000002", Started: []wire.Started{{Ref: ref, Of: 1}}}},
 		}
-		for _, f := range foreign {
-			rival := b.guardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
-			b.Assert(rival.Send(f), qt.IsNil)
-			b.Check(closed(rival), qt.IsTrue)
+		for _, f := range reports {
+			other := e.linkGuardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
+			e.Assert(other.Send(f), qt.IsNil)
+			e.Check(isClosed(other), qt.IsTrue)
 		}
-		b.Assert(b.router.heard, qt.HasLen, 0)
-		own := b.guard("guard-1", 8)
-		b.Assert(own.Send(foreign[0]), qt.IsNil)
-		b.Assert(own.Send(foreign[2]), qt.IsNil)
+		e.Assert(e.router.guardFrames, qt.HasLen, 0)
+		own := e.linkGuard("guard-1", 8)
+		e.Assert(own.Send(reports[0]), qt.IsNil)
+		e.Assert(own.Send(reports[2]), qt.IsNil)
 		synctest.Wait()
-		b.Assert(b.router.heard, qt.HasLen, 2)
+		e.Assert(e.router.guardFrames, qt.HasLen, 2)
 	})
 }
 
-// Recovery asks guards what they hold of an Ayni booking. A rival's VM must not
-// learn the booking's identity from the question.
-func TestRivalIsNotAskedAboutAnothersJobs(t *testing.T) {
+// Protects against disclosing a job's key to another member's VM: recovery must
+// query only the guards of the member that owns the job.
+func TestRecoveryQueriesOnlyGuardsOfJobOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		own := b.guard("guard-1", 8)
-		rival := b.guardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
+		e := newTestEntry(t)
+		own := e.linkGuard("guard-1", 8)
+		other := e.linkGuardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
 		r, bind := NewPeerRouter(peers.Options{
-			Self:  wire.EntryAddr{Incarnation: b.s.id},
+			Self:  wire.EntryAddr{Incarnation: e.server.id},
 			Store: store.NewEtcd(store.Options{Endpoints: []string{"http://store"}, Transport: &standin.Transport{Handler: standin.New()}}),
 		})
-		bind(b.s)
+		bind(e.server)
 		for _, g := range []identity.Incarnation{"guard-1", "guard-2"} {
-			r.toGuard(b.s, g, &wire.Frame{Collect: &wire.Collect{Member: "ayni", Key: "k"}})
-			r.toGuard(b.s, g, &wire.Frame{Fence: &wire.Fence{Gone: "entry-b-000002"}})
+			r.sendToGuard(e.server, g, &wire.Frame{Collect: &wire.Collect{Member: "ayni", Key: "k"}})
+			r.sendToGuard(e.server, g, &wire.Frame{Fence: &wire.Fence{Gone: "entry-b-000002"}})
 		}
-		b.Assert(b.next(own).Collect, qt.IsNotNil)
-		b.Assert(b.next(own).Fence, qt.IsNotNil)
-		b.Assert(b.next(rival).Fence, qt.IsNotNil)
-		b.silent(rival)
+		e.Assert(e.recvFrame(own).Collect, qt.IsNotNil)
+		e.Assert(e.recvFrame(own).Fence, qt.IsNotNil)
+		e.Assert(e.recvFrame(other).Fence, qt.IsNotNil)
+		e.assertNoFrame(other)
 	})
 }
 
-// A rival's guard goes by the name of one of Ayni's. Questions about Ayni's jobs,
-// which go out by that name, must stay with Ayni's guard.
-func TestRivalTakesAnothersIncarnation(t *testing.T) {
+// Protects against a guard that links under the incarnation of another member's
+// guard: frames are addressed by incarnation, so queries about the other member's
+// jobs must still go to that member's guard.
+func TestIncarnationOfAnotherServiceIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.config.keys = map[string][]record.TokenHash{"leeuwin": keys("leeuwin-key")}
-		own := b.guard("guard-1", 8)
-		b.Assert(closed(b.guardOf("leeuwin/clubcast", "guard-1", "leeuwin-key", 8)), qt.IsTrue)
-		b.Assert(b.s.links.send("guard-1", &wire.Frame{Fence: &wire.Fence{}}), qt.IsTrue)
-		b.Assert(b.next(own).Fence, qt.IsNotNil)
+		e := newTestEntry(t)
+		e.config.guardKeys = map[string][]record.TokenHash{"leeuwin": guardKeys("leeuwin-key")}
+		own := e.linkGuard("guard-1", 8)
+		e.Assert(isClosed(e.linkGuardOf("leeuwin/clubcast", "guard-1", "leeuwin-key", 8)), qt.IsTrue)
+		e.Assert(e.server.links.send("guard-1", &wire.Frame{Fence: &wire.Fence{}}), qt.IsTrue)
+		e.Assert(e.recvFrame(own).Fence, qt.IsNotNil)
 	})
 }
--- a/internal/entry/lane.go
+++ b/internal/entry/lane.go
@@ -11,120 +11,122 @@
 	"wigeontray/internal/wire"
 )
 
-// lane is one service at this entry: its dispatch machine, the links to its
-// guards, and the records that wait for outcomes. Services share no lock, so
-// that one member's load does not slow another's decisions.
-type lane struct {
-	service string
-	home    identity.Incarnation // this entry, named in every start
-	finish  func(now time.Time, rec *jobs.Record, o *dispatch.Outcome)
-
-	// mu guards all below. It is held while messages are queued on links, which
-	// never blocks, so that a guard gets them in the order of the decisions.
-	// Lock order: lane.mu, then the registry's.
-	mu     sync.Mutex
-	core   dispatch.Machine
-	links  map[identity.Incarnation]*guardLink
-	open   map[dispatch.JobID]*jobs.Record
-	timer  *time.Timer
-	due    time.Time // when timer fires; zero if stopped
-	closed bool
-}
-
-func newLane(service string, home identity.Incarnation, core dispatch.Machine, finish func(time.Time, *jobs.Record, *dispatch.Outcome)) *lane {
-	l := &lane{
-		service: service,
-		home:    home,
-		finish:  finish,
-		core:    core,
-		links:   make(map[identity.Incarnation]*guardLink),
-		open:    make(map[dispatch.JobID]*jobs.Record),
+// dispatcher manages one service at this entry: its dispatch machine, the links to
+// its guards, and the records of its open jobs. Services share no lock, so that
+// the load of one member does not delay the decisions for another.
+type dispatcher struct {
+	service  string
+	entryID  identity.Incarnation // this entry, set as Home in every Start
+	onFinish func(now time.Time, rec *jobs.Record, o *dispatch.Outcome)
+
+	// mu guards all fields below. It is held while messages are queued on links,
+	// which never blocks, so that each guard receives them in the order of the
+	// decisions. Lock order: dispatcher.mu, then the registry's.
+	mu       sync.Mutex
+	machine  dispatch.Machine
+	links    map[identity.Incarnation]*guardLink
+	openJobs map[dispatch.JobID]*jobs.Record
+	timer    *time.Timer
+	nextTick time.Time // when timer fires; zero if stopped
+	closed   bool
+}
+
+func newDispatcher(service string, entryID identity.Incarnation, machine dispatch.Machine, onFinish func(time.Time, *jobs.Record, *dispatch.Outcome)) *dispatcher {
+	d := &dispatcher{
+		service:  service,
+		entryID:  entryID,
+		onFinish: onFinish,
+		machine:  machine,
+		links:    make(map[identity.Incarnation]*guardLink),
+		openJobs: make(map[dispatch.JobID]*jobs.Record),
 	}
-	l.timer = time.AfterFunc(time.Hour, l.tick)
-	l.timer.Stop()
-	return l
+	d.timer = time.AfterFunc(time.Hour, d.tick)
+	d.timer.Stop()
+	return d
 }
 
-// do runs f on the machine and carries out what it asks for.
-func (l *lane) do(f func(now time.Time, m dispatch.Machine)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+// update runs f on the machine, executes the resulting actions and resets the
+// timer.
+func (d *dispatcher) update(f func(now time.Time, m dispatch.Machine)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.closed {
 		return
 	}
 	now := time.Now()
-	f(now, l.core)
-	l.carryOut(now)
-	l.arm(now)
+	f(now, d.machine)
+	d.executeActions(now)
+	d.resetTimer(now)
 }
 
-func (l *lane) tick() {
-	l.do(func(now time.Time, m dispatch.Machine) {
-		l.due = time.Time{}
+func (d *dispatcher) tick() {
+	d.update(func(now time.Time, m dispatch.Machine) {
+		d.nextTick = time.Time{}
 		m.Tick(now)
 	})
 }
 
-// arm sets the timer for the machine's next tick.
-func (l *lane) arm(now time.Time) {
-	next := l.core.NextTick()
-	if next.Equal(l.due) {
+// resetTimer sets the timer for the machine's next tick.
+func (d *dispatcher) resetTimer(now time.Time) {
+	next := d.machine.NextTick()
+	if next.Equal(d.nextTick) {
 		return
 	}
-	l.due = next
+	d.nextTick = next
 	if next.IsZero() {
-		l.timer.Stop()
+		d.timer.Stop()
 		return
 	}
-	l.timer.Reset(max(next.Sub(now), 0))
+	d.timer.Reset(max(next.Sub(now), 0))
 }
 
-func (l *lane) carryOut(now time.Time) {
-	for _, a := range l.core.Actions() {
+func (d *dispatcher) executeActions(now time.Time) {
+	for _, a := range d.machine.Actions() {
 		if a.Finish != nil {
-			l.settle(now, a.Finish)
+			d.finishJob(now, a.Finish)
 			continue
 		}
-		// A guard whose link is gone gets nothing. The machine learns of the
-		// loss by GuardDown and sends again when the same guard returns.
+		// Nothing is sent to a guard without a link. The machine is notified of the
+		// loss by GuardDown, and sends the start again when the same guard
+		// reconnects.
 		if a.Start != nil {
-			a.Start.Home = l.home
+			a.Start.Home = d.entryID
 		}
-		if g := l.links[a.Guard]; g != nil {
+		if g := d.links[a.Guard]; g != nil {
 			_ = g.link.Send(&wire.Frame{Start: a.Start, Cancel: a.Cancel, Reserve: a.Reserve})
 		}
 	}
 }
 
-func (l *lane) settle(now time.Time, o *dispatch.Outcome) {
-	rec := l.open[o.ID]
-	delete(l.open, o.ID)
+func (d *dispatcher) finishJob(now time.Time, o *dispatch.Outcome) {
+	rec := d.openJobs[o.ID]
+	delete(d.openJobs, o.ID)
 	if rec != nil {
-		l.finish(now, rec, o)
+		d.onFinish(now, rec, o)
 	}
 }
 
-// submit admits a job. After an error the job is not in the lane and the
-// caller finishes its record.
-func (l *lane) submit(s *dispatch.Spec, rec *jobs.Record) (err *errkind.Error) {
-	l.do(func(now time.Time, m dispatch.Machine) {
-		l.open[s.ID] = rec
+// submit admits a job. If it returns an error, the job was not added and the caller
+// must finish its record.
+func (d *dispatcher) submit(s *dispatch.Spec, rec *jobs.Record) (err *errkind.Error) {
+	d.update(func(now time.Time, m dispatch.Machine) {
+		d.openJobs[s.ID] = rec
 		if err = m.Submit(now, s); err != nil {
-			delete(l.open, s.ID)
+			delete(d.openJobs, s.ID)
 		}
 	})
 	return err
 }
 
-func (l *lane) cancel(id dispatch.JobID) {
-	l.do(func(now time.Time, m dispatch.Machine) { m.Cancel(now, id) })
+func (d *dispatcher) cancel(id dispatch.JobID) {
+	d.update(func(now time.Time, m dispatch.Machine) { m.Cancel(now, id) })
 }
 
-// up puts a guard's new link in place of an older one of the same incarnation.
-// A link that is in place already stays.
-func (l *lane) up(g *guardLink) {
-	l.do(func(now time.Time, m dispatch.Machine) {
-		old := l.links[g.hello.Incarnation]
+// linkUp adds a guard's new link, replacing an older one of the same incarnation.
+// It does nothing if the link was added before.
+func (d *dispatcher) linkUp(g *guardLink) {
+	d.update(func(now time.Time, m dispatch.Machine) {
+		old := d.links[g.hello.Incarnation]
 		if old == g {
 			return
 		}
@@ -132,30 +134,30 @@
 			old.link.Close("superseded")
 			m.GuardDown(now, g.hello.Incarnation)
 		}
-		l.links[g.hello.Incarnation] = g
+		d.links[g.hello.Incarnation] = g
 		m.GuardUp(now, g.hello)
 	})
 }
 
-// down notes the end of a link, unless a newer one has replaced it: the late
-// end of the old link must not take the new one out of service.
-func (l *lane) down(g *guardLink) {
-	l.do(func(now time.Time, m dispatch.Machine) {
-		if l.links[g.hello.Incarnation] != g {
+// linkDown removes a closed link, unless a newer one has replaced it: when the old
+// link's end is noticed late, the new link must stay in use.
+func (d *dispatcher) linkDown(g *guardLink) {
+	d.update(func(now time.Time, m dispatch.Machine) {
+		if d.links[g.hello.Incarnation] != g {
 			return
 		}
-		delete(l.links, g.hello.Incarnation)
+		delete(d.links, g.hello.Incarnation)
 		m.GuardDown(now, g.hello.Incarnation)
 	})
 }
 
-// receive hands a guard's message to the machine, unless the link has been
-// superseded.
-func (l *lane) receive(g *guardLink, f *wire.Frame) {
-	l.do(func(now time.Time, m dispatch.Machine) {
+// handleFrame passes a guard's message to the machine, unless the link has been
+// replaced.
+func (d *dispatcher) handleFrame(g *guardLink, f *wire.Frame) {
+	d.update(func(now time.Time, m dispatch.Machine) {
 		id := g.hello.Incarnation
-		if l.links[id] != g {
-			g.note(f)
+		if d.links[id] != g {
+			g.updateHello(f)
 			return
 		}
 		switch {
@@ -171,12 +173,13 @@
 	})
 }
 
-// note keeps what a guard says of itself before its link is put to use. The
-// Hello may be older than its upstream's first health check; if the report that
-// follows were lost, the guard would look unhealthy until its next change, and
-// every request would be refused for want of workers. The caller
-// holds the lane's lock, or greeted.mu while the link has no lane yet.
-func (g *guardLink) note(f *wire.Frame) {
+// updateHello applies a load report or a Goodbye that arrives before the link is in
+// use. The Hello may have been sent before the upstream's first health check; if
+// the report that follows were lost, the guard would be treated as unhealthy until
+// its next report, and every request would be refused because no workers are
+// available. The caller holds the dispatcher's lock, or openLinkSet.mu while the
+// link has no dispatcher yet.
+func (g *guardLink) updateHello(f *wire.Frame) {
 	load := &g.hello.Load
 	switch {
 	case f.Load != nil && f.Load.Seq > load.Seq:
@@ -186,27 +189,27 @@
 	}
 }
 
-func (l *lane) configure(p dispatch.Policy) {
-	l.do(func(now time.Time, m dispatch.Machine) { m.Configure(now, p) })
+func (d *dispatcher) configure(p dispatch.Policy) {
+	d.update(func(now time.Time, m dispatch.Machine) { m.Configure(now, p) })
 }
 
-// jobs tells how many jobs are unfinished.
-func (l *lane) jobs() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.core.Jobs()
+// jobCount returns the number of unfinished jobs.
+func (d *dispatcher) jobCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.machine.Jobs()
 }
 
-// guards lists the hellos of the linked guards.
-func (l *lane) guards() []*wire.Hello {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return hellos(l.links)
+// guardHellos returns the Hello messages of the linked guards.
+func (d *dispatcher) guardHellos() []*wire.Hello {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return collectHellos(d.links)
 }
 
-func (l *lane) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closed = true
-	l.timer.Stop()
+func (d *dispatcher) close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.closed = true
+	d.timer.Stop()
 }
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -7,19 +7,21 @@
 	"wigeontray/internal/wire"
 )
 
-// linkTable knows every guard's current link.
+// linkTable holds the current link of every verified guard.
 type linkTable struct {
-	mu     sync.Mutex
-	links  map[identity.Incarnation]*guardLink
-	usable map[identity.Incarnation]bool // the router allowed starts; outlives a broken link
-	closed bool
+	mu    sync.Mutex
+	links map[identity.Incarnation]*guardLink
+	// readyGuards holds the guards that the router has reported ready. A guard is
+	// kept in it while its link is down.
+	readyGuards map[identity.Incarnation]bool
+	closed      bool
 }
 
 func newLinkTable() *linkTable {
-	return &linkTable{links: make(map[identity.Incarnation]*guardLink), usable: make(map[identity.Incarnation]bool)}
+	return &linkTable{links: make(map[identity.Incarnation]*guardLink), readyGuards: make(map[identity.Incarnation]bool)}
 }
 
-// add puts g in the table; false after close.
+// add adds g to the table. It returns false if the table is closed.
 func (t *linkTable) add(g *guardLink) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,11 +29,11 @@
 		return false
 	}
 	t.links[g.hello.Incarnation] = g
-	g.acked = g.hello.Revision
+	g.ackedRevision = g.hello.Revision
 	return true
 }
 
-// remove takes g out; false if a newer link has replaced it.
+// remove removes g. It returns false if a newer link has replaced it.
 func (t *linkTable) remove(g *guardLink) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,32 +50,32 @@
 	return t.links[id]
 }
 
-// setReady notes that id may be used and gives its link, if it has one.
+// setReady marks a guard as ready and returns its link, or nil if it has none.
 func (t *linkTable) setReady(id identity.Incarnation) *guardLink {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.usable[id] = true
+	t.readyGuards[id] = true
 	return t.links[id]
 }
 
-func (t *linkTable) ready(id identity.Incarnation) bool {
+func (t *linkTable) isReady(id identity.Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.usable[id]
+	return t.readyGuards[id]
 }
 
-// forget drops what is known of an unlinked guard; false if it is linked.
-func (t *linkTable) forget(id identity.Incarnation) bool {
+// expire clears the ready mark of a guard. It returns false if the guard is linked.
+func (t *linkTable) expire(id identity.Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.links[id] != nil {
 		return false
 	}
-	delete(t.usable, id)
+	delete(t.readyGuards, id)
 	return true
 }
 
-// broadcast queues f for every guard. Sending never blocks.
+// broadcast queues f for every guard. It never blocks.
 func (t *linkTable) broadcast(f *wire.Frame) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// send queues f for one guard; false if it has no link.
+// send queues f for one guard. It returns false if the guard has no link.
 func (t *linkTable) send(to identity.Incarnation, f *wire.Frame) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,15 +92,15 @@
 	return g != nil && g.link.Send(f) == nil
 }
 
-// all lists the guards' hellos.
-func (t *linkTable) all() []*wire.Hello {
+// guardHellos returns the Hello messages of the guards.
+func (t *linkTable) guardHellos() []*wire.Hello {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return hellos(t.links)
+	return collectHellos(t.links)
 }
 
-// hellos lists what the guards of some links said of themselves.
-func hellos(links map[identity.Incarnation]*guardLink) []*wire.Hello {
+// collectHellos returns the Hello messages of the guards of the given links.
+func collectHellos(links map[identity.Incarnation]*guardLink) []*wire.Hello {
 	out := make([]*wire.Hello, 0, len(links))
 	for _, g := range links {
 		out = append(out, g.hello)
@@ -106,7 +108,7 @@
 	return out
 }
 
-// close ends every link and lets no new one in.
+// close closes every link and refuses new ones.
 func (t *linkTable) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -8,38 +8,37 @@
 	"wigeontray/internal/wire"
 )
 
-// entriesEvery is how often the list of entries is compared with what guards
-// were told.
-const entriesEvery = time.Second
+// entriesPollInterval is how often the list of entries is checked for changes.
+const entriesPollInterval = time.Second
 
-// followEntries tells guards of entries that have joined since their Welcome,
-// and shares the quotas anew when the number of entries changes. Entries are
-// replaced one by one; a guard that knew only those of its own start would in
-// the end be linked to none of the living.
-func (s *Server) followEntries(ctx context.Context) {
-	told := s.router.Entries()
-	tick := time.NewTicker(entriesEvery)
-	defer tick.Stop()
+// watchEntries sends guards a new Welcome when an entry has joined, and applies the
+// policies again when the number of entries changes, because quotas are divided
+// among the entries. Entries are replaced one by one: a guard that only had the
+// addresses of the entries at its own start would eventually have no link left.
+func (s *Server) watchEntries(ctx context.Context) {
+	announced := s.router.Entries()
+	ticker := time.NewTicker(entriesPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		now := s.router.Entries()
-		if len(now) != len(told) {
+		current := s.router.Entries()
+		if len(current) != len(announced) {
 			s.Reconfigure()
 		}
-		if joined(told, now) {
-			s.links.broadcast(&wire.Frame{Welcome: s.welcome(wire.Version)})
+		if hasNewEntry(announced, current) {
+			s.links.broadcast(&wire.Frame{Welcome: s.newWelcome(wire.Version)})
 		}
-		told = now
+		announced = current
 	}
 }
 
-// joined tells whether an entry is in now and not in before.
-func joined(before, now []wire.EntryAddr) bool {
-	for _, e := range now {
+// hasNewEntry reports whether current contains an entry that before does not.
+func hasNewEntry(before, current []wire.EntryAddr) bool {
+	for _, e := range current {
 		if !slices.ContainsFunc(before, func(b wire.EntryAddr) bool { return b.Incarnation == e.Incarnation }) {
 			return true
 		}
@@ -47,8 +46,9 @@
 	return false
 }
 
-// welcome is what a guard is told of this entry and the others.
-func (s *Server) welcome(version int) *wire.Welcome {
+// newWelcome returns a Welcome with this entry's revision and the addresses of all
+// entries.
+func (s *Server) newWelcome(version int) *wire.Welcome {
 	return &wire.Welcome{
 		Version:     version,
 		Incarnation: s.id,
--- a/internal/entry/peerrouter.go
+++ b/internal/entry/peerrouter.go
@@ -13,13 +13,13 @@
 	"wigeontray/internal/wire"
 )
 
-// PeerRouter is the Router over the entries of a region.
+// PeerRouter implements Router for the entries of one region.
 type PeerRouter struct {
 	*peers.Peers
 }
 
-// NewPeerRouter ties a group of peers to a server that is made after it. The
-// hooks that need the server wait until Bind.
+// NewPeerRouter connects a group of peers to a Server that is created later. The
+// hooks that need the server wait until the returned function has been called.
 func NewPeerRouter(o peers.Options) (*PeerRouter, func(*Server)) {
 	var s *Server
 	bound := make(chan struct{})
@@ -30,15 +30,15 @@
 	r := new(PeerRouter)
 	o.ToGuard = func(g identity.Incarnation, f *wire.Frame) {
 		<-bound
-		r.toGuard(s, g, f)
+		r.sendToGuard(s, g, f)
 	}
 	o.OnGuardReady = func(g identity.Incarnation) {
 		<-bound
 		s.GuardReady(g)
 	}
 	o.Revision = func() int64 { <-bound; return s.config.Revision() }
-	o.Config = func() *wire.Config { <-bound; return s.config.ForPeers() }
-	o.OnConfig = func(c *wire.Config) { <-bound; s.config.FromPeer(c) }
+	o.Config = func() *wire.Config { <-bound; return s.config.SnapshotForPeers() }
+	o.OnConfig = func(c *wire.Config) { <-bound; s.config.ReceiveFromPeer(c) }
 	r.Peers = peers.New(o)
 	return r, func(server *Server) {
 		s = server
@@ -46,13 +46,14 @@
 	}
 }
 
-// toGuard sends a frame, but asks no guard about another member's job: a rival's
-// VM would learn its identity, and the guard was never sent any of its tasks. Its
-// answer is known without asking.
-func (r *PeerRouter) toGuard(s *Server, id identity.Incarnation, f *wire.Frame) {
+// sendToGuard sends a frame to a guard, except for a query about another member's
+// job: the guard's VM would learn the job's key. Such a guard was never sent any of
+// the job's tasks, so the query is answered here with an empty result.
+func (r *PeerRouter) sendToGuard(s *Server, id identity.Incarnation, f *wire.Frame) {
 	g := s.links.get(id)
 	if c := f.Collect; c != nil && g != nil && record.Owner(g.hello.Service) != c.Member {
-		// Aside, as this is called under the lock that the answer takes.
+		// In a goroutine, because the caller holds the lock that GuardCollected
+		// takes.
 		go r.GuardCollected(id, &wire.Collected{Member: c.Member, Key: c.Key})
 		return
 	}
@@ -65,7 +66,7 @@
 	if ok {
 		return owner, nil
 	}
-	// Nobody owns the birth; asking for permission says why.
+	// No entry owns keys of this creation time; MayStart returns the reason.
 	if err := r.MayStart(member, key); err != nil {
 		return "", err
 	}
@@ -88,22 +89,22 @@
 	return out
 }
 
-// Recover implements Router. The home that was tried may not be the key's final
-// owner, so the roster is asked again.
-func (r *PeerRouter) Recover(ctx context.Context, _ identity.Incarnation, member string, key identity.Key) *Recovered {
-	f := r.Peers.Recover(ctx, member, key)
-	if f.Verdict != recovery.Whole {
-		return &Recovered{Err: f.Err()}
+// Recover implements Router. It ignores the home that was tried, which may not be
+// the key's final owner, and looks the owner up again.
+func (r *PeerRouter) Recover(ctx context.Context, _ identity.Incarnation, member string, key identity.Key) *RecoveryResult {
+	finding := r.Peers.Recover(ctx, member, key)
+	if finding.Verdict != recovery.Whole {
+		return &RecoveryResult{Err: finding.Err()}
 	}
-	out := &Recovered{Results: make([]dispatch.TaskResult, len(f.Results))}
-	for i, res := range f.Results {
+	out := &RecoveryResult{Results: make([]dispatch.TaskResult, len(finding.Results))}
+	for i, res := range finding.Results {
 		out.Results[i] = dispatch.TaskResult{Status: res.Status, Body: res.Body}
 	}
 	return out
 }
 
-// FromGuard implements Router.
-func (r *PeerRouter) FromGuard(g identity.Incarnation, f *wire.Frame) {
+// ReceiveFromGuard implements Router.
+func (r *PeerRouter) ReceiveFromGuard(g identity.Incarnation, f *wire.Frame) {
 	switch {
 	case f.FenceReport != nil:
 		r.GuardReport(g, f.FenceReport)
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -12,76 +12,80 @@
 	"wigeontray/internal/wire"
 )
 
-// request is a caller's request about one job, after authentication.
+// request is an authenticated caller's request about one job.
 type request struct {
-	op     string // a wire.Op constant
+	op     string // one of the wire.Op constants
 	member string
 	key    identity.Key
 	wait   time.Duration
-	body   []byte // of a submission
+	body   []byte // body of a submission
 }
 
-// Router tells which entry owns an identity and reaches the others.
+// Router finds the entry that owns a job key, and forwards requests to other
+// entries.
 type Router interface {
-	// Owner gives the entry that alone may start key. The error is final for
-	// this request and says why nothing was started.
+	// Owner returns the only entry that may start key. An error is final for this
+	// request and says why nothing was started.
 	Owner(member string, key identity.Key) (identity.Incarnation, *errkind.Error)
-	// MayStart tells whether this entry may start key: nil for good, or a
-	// refusal that may be lifted later. It is asked before a job is admitted.
+	// MayStart returns nil if this entry may start key, or a refusal. A refusal may
+	// be lifted later, but a permission is permanent. MayStart must be called
+	// before a job is admitted.
 	MayStart(member string, key identity.Key) *errkind.Error
-	// Forward passes a request to its owner. It fails with HomeUnreachable
-	// when no answer came.
+	// Forward sends a request to the owner of its key. It fails with
+	// HomeUnreachable if there is no answer.
 	Forward(ctx context.Context, to identity.Incarnation, f *wire.Forward) (*wire.Forwarded, error)
-	// Recover answers for an owner that cannot be reached: what guards can prove.
-	Recover(ctx context.Context, home identity.Incarnation, member string, key identity.Key) *Recovered
-	// Entries lists the entries that guards should link to.
+	// Recover reconstructs the outcome of a job from the guards when the owner
+	// cannot be reached.
+	Recover(ctx context.Context, home identity.Incarnation, member string, key identity.Key) *RecoveryResult
+	// Entries returns the entries that guards should link to.
 	Entries() []wire.EntryAddr
-	// GuardUp notes a linked guard; Server.GuardReady follows once it may be
-	// used. GuardDown notes a lost link, and GuardLost that this entry will
-	// send nothing more to a guard unless it becomes ready anew.
+	// GuardUp reports that a guard has linked; Server.GuardReady is called once it
+	// may be used. GuardDown reports a lost link. GuardLost reports that this entry
+	// will send nothing more to a guard until GuardReady is called for it again.
 	GuardUp(g identity.Incarnation)
 	GuardDown(g identity.Incarnation)
 	GuardLost(g identity.Incarnation)
-	// FromGuard takes a FenceReport or Collected.
-	FromGuard(g identity.Incarnation, f *wire.Frame)
-	// Roster tells what is in force, for operators.
+	// ReceiveFromGuard handles a FenceReport or Collected frame.
+	ReceiveFromGuard(g identity.Incarnation, f *wire.Frame)
+	// Roster returns the current roster, for operators.
 	Roster() RosterStatus
 }
 
-// RosterStatus is the roster as an entry knows it.
+// RosterStatus is the roster as last seen by an entry.
 type RosterStatus struct {
 	Version int64                  `json:"version"`
 	Members []identity.Incarnation `json:"members"`
-	// HorizonMs is the birth below which plain identities may start now, in
-	// milliseconds of the Unix epoch.
+	// HorizonMs is the creation time below which keys without a home may be started
+	// now, in milliseconds since the Unix epoch.
 	HorizonMs int64 `json:"horizon_ms"`
-	// Linked are the entries with a link to this one.
+	// Linked lists the entries that have a link to this one.
 	Linked []identity.Incarnation `json:"linked"`
 }
 
-// Recovered is what could be proved about a job of an entry that is gone.
-type Recovered struct {
-	Results []dispatch.TaskResult // all of them, or nil
-	Err     *errkind.Error        // set when Results is nil
+// RecoveryResult is the outcome of a job of a lost entry, as far as guards can
+// prove it.
+type RecoveryResult struct {
+	Results []dispatch.TaskResult // of all tasks, or nil
+	Err     *errkind.Error        // set if Results is nil
 }
 
-// reply is what a caller gets.
+// reply is the response to a caller.
 type reply struct {
-	status int
-	body   []byte
-	after  time.Duration
-	kind   errkind.Kind
+	status     int
+	body       []byte
+	retryAfter time.Duration
+	kind       errkind.Kind
 }
 
-func answerReply(a *jobs.Answer) reply {
-	return reply{status: a.Kind.Answer().Status, body: a.Body, after: a.After, kind: a.Kind}
+func replyFromAnswer(a *jobs.Answer) reply {
+	return reply{status: a.Kind.Answer().Status, body: a.Body, retryAfter: a.After, kind: a.Kind}
 }
 
 func errorReply(key string, err *errkind.Error) reply {
-	return answerReply(failedAnswer(key, err, nil))
+	return replyFromAnswer(failedAnswer(key, err, nil))
 }
 
-// route answers a request here or at the entry that owns its identity.
+// route answers a request locally or forwards it to the entry that owns its key.
 func (s *Server) route(ctx context.Context, q *request) reply {
 	owner, err := s.router.Owner(q.member, q.key)
 	if err != nil {
@@ -93,91 +97,91 @@
 	return s.forward(ctx, owner, q)
 }
 
-// Bounds on waiting for another entry.
+// Timeouts for requests to other entries.
 const (
-	forwardMargin  = 500 * time.Millisecond // beyond the job's own deadline
+	forwardMargin  = 500 * time.Millisecond // added to the job's own deadline
 	recoverTimeout = 2 * time.Second
 )
 
-// forward passes the request on. The job's deadline bounds the wait: an owner
-// that is frozen answers nothing, and its link looks alive for a while. After a
-// failure nothing is known of the outcome, unless the owner is gone for good
-// and guards can tell.
+// forward sends the request to its owner. The wait is limited by the job's
+// deadline: an owner that hangs does not answer, but its link stays up for a while.
+// After a failure the outcome is unknown, unless the owner is lost for good and the
+// guards can report it.
 func (s *Server) forward(ctx context.Context, owner identity.Incarnation, q *request) reply {
-	bound, refusal := s.forwardBound(q)
+	timeout, refusal := s.forwardTimeout(q)
 	if refusal != nil {
 		return errorReply(q.key.Text, refusal)
 	}
 	s.metrics.Inc(telemetry.JobsForwarded)
-	f := &wire.Forward{Op: q.op, Member: q.member, Key: q.key.Text, LeftMs: bound.Milliseconds(), WaitMs: q.wait.Milliseconds(), Body: q.body}
-	sent, cancel := context.WithTimeout(ctx, bound)
+	f := &wire.Forward{Op: q.op, Member: q.member, Key: q.key.Text, LeftMs: timeout.Milliseconds(), WaitMs: q.wait.Milliseconds(), Body: q.body}
+	forwardCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	got, err := s.router.Forward(sent, owner, f)
+	resp, err := s.router.Forward(forwardCtx, owner, f)
 	if err == nil {
-		return reply{status: got.Status, body: got.Body, after: time.Duration(got.AfterMs) * time.Millisecond, kind: got.Kind}
+		return reply{status: resp.Status, body: resp.Body, retryAfter: time.Duration(resp.AfterMs) * time.Millisecond, kind: resp.Kind}
 	}
 	s.metrics.Retried(telemetry.RetryForward)
-	return s.recover(ctx, owner, q)
+	return s.recoverFromGuards(ctx, owner, q)
 }
 
-// forwardBound is how long the owner may take to answer.
-func (s *Server) forwardBound(q *request) (time.Duration, *errkind.Error) {
+// forwardTimeout returns how long the owner may take to answer.
+func (s *Server) forwardTimeout(q *request) (time.Duration, *errkind.Error) {
 	if q.op != wire.OpSubmit {
 		return min(q.wait, s.opts.MaxDeadline) + forwardMargin, nil
 	}
 	sub, err := parseSubmission(q.body)
 	if err != nil {
-		return 0, unrecorded(err)
+		return 0, withRanUnknown(err)
 	}
-	return s.deadline(sub, s.opts.MaxDeadline) + forwardMargin, nil
+	return s.jobTimeout(sub, s.opts.MaxDeadline) + forwardMargin, nil
 }
 
-// deadline is the time that a submission leaves for its answer. It is compared
-// in milliseconds, as a great number of them does not fit a Duration: the sum
-// would wrap and the job would seem to have expired long ago.
-func (s *Server) deadline(sub *submission, standard time.Duration) time.Duration {
+// jobTimeout returns the time that a submission allows for its answer. The limit is
+// applied in milliseconds, because a very large number of milliseconds overflows a
+// time.Duration, and the job would appear to have expired long ago.
+func (s *Server) jobTimeout(sub *submission, defaultTimeout time.Duration) time.Duration {
 	if sub.DeadlineMs == 0 {
-		return standard
+		return defaultTimeout
 	}
 	return time.Duration(min(sub.DeadlineMs, s.opts.MaxDeadline.Milliseconds())) * time.Millisecond
 }
 
-// recover answers for an owner that did not.
-func (s *Server) recover(ctx context.Context, owner identity.Incarnation, q *request) reply {
+// recoverFromGuards answers a request whose owner did not answer.
+func (s *Server) recoverFromGuards(ctx context.Context, owner identity.Incarnation, q *request) reply {
 	ctx, cancel := context.WithTimeout(ctx, recoverTimeout)
 	defer cancel()
-	found := s.router.Recover(ctx, owner, q.member, q.key)
-	if found.Results == nil {
-		return errorReply(q.key.Text, found.Err)
+	recovered := s.router.Recover(ctx, owner, q.member, q.key)
+	if recovered.Results == nil {
+		return errorReply(q.key.Text, recovered.Err)
 	}
-	o := &dispatch.Outcome{ID: dispatch.JobID{Member: q.member, Key: q.key.Text}, Results: found.Results}
-	return answerReply(outcomeAnswer(q.key.Text, o))
+	o := &dispatch.Outcome{ID: dispatch.JobID{Member: q.member, Key: q.key.Text}, Results: recovered.Results}
+	return replyFromAnswer(outcomeAnswer(q.key.Text, o))
 }
 
-// ServeForward answers a request that another entry passed on.
+// ServeForward answers a request that was forwarded by another entry.
 func (s *Server) ServeForward(ctx context.Context, f *wire.Forward) *wire.Forwarded {
 	key, err := identity.Parse(f.Key)
 	if err != nil {
-		return forwarded(f.ID, errorReply(f.Key, errkind.New(errkind.BadRequest, "%w", err)))
+		return newForwarded(f.ID, errorReply(f.Key, errkind.New(errkind.BadRequest, "%w", err)))
 	}
 	q := &request{op: f.Op, member: f.Member, key: key, wait: time.Duration(f.WaitMs) * time.Millisecond, body: f.Body}
 	owner, refusal := s.router.Owner(q.member, key)
 	switch {
 	case refusal != nil:
-		return forwarded(f.ID, errorReply(f.Key, refusal))
+		return newForwarded(f.ID, errorReply(f.Key, refusal))
 	case owner != s.id:
-		// The two entries hold different rosters for a moment. Passing the
-		// request on once more could go in a circle.
-		return forwarded(f.ID, errorReply(f.Key, errkind.New(errkind.HomeUnreachable, "the roster is changing").WithAfter(time.Second)))
+		// The two entries briefly have different roster versions. Forwarding the
+		// request again could create a loop.
+		return newForwarded(f.ID, errorReply(f.Key, errkind.New(errkind.HomeUnreachable, "the roster is changing").WithAfter(time.Second)))
 	}
-	return forwarded(f.ID, s.serveLocal(ctx, q))
+	return newForwarded(f.ID, s.serveLocal(ctx, q))
 }
 
-func forwarded(id uint64, r reply) *wire.Forwarded {
-	return &wire.Forwarded{ID: id, Status: r.status, Body: r.body, Kind: r.kind, AfterMs: r.after.Milliseconds()}
+func newForwarded(id uint64, r reply) *wire.Forwarded {
+	return &wire.Forwarded{ID: id, Status: r.status, Body: r.body, Kind: r.kind, AfterMs: r.retryAfter.Milliseconds()}
 }
 
-// serveLocal answers a request whose identity this entry owns.
+// serveLocal answers a request whose key this entry owns.
 func (s *Server) serveLocal(ctx context.Context, q *request) reply {
 	switch q.op {
 	case wire.OpSubmit:
@@ -194,37 +198,38 @@
 	sub, err := parseSubmission(q.body)
 	if err != nil {
 		s.metrics.Refused(err.Kind)
-		return errorReply(q.key.Text, unrecorded(err))
+		return errorReply(q.key.Text, withRanUnknown(err))
 	}
-	// A refusal here can be lifted later, so it leaves no record. A job that has
-	// a record was allowed before, and for good.
-	if !s.registry.Known(q.member, q.key) {
+	// This refusal can be lifted later, so it is not recorded. A job that already
+	// has a record was allowed before, and that permission is permanent.
+	if !s.registry.Contains(q.member, q.key) {
 		if err := s.router.MayStart(q.member, q.key); err != nil {
 			s.metrics.Refused(err.Kind)
 			return errorReply(q.key.Text, err)
 		}
 	}
-	rec, fresh, err := s.registry.Admit(time.Now(), q.member, q.key, sub.fingerprint())
+	rec, isNew, err := s.registry.Admit(time.Now(), q.member, q.key, sub.fingerprint())
 	if err != nil {
 		s.metrics.Refused(err.Kind)
 		return errorReply(q.key.Text, err)
 	}
 	defer rec.Release()
-	if fresh {
-		s.begin(q, sub, rec)
+	if isNew {
+		s.startJob(q, sub, rec)
 	} else {
 		s.metrics.Inc(telemetry.JobsResubmitted)
 	}
-	return s.await(ctx, q, rec)
+	return s.awaitAnswer(ctx, q, rec)
 }
 
-// begin hands a fresh job to its lane. A refusal becomes the record's answer,
-// so that it stays true: a copy of the request that was delayed on its way
-// gets the same refusal and is not run after the caller was told "not run".
-func (s *Server) begin(q *request, sub *submission, rec *jobs.Record) {
+// startJob submits a new job to the dispatcher of its service. A refusal is
+// recorded as the job's answer, so that it stays true: a delayed duplicate of the
+// request gets the same refusal, and is not run after the caller was told that the
+// job did not run.
+func (s *Server) startJob(q *request, sub *submission, rec *jobs.Record) {
 	service, spec, err := s.resolve(q, sub)
 	if err == nil {
-		err = s.lane(service).submit(spec, rec)
+		err = s.dispatcher(service).submit(spec, rec)
 	}
 	if err != nil {
 		s.metrics.Refused(err.Kind)
@@ -234,9 +239,10 @@
 	s.metrics.Inc(telemetry.JobsAccepted)
 }
 
-// resolve turns a submission into a dispatch spec by the configuration in force.
+// resolve returns the service and the dispatch.Spec of a submission under the
+// current configuration.
 func (s *Server) resolve(q *request, sub *submission) (service string, spec *dispatch.Spec, err *errkind.Error) {
-	if s.stopping.Load() {
+	if s.draining.Load() {
 		return "", nil, errkind.New(errkind.Draining, "this entry stops").WithAfter(time.Second)
 	}
 	service, limits, err := s.config.Resolve(q.member, sub)
@@ -253,28 +259,28 @@
 	return service, &dispatch.Spec{
 		ID:         dispatch.JobID{Member: q.member, Key: q.key.Text},
 		Team:       sub.Team,
-		Deadline:   time.Now().Add(s.deadline(sub, limits.Deadline)),
+		Deadline:   time.Now().Add(s.jobTimeout(sub, limits.Deadline)),
 		Tasks:      sub.bodies(),
 		DeclaredMs: declared,
 		Need:       overrideNeed(limits.Need, sub.need()),
 	}, nil
 }
 
-// await waits for a record's answer as long as the caller wants to.
-func (s *Server) await(ctx context.Context, q *request, rec *jobs.Record) reply {
+// awaitAnswer waits for a record's answer, for as long as the caller asked to wait.
+func (s *Server) awaitAnswer(ctx context.Context, q *request, rec *jobs.Record) reply {
 	select {
 	case <-rec.Done():
 	default:
-		patience := time.NewTimer(q.wait)
-		defer patience.Stop()
+		timer := time.NewTimer(q.wait)
+		defer timer.Stop()
 		select {
 		case <-rec.Done():
-		case <-patience.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
 	if a := rec.Answer(); a != nil {
-		return answerReply(heldAnswer(q.key.Text, a))
+		return replyFromAnswer(answerWithBody(q.key.Text, a))
 	}
 	return reply{status: statusRunning, body: runningBody(q.key.Text)}
 }
@@ -285,10 +291,10 @@
 		return errorReply(q.key.Text, err)
 	}
 	defer rec.Release()
-	return s.await(ctx, q, rec)
+	return s.awaitAnswer(ctx, q, rec)
 }
 
-// cancel withdraws a job and answers with its outcome, which comes at once.
+// cancel cancels a job and answers with its outcome, which is available at once.
 func (s *Server) cancel(ctx context.Context, q *request) reply {
 	rec, err := s.registry.Find(time.Now(), q.member, q.key)
 	if err != nil {
@@ -297,19 +303,19 @@
 	defer rec.Release()
 	if rec.Answer() == nil {
 		id := dispatch.JobID{Member: q.member, Key: q.key.Text}
-		s.eachLane(func(l *lane) { l.cancel(id) })
+		s.forEachDispatcher(func(d *dispatcher) { d.cancel(id) })
 	}
-	return s.await(ctx, q, rec)
+	return s.awaitAnswer(ctx, q, rec)
 }
 
-// finish renders an outcome and wakes its callers.
-func (s *Server) finish(now time.Time, rec *jobs.Record, o *dispatch.Outcome) {
-	s.count(o)
+// finishJob records the answer of a job, which wakes the waiting requests.
+func (s *Server) finishJob(now time.Time, rec *jobs.Record, o *dispatch.Outcome) {
+	s.countOutcome(o)
 	s.registry.Finish(now, rec, outcomeAnswer(rec.Key.Text, o))
 }
 
-// count adds an outcome to the counters.
-func (s *Server) count(o *dispatch.Outcome) {
+// countOutcome updates the metrics for an outcome.
+func (s *Server) countOutcome(o *dispatch.Outcome) {
 	switch {
 	case o.Err == nil:
 		s.metrics.Inc(telemetry.JobsAnswered)
--- a/internal/entry/share.go
+++ b/internal/entry/share.go
@@ -8,84 +8,88 @@
 	"wigeontray/internal/errkind"
 )
 
-// share is what one member's open requests hold of an entry. Connections and
-// memory are common to all members: without a bound on each, one member's flood
-// of waiting requests takes them, and the callers of a rival wait in the listen
-// queue or the process is ended for its memory.
-type share struct {
+// memberUsage counts what one member's open requests use. Connections and memory
+// are shared by all members. Without a limit per member, a burst of waiting
+// requests from one member would exhaust them, and other members' callers would be
+// stuck in the listen queue, or the process would be killed for its memory use.
+type memberUsage struct {
 	mu       sync.Mutex
 	requests int
-	bytes    int64 // of bodies
+	bytes    int64 // total size of the bodies
 }
 
-// retryShare is when a request that was over its member's share may come back.
-const retryShare = time.Second
+// usageRetryDelay is how long a request that exceeds its member's limit should wait
+// before a retry.
+const usageRetryDelay = time.Second
 
-// take claims a request with its body; false if the member's share is used up.
-// The first body is let in whatever its size, or none of that size ever would be.
-func (h *share) take(bytes int64, maxRequests int, maxBytes int64) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.requests >= maxRequests || h.bytes > 0 && h.bytes+bytes > maxBytes {
+// tryAcquire reserves capacity for a request with its body. It returns false if the
+// member's limit is reached. A member without any open body may send one of any
+// size, because a body larger than the limit could otherwise never be accepted.
+func (u *memberUsage) tryAcquire(bytes int64, maxRequests int, maxBytes int64) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.requests >= maxRequests || u.bytes > 0 && u.bytes+bytes > maxBytes {
 		return false
 	}
-	h.requests++
-	h.bytes += bytes
+	u.requests++
+	u.bytes += bytes
 	return true
 }
 
-func (h *share) release(bytes int64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.requests--
-	h.bytes -= bytes
+func (u *memberUsage) release(bytes int64) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.requests--
+	u.bytes -= bytes
 }
 
-// shares holds a share for each member. Members are authenticated, so callers
-// cannot fill the table with names.
-type shares struct{ byMember sync.Map }
+// usageTable holds the usage of each member. Members are authenticated, so callers
+// cannot grow the table with invented names.
+type usageTable struct{ byMember sync.Map }
 
-func (t *shares) of(member string) *share {
-	if h, ok := t.byMember.Load(member); ok {
-		return h.(*share)
+func (t *usageTable) forMember(member string) *memberUsage {
+	if u, ok := t.byMember.Load(member); ok {
+		return u.(*memberUsage)
 	}
-	h, _ := t.byMember.LoadOrStore(member, new(share))
-	return h.(*share)
+	u, _ := t.byMember.LoadOrStore(member, new(memberUsage))
+	return u.(*memberUsage)
 }
 
-// claim takes a request's part of its member's share until release is called.
-func (s *Server) claim(member string, r *http.Request) (release func(), err *errkind.Error) {
+// acquireRequest reserves capacity for a request under its member's limit, until
+// release is called.
+func (s *Server) acquireRequest(member string, r *http.Request) (release func(), err *errkind.Error) {
 	bytes := min(r.ContentLength, s.opts.MaxBody)
 	if bytes < 0 {
-		bytes = s.opts.MaxBody // its length is not told
+		bytes = s.opts.MaxBody // the length is not declared
 	}
-	h := s.open.of(member)
-	if !h.take(bytes, s.opts.OpenRequests, s.opts.OpenBytes) {
+	u := s.requestUsage.forMember(member)
+	if !u.tryAcquire(bytes, s.opts.OpenRequests, s.opts.OpenBytes) {
 		return nil, errkind.New(errkind.TooManyJobs, "the open requests of %s exceed %d, or their bodies %d bytes, at this entry",
-			member, s.opts.OpenRequests, s.opts.OpenBytes).WithAfter(retryShare)
+			member, s.opts.OpenRequests, s.opts.OpenBytes).WithAfter(usageRetryDelay)
 	}
-	return func() { h.release(bytes) }, nil
+	return func() { u.release(bytes) }, nil
 }
 
-// maxAmendments is how many amendments of one member may be under way at an
-// entry. Each takes calls of the store, whose rate the entry bounds for all: a
-// member that amends in a loop would hold up the renewal of the entry's lease,
-// and the others would declare the entry gone.
-const maxAmendments = 4
+// maxRecordWrites limits the concurrent record writes of one member at an entry.
+// Each write makes calls to the store, and the entry limits the total rate of these
+// calls. A member that writes in a loop would delay the renewal of the entry's
+// lease, and the other entries would declare the entry lost.
+const maxRecordWrites = 4
 
-// serveRecords serves the record API within the member's share. A request of no
-// member is the consortium's operator's, or is refused there.
+// serveRecords serves the record API and limits the writes of each member. A
+// request without a member's token comes from the consortium's operator, or is
+// refused by the handler.
 func (s *Server) serveRecords(w http.ResponseWriter, r *http.Request) {
 	member, err := s.Authenticate(r)
 	if err != nil || r.Method == http.MethodGet || r.Method == http.MethodHead {
 		s.opts.Records.ServeHTTP(w, r)
 		return
 	}
-	h := s.amending.of(member)
-	if !h.take(0, maxAmendments, 0) {
-		s.refuse(w, "", errkind.New(errkind.TooManyJobs, "more than %d amendments of %s are under way", maxAmendments, member).WithAfter(retryShare))
+	u := s.recordWriteUsage.forMember(member)
+	if !u.tryAcquire(0, maxRecordWrites, 0) {
+		s.refuse(w, "", errkind.New(errkind.TooManyJobs, "more than %d amendments of %s are under way", maxRecordWrites, member).WithAfter(usageRetryDelay))
 		return
 	}
-	defer h.release(0)
+	defer u.release(0)
 	s.opts.Records.ServeHTTP(w, r)
 }
--- a/internal/entry/share_test.go
+++ b/internal/entry/share_test.go
@@ -12,86 +12,87 @@
 	"wigeontray/internal/errkind"
 )
 
-// A fault in one member's kiosks has them ask over and over and wait. Without a
-// bound they would take every connection of the entry, and the rival's Race
-// Officer would wait for his gust brief until they give up.
-func TestFloodOfOneMember(t *testing.T) {
+// Protects against one member taking every connection of the entry with waiting
+// requests, for example because of a faulty client that retries without end: other
+// members must be served without delay.
+func TestOpenRequestsAreLimitedPerMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		rival := b.guardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
-		key := b.ticket()
-		first := b.post("ayni", key, booking)
-		st := b.next(g).Start
-		for range benchRequests - 1 {
-			b.post("ayni", key, booking)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		other := e.linkGuardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
+		key := e.newTicket()
+		first := e.submit("ayni", key, testSubmission)
+		st := e.recvFrame(g).Start
+		for range testMaxOpenRequests - 1 {
+			e.submit("ayni", key, testSubmission)
 		}
 		for range 100 {
-			refusal := b.refused(<-b.post("ayni", b.ticket(), booking), errkind.TooManyJobs)
-			b.Assert(refusal.Ran, qt.Equals, "unknown")
-			b.Assert(refusal.AfterMs, qt.Equals, retryShare.Milliseconds())
+			refusal := e.assertRefused(<-e.submit("ayni", e.newTicket(), testSubmission), errkind.TooManyJobs)
+			e.Assert(refusal.Ran, qt.Equals, "unknown")
+			e.Assert(refusal.RetryAfterMs, qt.Equals, usageRetryDelay.Milliseconds())
 		}
-		began := time.Now()
-		brief := b.post("leeuwin", b.ticket(), `{"service":"clubcast","tasks":[1]}`)
-		b.ok(rival, b.next(rival).Start, `1`)
-		b.Assert((<-brief).Code, qt.Equals, http.StatusOK)
-		b.Assert(time.Since(began), qt.Equals, time.Duration(0))
-		b.ok(g, st, `1`)
-		b.Assert((<-first).Code, qt.Equals, http.StatusOK)
-		synctest.Wait() // the others have been answered too
-		again := b.post("ayni", b.ticket(), booking)
-		b.ok(g, b.next(g).Start, `1`)
-		b.Assert((<-again).Code, qt.Equals, http.StatusOK)
+		startTime := time.Now()
+		otherAnswer := e.submit("leeuwin", e.newTicket(), `{"service":"clubcast","tasks":[1]}`)
+		e.sendResult(other, e.recvFrame(other).Start, `1`)
+		e.Assert((<-otherAnswer).Code, qt.Equals, http.StatusOK)
+		e.Assert(time.Since(startTime), qt.Equals, time.Duration(0))
+		e.sendResult(g, st, `1`)
+		e.Assert((<-first).Code, qt.Equals, http.StatusOK)
+		synctest.Wait() // the other waiting requests are answered as well
+		next := e.submit("ayni", e.newTicket(), testSubmission)
+		e.sendResult(g, e.recvFrame(g).Start, `1`)
+		e.Assert((<-next).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// A member's callers send great bodies all at once. Together they would take the
-// entry's memory, and its end would be the end of everybody's requests. One body
-// alone is served whatever its size.
-func TestFloodOfBodies(t *testing.T) {
+// Protects against one member taking all of the entry's memory with large
+// concurrent bodies: if the process were killed, the requests of all members would
+// be lost. A single body is accepted whatever its size.
+func TestOpenBodyBytesAreLimitedPerMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.s.opts.OpenBytes = 1 << 10
-		g := b.guard("guard-1", 8)
-		great := `{"service":"reserva","tasks":["` + strings.Repeat("x", 2<<10) + `"]}`
-		first := b.post("ayni", b.ticket(), great)
-		st := b.next(g).Start
-		b.refused(<-b.post("ayni", b.ticket(), great), errkind.TooManyJobs)
-		chunked := b.request("ayni", "POST", "/v1/jobs", b.ticket(), booking)
+		e := newTestEntry(t)
+		e.server.opts.OpenBytes = 1 << 10
+		g := e.linkGuard("guard-1", 8)
+		large := `{"service":"reserva","tasks":["` + strings.Repeat("x", 2<<10) + `"]}`
+		first := e.submit("ayni", e.newTicket(), large)
+		st := e.recvFrame(g).Start
+		e.assertRefused(<-e.submit("ayni", e.newTicket(), large), errkind.TooManyJobs)
+		chunked := e.newRequest("ayni", "POST", "/v1/jobs", e.newTicket(), testSubmission)
 		chunked.ContentLength = -1
-		b.refused(b.do(chunked), errkind.TooManyJobs)
-		b.ok(g, st, `1`)
-		b.Assert((<-first).Code, qt.Equals, http.StatusOK)
-		second := b.post("ayni", b.ticket(), great)
-		b.ok(g, b.next(g).Start, `1`)
-		b.Assert((<-second).Code, qt.Equals, http.StatusOK)
+		e.assertRefused(e.serve(chunked), errkind.TooManyJobs)
+		e.sendResult(g, st, `1`)
+		e.Assert((<-first).Code, qt.Equals, http.StatusOK)
+		second := e.submit("ayni", e.newTicket(), large)
+		e.sendResult(g, e.recvFrame(g).Start, `1`)
+		e.Assert((<-second).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// A member's script amends records in a loop without waiting. The store's rate is
-// shared, so the rival's amendment and the entry's own lease would wait behind it.
-func TestFloodOfAmendments(t *testing.T) {
+// Protects against one member using up the entry's shared rate of store calls with
+// a loop of record writes: other members' writes and the renewal of the entry's
+// lease would be delayed.
+func TestRecordWritesAreLimitedPerMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		held := make(chan struct{})
-		b.s.opts.Records = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		e := newTestEntry(t)
+		release := make(chan struct{})
+		e.server.opts.Records = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPut && r.Header.Get("Authorization") == "Bearer ayni" {
-				<-held
+				<-release
 			}
 		})
-		b.handler = b.s.Handler()
+		e.handler = e.server.Handler()
 		const path = "/v1/records/service/ayni/reserva"
-		for range maxAmendments {
-			go b.do(b.request("ayni", "PUT", path, "", "{}"))
+		for range maxRecordWrites {
+			go e.serve(e.newRequest("ayni", "PUT", path, "", "{}"))
 		}
 		synctest.Wait()
-		b.refused(b.do(b.request("ayni", "PUT", path, "", "{}")), errkind.TooManyJobs)
-		b.refused(b.do(b.request("ayni", "DELETE", path, "", "")), errkind.TooManyJobs)
-		b.Assert(b.do(b.request("ayni", "GET", path, "", "")).Code, qt.Equals, http.StatusOK)
-		b.Assert(b.do(b.request("leeuwin", "PUT", path, "", "{}")).Code, qt.Equals, http.StatusOK)
-		b.Assert(b.do(b.request("consortium", "PUT", path, "", "{}")).Code, qt.Equals, http.StatusOK)
-		close(held)
+		e.assertRefused(e.serve(e.newRequest("ayni", "PUT", path, "", "{}")), errkind.TooManyJobs)
+		e.assertRefused(e.serve(e.newRequest("ayni", "DELETE", path, "", "")), errkind.TooManyJobs)
+		e.Assert(e.serve(e.newRequest("ayni", "GET", path, "", "")).Code, qt.Equals, http.StatusOK)
+		e.Assert(e.serve(e.newRequest("leeuwin", "PUT", path, "", "{}")).Code, qt.Equals, http.StatusOK)
+		e.Assert(e.serve(e.newRequest("consortium", "PUT", path, "", "{}")).Code, qt.Equals, http.StatusOK)
+		close(release)
 		synctest.Wait()
-		b.Assert(b.do(b.request("ayni", "PUT", path, "", "{}")).Code, qt.Equals, http.StatusOK)
+		e.Assert(e.serve(e.newRequest("ayni", "PUT", path, "", "{}")).Code, qt.Equals, http.StatusOK)
 	})
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -9,24 +9,24 @@
 	"wigeontray/internal/identity"
 )
 
-// statusBody answers GET /v1/status.
+// statusBody is the response body of GET /v1/status.
 type statusBody struct {
-	Entry    identity.Incarnation `json:"entry"`
-	Software string               `json:"software"`
-	Ready    bool                 `json:"ready"`
-	Revision int64                `json:"revision"`
-	Behind   int                  `json:"guards_behind"` // guards that have not confirmed the revision
-	Open     int                  `json:"jobs_open"`
-	Held     int                  `json:"jobs_held"`
-	Roster   RosterStatus         `json:"roster"`
-	Services []serviceStatus      `json:"services"`
-	Refusals map[string]int64     `json:"refusals"`
+	Entry        identity.Incarnation `json:"entry"`
+	Software     string               `json:"software"`
+	Ready        bool                 `json:"ready"`
+	Revision     int64                `json:"revision"`
+	GuardsBehind int                  `json:"guards_behind"` // guards that have not acknowledged the revision sent to them
+	JobsOpen     int                  `json:"jobs_open"`
+	JobsHeld     int                  `json:"jobs_held"`
+	Roster       RosterStatus         `json:"roster"`
+	Services     []serviceStatus      `json:"services"`
+	Refusals     map[string]int64     `json:"refusals"`
 }
 
 type serviceStatus struct {
-	Service string        `json:"service"`
-	Jobs    int           `json:"jobs_open"`
-	Guards  []guardStatus `json:"guards"`
+	Service  string        `json:"service"`
+	JobsOpen int           `json:"jobs_open"`
+	Guards   []guardStatus `json:"guards"`
 }
 
 type guardStatus struct {
@@ -37,8 +37,8 @@
 	Slots  int                  `json:"slots"`
 }
 
-// AdminHandler serves the listener that operators and scrapers reach: health,
-// readiness, counters and status.
+// AdminHandler serves the API for operators and scrapers: health, readiness,
+// metrics and status.
 func (s *Server) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -70,10 +70,10 @@
 	held, open := s.registry.Count()
 	b := &statusBody{
 		Entry: s.id, Software: s.opts.Software, Ready: s.Ready(), Revision: revision,
-		Behind: s.links.behind(), Open: open, Held: held, Roster: s.router.Roster(),
+		GuardsBehind: s.links.countBehind(), JobsOpen: open, JobsHeld: held, Roster: s.router.Roster(),
 		Services: []serviceStatus{}, Refusals: make(map[string]int64),
 	}
-	s.eachLane(func(l *lane) { b.Services = append(b.Services, l.status()) })
+	s.forEachDispatcher(func(d *dispatcher) { b.Services = append(b.Services, d.status()) })
 	for _, k := range errkind.All() {
 		if n := s.metrics.Refusals(k); n > 0 {
 			b.Refusals[k.String()] = n
@@ -82,9 +82,9 @@
 	return b
 }
 
-func (l *lane) status() serviceStatus {
-	st := serviceStatus{Service: l.service, Jobs: l.jobs(), Guards: []guardStatus{}}
-	for _, h := range l.guards() {
+func (d *dispatcher) status() serviceStatus {
+	st := serviceStatus{Service: d.service, JobsOpen: d.jobCount(), Guards: []guardStatus{}}
+	for _, h := range d.guardHellos() {
 		st.Guards = append(st.Guards, guardStatus{Guard: h.Incarnation, Worker: h.Worker, Rack: h.Rack, Domain: h.Domain, Slots: h.Slots})
 	}
 	return st
--- a/internal/entry/submission.go
+++ b/internal/entry/submission.go
@@ -18,31 +18,35 @@
 	"wigeontray/internal/jobs"
 )
 
-// MaxTasks is the greatest number of tasks in a job (letter 1).
+// MaxTasks is the largest number of tasks in a job, as given by the product's
+// requirements.
 const MaxTasks = 500
 
-// Bounds on fields of a submission.
+// Limits on fields of a submission.
 const (
-	maxNameLen    = 128       // bytes of a name; records' names are shorter
-	maxDeclaredMs = 3_600_000 // as in records; a longer estimate counts as this
+	maxNameBytes  = 128       // in bytes; names in records are shorter
+	maxDeclaredMs = 3_600_000 // the same limit as in records; a longer estimate is reduced to it
 )
 
-// submission is the body of POST /v1/jobs.
+// submission is the request body of POST /v1/jobs.
 type submission struct {
-	// Service is the member's service; Job, in its place, a declared kind of job.
+	// Either Service names a service of the member, or Job names a declared kind of
+	// job.
 	Service string `json:"service"`
 	Job     string `json:"job"`
 	Team    string `json:"team"`
-	// DeadlineMs is the time left for the whole answer, in milliseconds.
+	// DeadlineMs is the time allowed for the complete answer, in milliseconds.
 	DeadlineMs int64 `json:"deadline_ms"`
+	// DeclaredMs is the caller's estimate of a task's run time, in milliseconds.
 	DeclaredMs int64 `json:"declared_ms"`
-	// Need of each task; 0 leaves what the records say.
+	// Resources that each task needs; 0 uses the value from the records.
 	Accelerators int               `json:"accelerators"`
 	MemoryMB     int               `json:"memory_mb"`
 	Tasks        []json.RawMessage `json:"tasks"`
 }
 
-// parseSubmission reads and checks what can be checked without configuration.
+// parseSubmission decodes a submission and makes the checks that do not depend on
+// the configuration.
 func parseSubmission(body []byte) (*submission, *errkind.Error) {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -54,10 +58,10 @@
 		return nil, errkind.New(errkind.BadRequest, "body: more than one value")
 	}
 	switch {
-	case max(len(s.Service), len(s.Job), len(s.Team)) > maxNameLen:
-		// Refusals repeat the name and are held for resubmissions: names of
-		// megabytes would push the member's other answers out of memory.
-		return nil, errkind.New(errkind.BadRequest, "a name is longer than %d bytes", maxNameLen)
+	case max(len(s.Service), len(s.Job), len(s.Team)) > maxNameBytes:
+		// Refusals repeat the name and are kept for resubmissions: names of
+		// megabytes would evict the member's other answers from memory.
+		return nil, errkind.New(errkind.BadRequest, "a name is longer than %d bytes", maxNameBytes)
 	case (s.Service == "") == (s.Job == ""):
 		return nil, errkind.New(errkind.BadRequest, "want either service or job")
 	case len(s.Tasks) == 0:
@@ -72,26 +76,26 @@
 	return s, nil
 }
 
-// fingerprint digests what is asked for. The deadline is left out: it shrinks
-// from one submission of the same job to the next.
+// fingerprint returns a digest of the requested work. The deadline is not included,
+// because it decreases with each resubmission of the same job.
 func (s *submission) fingerprint() jobs.Fingerprint {
 	h := sha256.New()
-	field := func(b []byte) {
+	writeField := func(b []byte) {
 		var n [8]byte
 		binary.BigEndian.PutUint64(n[:], uint64(len(b)))
 		h.Write(n[:])
 		h.Write(b)
 	}
-	field([]byte(s.Service))
-	field([]byte(s.Job))
-	field([]byte(s.Team))
+	writeField([]byte(s.Service))
+	writeField([]byte(s.Job))
+	writeField([]byte(s.Team))
 	if need := s.need(); need != (dispatch.Need{}) {
-		// Left out where there is none, so that entries of the version before
-		// digest the same request alike.
-		field(fmt.Appendf(nil, "need %d %d", need.Accelerators, need.MemoryMB))
+		// Omitted if empty, so that entries of the previous version compute the
+		// same digest for the same request.
+		writeField(fmt.Appendf(nil, "need %d %d", need.Accelerators, need.MemoryMB))
 	}
 	for _, t := range s.Tasks {
-		field(t)
+		writeField(t)
 	}
 	return jobs.Fingerprint(h.Sum(nil)[:16])
 }
@@ -108,7 +112,7 @@
 	return out
 }
 
-// readBody reads at most limit bytes of a request.
+// readBody reads a request body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *errkind.Error) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -121,17 +125,19 @@
 	return b, nil
 }
 
-// waitForever stands for no bound; jobs have deadlines of their own.
-const waitForever = time.Hour
+// maxWait is used when the caller sets no limit on the wait; jobs end earlier by
+// their own deadlines.
+const maxWait = time.Hour
 
-// preference reads the Prefer header (RFC 7240): how long the caller wants to
-// wait for the answer. Without one it waits until the job is finished. With both
-// preferences it waits for the time given, and is then told that the job runs.
-func preference(r *http.Request) time.Duration {
-	wait := waitForever
+// parsePrefer reads the Prefer header (RFC 7240) and returns how long the caller
+// wants to wait for the answer. Without a preference, the request waits until the
+// job is finished. If both respond-async and wait are given, it waits for the given
+// time and is then answered that the job is running.
+func parsePrefer(r *http.Request) time.Duration {
+	wait := maxWait
 	for _, field := range r.Header.Values("Prefer") {
 		for _, p := range strings.Split(field, ",") {
-			p, _, _ = strings.Cut(p, ";") // parameters of a preference
+			p, _, _ = strings.Cut(p, ";") // drop the parameters of the preference
 			name, value, _ := strings.Cut(strings.TrimSpace(p), "=")
 			switch strings.ToLower(strings.TrimSpace(name)) {
 			case "respond-async":
@@ -146,14 +152,14 @@
 	return wait
 }
 
-// parseWait reads the seconds of a wait. What is no number is passed over, as
-// the RFC wants; more than the greatest one means no bound.
+// parseWait parses the seconds of a wait preference. A value that is not a number
+// is ignored, as the RFC requires; a number that is too large means no limit.
 func parseWait(value string) (time.Duration, bool) {
-	const bits = 12 // up to 4095 s
-	s, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(value), `"`), 10, bits)
+	const bitSize = 12 // up to 4095 s
+	s, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(value), `"`), 10, bitSize)
 	switch {
 	case errors.Is(err, strconv.ErrRange):
-		return waitForever, true
+		return maxWait, true
 	case err != nil:
 		return 0, false
 	}
--- a/internal/entry/verify.go
+++ b/internal/entry/verify.go
@@ -11,111 +11,113 @@
 	"wigeontray/internal/wire"
 )
 
-// verdict is what the configuration in force says of a guard's key.
-type verdict uint8
+// keyStatus is the result of checking a guard's key against the current
+// configuration.
+type keyStatus uint8
 
 const (
-	unverified verdict = iota // no configuration is in force
-	verified
-	rejected
+	keyUnverified keyStatus = iota // no configuration has been applied yet
+	keyVerified
+	keyRejected
 )
 
 var errWrongKey = errors.New("the key is not one of the member's guard keys")
 
-// greetedTable knows every link that has sent its Hello, verified or not.
-type greetedTable struct {
-	// mu serialises verdicts with their consequences and with the ends of links:
-	// otherwise a link that was verified against an older configuration could be
-	// put to use after a newer one has rejected it. It is taken before announceMu.
+// openLinkSet holds every link that has sent its Hello, verified or not.
+type openLinkSet struct {
+	// mu serialises the checks of keys, the actions that follow from them and the
+	// removal of links. Otherwise a link that was verified against an older
+	// configuration could be activated after a newer one has rejected it. Lock
+	// order: mu, then announceMu.
 	mu    sync.Mutex
 	links map[*guardLink]struct{}
 }
 
-// verdict judges the key with which a link was opened. A guard is handed the
-// tasks of the member that it names, so it has to hold a key of that member: a
-// rival's operator, who holds a key of his own member, could otherwise announce
-// an upstream for another member's service and read its requests. A member that
-// lists no key takes the fleet's.
-func (s *Server) verdict(g *guardLink) verdict {
-	// The revision comes first: read the other way round, no keys of no
-	// configuration could be taken for a record that lists none.
+// keyStatus checks the key with which a link was opened. A guard receives the tasks
+// of the member that it names, so it must hold a key of that member. Otherwise an
+// operator with a key of one member could announce an upstream for another member's
+// service and read its requests. For a member without guard keys, the fleet key is
+// accepted.
+func (s *Server) keyStatus(g *guardLink) keyStatus {
+	// The revision is read first. In the opposite order, the missing keys of a
+	// missing configuration could be mistaken for a record without keys.
 	if s.config.Revision() == 0 {
-		return unverified
+		return keyUnverified
 	}
 	keys, known := s.config.GuardKeys(record.Owner(g.hello.Service))
 	switch {
-	case !known && g.lane.Load() != nil:
-		// The member was deleted. Nothing new is sent to the guard, and what it
-		// runs finishes.
-		return verified
+	case !known && g.dispatcher.Load() != nil:
+		// The member was deleted. The guard receives nothing new, and finishes its
+		// running tasks.
+		return keyVerified
 	case len(keys) == 0:
 		keys = []record.TokenHash{record.HashToken(s.opts.FleetKey)}
 	}
-	if oneOf(keys, g.key) {
-		return verified
+	if containsKey(keys, g.keyHash) {
+		return keyVerified
 	}
-	return rejected
+	return keyRejected
 }
 
-// oneOf compares with every key in constant time, so that a key cannot be found
-// byte by byte from how long a refusal takes.
-func oneOf(keys []record.TokenHash, key [sha256.Size]byte) bool {
-	found := 0
+// containsKey compares with every key in constant time, so that a key cannot be
+// guessed byte by byte from the time that a refusal takes.
+func containsKey(keys []record.TokenHash, key [sha256.Size]byte) bool {
+	matches := 0
 	for _, k := range keys {
-		found |= subtle.ConstantTimeCompare(k[:], key[:])
+		matches |= subtle.ConstantTimeCompare(k[:], key[:])
 	}
-	return found == 1
+	return matches == 1
 }
 
-// verify acts on the verdict: a verified link is put to use, a rejected one
-// closed. An unverified one stays: an entry that starts while the store is down
-// has no other way to a configuration than guards that it cannot judge yet. It
-// tells whether this call put the link to use.
-func (s *Server) verify(g *guardLink) bool {
-	s.greeted.mu.Lock()
-	defer s.greeted.mu.Unlock()
-	if _, ok := s.greeted.links[g]; !ok {
+// verifyLink checks the key of a link and acts on the result: a verified link is
+// activated, a rejected one closed. An unverified link stays open, because an entry
+// that starts while the store is down can get its configuration only from guards
+// that it cannot verify yet. It reports whether this call has activated the link.
+func (s *Server) verifyLink(g *guardLink) bool {
+	s.openLinks.mu.Lock()
+	defer s.openLinks.mu.Unlock()
+	if _, ok := s.openLinks.links[g]; !ok {
 		return false
 	}
-	v := s.verdict(g)
-	if v == rejected {
-		s.reject(g)
+	status := s.keyStatus(g)
+	if status == keyRejected {
+		s.rejectLink(g)
 	}
-	if v != verified || g.lane.Load() != nil {
+	if status != keyVerified || g.dispatcher.Load() != nil {
 		return false
 	}
-	return s.enlist(g)
+	return s.activateLink(g)
 }
 
-// reject closes a link. The tasks that it carries are in doubt, as after any
-// lost link.
-func (s *Server) reject(g *guardLink) {
-	c := telemetry.LinksRefused
-	if g.lane.Load() != nil {
-		c = telemetry.LinksRevoked
+// rejectLink closes a link. The state of the tasks in flight on it is unknown, as
+// after any lost link.
+func (s *Server) rejectLink(g *guardLink) {
+	counter := telemetry.LinksRefused
+	if g.dispatcher.Load() != nil {
+		counter = telemetry.LinksRevoked
 	}
-	s.metrics.Inc(c)
+	s.metrics.Inc(counter)
 	s.log.Warn("guard refused", "guard", g.hello.Incarnation, "service", g.hello.Service, "err", errWrongKey)
-	delete(s.greeted.links, g)
+	delete(s.openLinks.links, g)
 	g.link.Close(errWrongKey.Error())
 }
 
-// verifyAll judges every link again after a change of the configuration.
-func (s *Server) verifyAll() {
-	for _, g := range s.greeted.all() {
-		if s.verify(g) {
-			s.shareOnLink(g)
+// reverifyLinks checks every link again after a change of the configuration.
+func (s *Server) reverifyLinks() {
+	for _, g := range s.openLinks.all() {
+		if s.verifyLink(g) {
+			s.sendConfigOnLink(g)
 		}
 	}
 }
 
-func (t *greetedTable) add(g *guardLink) {
+func (t *openLinkSet) add(g *guardLink) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.links[g] = struct{}{}
 }
 
-func (t *greetedTable) all() []*guardLink {
+func (t *openLinkSet) all() []*guardLink {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]*guardLink, 0, len(t.links))
@@ -125,14 +127,15 @@
 	return out
 }
 
-// fromUnverified takes what a link may carry before its key is verified: the
-// sealed configuration, which proves itself, and the guard's load.
-func (s *Server) fromUnverified(g *guardLink, f *wire.Frame) {
+// handleUnverifiedFrame handles the frames that are allowed before the key is
+// verified: the sealed configuration, which is authenticated by its seal, and the
+// guard's own state.
+func (s *Server) handleUnverifiedFrame(g *guardLink, f *wire.Frame) {
 	switch {
 	case f.Config != nil:
-		s.config.FromGuard(f.Config)
+		s.config.ReceiveFromGuard(f.Config)
 	case f.Load != nil, f.ConfigAck != nil:
-		s.noteHello(g, f)
+		s.handleUnverifiedUpdate(g, f)
 	case f.Goodbye != nil:
 		g.link.Close("goodbye")
 	default:
@@ -140,16 +143,16 @@
 	}
 }
 
-// noteHello keeps what changed since the Hello, for the moment at which the link
-// is put to use.
-func (s *Server) noteHello(g *guardLink, f *wire.Frame) {
-	s.greeted.mu.Lock()
-	defer s.greeted.mu.Unlock()
-	if l := g.lane.Load(); l != nil { // verified meanwhile: the hello is in use
-		l.receive(g, f)
+// handleUnverifiedUpdate applies changes of the guard's state to its Hello, to be
+// used when the link is activated.
+func (s *Server) handleUnverifiedUpdate(g *guardLink, f *wire.Frame) {
+	s.openLinks.mu.Lock()
+	defer s.openLinks.mu.Unlock()
+	if d := g.dispatcher.Load(); d != nil { // verified in the meantime; the Hello is already in use
+		d.handleFrame(g, f)
 		return
 	}
-	g.note(f)
+	g.updateHello(f)
 	if f.ConfigAck != nil {
 		g.hello.Revision = max(g.hello.Revision, f.ConfigAck.Revision)
 	}
