--- a/internal/entry/verify_test.go
+++ b/internal/entry/verify_test.go
@@ -13,7 +13,7 @@
 	"wigeontray/internal/wire"
 )
 
-func keys(texts ...string) []record.TokenHash {
+func guardKeys(texts ...string) []record.TokenHash {
 	var out []record.TokenHash
 	for _, t := range texts {
 		out = append(out, record.HashToken(t))
@@ -21,93 +21,94 @@
 	return out
 }
 
-// change puts guard keys of ayni and leeuwin in force.
-func (b *bench) change(byMember map[string][]record.TokenHash) {
-	b.config.keys = byMember
-	b.config.revision++
-	b.s.configChanged()
+// setGuardKeys applies a configuration with the given guard keys of ayni and
+// leeuwin.
+func (e *testEntry) setGuardKeys(byMember map[string][]record.TokenHash) {
+	e.config.guardKeys = byMember
+	e.config.revision++
+	e.server.configChanged()
 	synctest.Wait()
 }
 
-// A rival's operator runs a guard with his own member's key, or with the fleet's,
-// and announces Ayni's booking service. Without a refusal Ayni's bookings would
-// be handed to him, and passengers would wait for escorts that nobody sent.
-func TestRivalAnnouncesAnothersService(t *testing.T) {
+// Protects against a guard that announces another member's service with its own
+// member's key or the fleet key: it would receive that member's requests, and could
+// answer them without running them.
+func TestGuardKeyOfAnotherMemberIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.config.keys = map[string][]record.TokenHash{"ayni": keys("ayni-key"), "leeuwin": keys("leeuwin-key")}
-		b.Assert(closed(b.guardOf("leeuwin/clubcast", "guard-2", "leeuwin-key", 8)), qt.IsFalse)
+		e := newTestEntry(t)
+		e.config.guardKeys = map[string][]record.TokenHash{"ayni": guardKeys("ayni-key"), "leeuwin": guardKeys("leeuwin-key")}
+		e.Assert(isClosed(e.linkGuardOf("leeuwin/clubcast", "guard-2", "leeuwin-key", 8)), qt.IsFalse)
 		for _, key := range []string{"leeuwin-key", "fleet", "", "ayni-ke"} {
-			b.Assert(closed(b.guardOf("ayni/reserva", "guard-1", key, 8)), qt.IsTrue, qt.Commentf("key %q", key))
+			e.Assert(isClosed(e.linkGuardOf("ayni/reserva", "guard-1", key, 8)), qt.IsTrue, qt.Commentf("key %q", key))
 		}
-		b.Assert(b.s.Guards(), qt.HasLen, 1)
-		b.Assert(b.s.metrics.Count(telemetry.LinksRefused), qt.Equals, int64(4))
-		w := <-b.post("ayni", b.ticket(), booking)
-		b.Assert(decode(b, w.Body.Bytes()).Error.Kind, qt.Equals, errkind.NoWorkers.String())
-		own := b.guardOf("ayni/reserva", "guard-3", "ayni-key", 8)
-		answer := b.post("ayni", b.ticket(), booking)
-		b.ok(own, b.next(own).Start, `1`)
-		b.Assert((<-answer).Code, qt.Equals, http.StatusOK)
+		e.Assert(e.server.Guards(), qt.HasLen, 1)
+		e.Assert(e.server.metrics.Count(telemetry.LinksRefused), qt.Equals, int64(4))
+		w := <-e.submit("ayni", e.newTicket(), testSubmission)
+		e.Assert(decodeJob(e, w.Body.Bytes()).Error.Kind, qt.Equals, errkind.NoWorkers.String())
+		own := e.linkGuardOf("ayni/reserva", "guard-3", "ayni-key", 8)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		e.sendResult(own, e.recvFrame(own).Start, `1`)
+		e.Assert((<-answer).Code, qt.Equals, http.StatusOK)
 	})
 }
 
-// A guard's key is rotated: both are listed while guards are restarted. Then the
-// old one is removed while a guard that still uses it runs a booking. Its link is
-// closed, the caller learns that the outcome is unknown, and the other guard goes
-// on undisturbed.
-func TestGuardKeyIsRotated(t *testing.T) {
+// Protects against disruption by a key rotation: both keys are listed while guards
+// restart, then the old one is removed while a guard that still uses it runs a
+// task. Its link is closed, the caller is told that the outcome is unknown, and the
+// other guard stays in use.
+func TestGuardKeyRotation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.config.keys = map[string][]record.TokenHash{"ayni": keys("old", "new")}
-		old := b.guardOf("ayni/reserva", "guard-1", "old", 1)
-		answer := b.post("ayni", b.ticket(), booking)
-		b.next(old)
-		renewed := b.guardOf("ayni/reserva", "guard-2", "new", 1)
-		b.change(map[string][]record.TokenHash{"ayni": keys("new")})
-		b.Assert(closed(old), qt.IsTrue)
-		b.Assert(closed(renewed), qt.IsFalse)
-		b.Assert(b.s.metrics.Count(telemetry.LinksRevoked), qt.Equals, int64(1))
-		j := decode(b, (<-answer).Body.Bytes())
-		b.Assert(j.Error.Kind, qt.Equals, errkind.WorkerLost.String())
-		b.Assert(j.Error.Ran, qt.Equals, "unknown")
-		b.silent(renewed)
+		e := newTestEntry(t)
+		e.config.guardKeys = map[string][]record.TokenHash{"ayni": guardKeys("old", "new")}
+		old := e.linkGuardOf("ayni/reserva", "guard-1", "old", 1)
+		answer := e.submit("ayni", e.newTicket(), testSubmission)
+		e.recvFrame(old)
+		renewed := e.linkGuardOf("ayni/reserva", "guard-2", "new", 1)
+		e.setGuardKeys(map[string][]record.TokenHash{"ayni": guardKeys("new")})
+		e.Assert(isClosed(old), qt.IsTrue)
+		e.Assert(isClosed(renewed), qt.IsFalse)
+		e.Assert(e.server.metrics.Count(telemetry.LinksRevoked), qt.Equals, int64(1))
+		j := decodeJob(e, (<-answer).Body.Bytes())
+		e.Assert(j.Error.Kind, qt.Equals, errkind.WorkerLost.String())
+		e.Assert(j.Error.Ran, qt.Equals, "unknown")
+		e.assertNoFrame(renewed)
 	})
 }
 
-// An entry starts while the store is down, so it cannot tell whose guards link to
-// it. It takes the sealed configuration from them and nothing else; were a rival's
-// guard used before the keys are known, it would get the first bookings.
-func TestGuardsBeforeAnyConfiguration(t *testing.T) {
+// Protects against using guards before their keys can be checked: an entry that
+// starts while the store is down may only accept the sealed configuration and the
+// state of a guard, or another member's guard would receive the first jobs.
+func TestGuardsStayUnverifiedWithoutConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.config.revision = 0
-		own := b.guardOf("ayni/reserva", "guard-1", "ayni-key", 8)
-		rival := b.guardOf("ayni/reserva", "guard-2", "fleet", 8)
-		b.Assert(b.s.Guards(), qt.HasLen, 0)
-		b.Assert(b.s.Usable(), qt.Equals, 0)
-		b.Assert(rival.Send(&wire.Frame{Collected: &wire.Collected{Member: "ayni"}}), qt.IsNil)
-		b.Assert(own.Send(&wire.Frame{Config: &wire.Config{Revision: 9}}), qt.IsNil)
-		b.Assert(own.Send(&wire.Frame{Load: &wire.Load{Seq: 2, Slots: 8, Healthy: true, Draining: true}}), qt.IsNil)
+		e := newTestEntry(t)
+		e.config.revision = 0
+		own := e.linkGuardOf("ayni/reserva", "guard-1", "ayni-key", 8)
+		other := e.linkGuardOf("ayni/reserva", "guard-2", "fleet", 8)
+		e.Assert(e.server.Guards(), qt.HasLen, 0)
+		e.Assert(e.server.Usable(), qt.Equals, 0)
+		e.Assert(other.Send(&wire.Frame{Collected: &wire.Collected{Member: "ayni"}}), qt.IsNil)
+		e.Assert(own.Send(&wire.Frame{Config: &wire.Config{Revision: 9}}), qt.IsNil)
+		e.Assert(own.Send(&wire.Frame{Load: &wire.Load{Seq: 2, Slots: 8, Healthy: true, Draining: true}}), qt.IsNil)
 		synctest.Wait()
-		b.Assert(b.config.offers, qt.Equals, 1)
-		b.Assert(b.s.metrics.Count(telemetry.FramesRefused), qt.Equals, int64(1))
-		b.change(map[string][]record.TokenHash{"ayni": keys("ayni-key")})
-		b.Assert(closed(rival), qt.IsTrue)
-		b.Assert(b.s.Guards(), qt.HasLen, 1)
-		b.Assert(b.s.Guards()[0].Load.Draining, qt.IsTrue)
-		b.Assert(b.s.Usable(), qt.Equals, 1)
+		e.Assert(e.config.guardOffers, qt.Equals, 1)
+		e.Assert(e.server.metrics.Count(telemetry.FramesRefused), qt.Equals, int64(1))
+		e.setGuardKeys(map[string][]record.TokenHash{"ayni": guardKeys("ayni-key")})
+		e.Assert(isClosed(other), qt.IsTrue)
+		e.Assert(e.server.Guards(), qt.HasLen, 1)
+		e.Assert(e.server.Guards()[0].Load.Draining, qt.IsTrue)
+		e.Assert(e.server.Usable(), qt.Equals, 1)
 	})
 }
 
-// A small site lists no guard keys and uses the fleet's for its guards too. When
-// it lists the fleet key's hash and a new one, no link may break.
-func TestFromFleetKeyToGuardKey(t *testing.T) {
+// Protects against broken links when a member without guard keys, whose guards use
+// the fleet key, lists the hash of the fleet key together with a new one.
+func TestSwitchFromFleetKeyToGuardKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		g := b.guard("guard-1", 8)
-		b.change(map[string][]record.TokenHash{"ayni": keys("fleet", "ayni-key")})
-		b.Assert(closed(g), qt.IsFalse)
-		b.change(map[string][]record.TokenHash{"ayni": keys("ayni-key")})
-		b.Assert(closed(g), qt.IsTrue)
+		e := newTestEntry(t)
+		g := e.linkGuard("guard-1", 8)
+		e.setGuardKeys(map[string][]record.TokenHash{"ayni": guardKeys("fleet", "ayni-key")})
+		e.Assert(isClosed(g), qt.IsFalse)
+		e.setGuardKeys(map[string][]record.TokenHash{"ayni": guardKeys("ayni-key")})
+		e.Assert(isClosed(g), qt.IsTrue)
 	})
 }
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -1,10 +1,10 @@
-// Package jobs owns an entry's records of jobs: which identities it has
-// accepted or refused, who waits for them, and their answers.
+// Package jobs keeps an entry's job records: the job keys that were accepted or
+// refused, the requests that wait for them, and their answers.
 //
-// A record is what makes a submission idempotent: as long as one is held, a
-// resubmission joins it. When a record is dropped, the identity's birth lies
-// below the floor of its member, and everything born below the floor is
-// refused without being run. A record is therefore never missed.
+// A record makes a submission idempotent: while it is kept, a resubmission joins
+// it. A record is only dropped together with raising its member's minimum creation
+// time above that of its key, and all keys below the minimum are refused without
+// being run. A dropped record therefore never causes a second run.
 //
 // The package may import errkind and identity.
 package jobs
@@ -18,40 +18,41 @@
 	"wigeontray/internal/identity"
 )
 
-// Limits bounds what is kept. All are per member, so that one member's burst
-// cannot push out the records of another.
+// Limits bounds what is kept. All limits apply per member, so that a burst of one
+// member cannot evict the records of another.
 type Limits struct {
-	// Retention is how long after its birth an identity can be resubmitted.
+	// Retention is how long after its creation a job key can be resubmitted.
 	Retention time.Duration
-	// Skew is how far in the future a birth may lie by this process's clock.
+	// Skew is how far in the future the creation time of a key may be by this
+	// process's clock.
 	Skew time.Duration
-	// Records is the greatest number of records.
+	// Records is the maximum number of records.
 	Records int
-	// AnswerBytes bounds the answers held for resubmissions.
+	// AnswerBytes limits the total size of the answers kept for resubmissions.
 	AnswerBytes int64
 }
 
-// DefaultLimits keep two minutes of identities in under 32 MB at 2,000 jobs a
-// second and 64 bytes a record, answers apart.
+// DefaultLimits keep two minutes of records in less than 32 MB, at 2,000 jobs a
+// second and 64 bytes a record, not counting the answers.
 func DefaultLimits() Limits {
 	return Limits{Retention: 2 * time.Minute, Skew: 30 * time.Second, Records: 250_000, AnswerBytes: 16 << 20}
 }
 
-// Fingerprint is a digest of what a submission asks for.
+// Fingerprint is a digest of the work that a submission requests.
 type Fingerprint [16]byte
 
-// Answer is a job's final answer in the form in which callers get it.
+// Answer is a job's final answer, in the form in which it is sent to callers.
 type Answer struct {
 	Kind  errkind.Kind
-	Ran   errkind.Ran   // what the answer claims about the start
-	Body  []byte        // JSON; nil once it was dropped to save memory
-	After time.Duration // when to come back, if the kind says so
+	Ran   errkind.Ran   // whether the job was started, according to the answer
+	Body  []byte        // JSON; nil after it was dropped to save memory
+	After time.Duration // delay before a retry, if the kind has one
 }
 
 // Registry holds the records of all members.
 type Registry struct {
 	limits  Limits
-	members sync.Map // string to *shard
+	members sync.Map // member name to *shard
 }
 
 // New returns an empty registry.
@@ -65,16 +66,16 @@
 	return s.(*shard)
 }
 
-// Admit finds or makes the record of an identity. fresh tells the caller that
-// it is the first and must now run the job or finish the record with a refusal.
-// The record is held for the caller until its Release. Errors are
+// Admit returns the record of a job key, and creates it if there is none. If isNew
+// is set, the caller must run the job or finish the record with a refusal. The
+// answer of the record is kept in memory until the caller calls Release. Errors are
 // IdentityReused, IdentityExpired and TooManyJobs; none of them leaves a record.
-func (r *Registry) Admit(now time.Time, member string, key identity.Key, f Fingerprint) (rec *Record, fresh bool, err *errkind.Error) {
+func (r *Registry) Admit(now time.Time, member string, key identity.Key, f Fingerprint) (rec *Record, isNew bool, err *errkind.Error) {
 	return r.shard(member).admit(now, member, key, f)
 }
 
-// Known tells whether a record of the identity is held.
-func (r *Registry) Known(member string, key identity.Key) bool {
+// Contains reports whether there is a record of the job key.
+func (r *Registry) Contains(member string, key identity.Key) bool {
 	s := r.shard(member)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,33 +83,34 @@
 	return ok
 }
 
-// Find returns the record of an identity that this entry owns, held for the
-// caller until its Release. Its errors are NotFound, for one it has never seen and could still accept, and
-// IdentityExpired, for one it can no longer vouch for.
+// Find returns the record of a job key that this entry owns; its answer is kept in
+// memory until the caller calls Release. Find returns NotFound for a key that was
+// never submitted and could still be accepted, and IdentityExpired for one whose
+// record may have been dropped.
 func (r *Registry) Find(now time.Time, member string, key identity.Key) (*Record, *errkind.Error) {
 	return r.shard(member).find(now, key)
 }
 
-// Finish gives a record its one answer and wakes all that wait. A second call
-// for the same record is passed over.
+// Finish sets the answer of a record and wakes all waiting requests. A second call
+// for the same record is ignored.
 func (r *Registry) Finish(now time.Time, rec *Record, a *Answer) {
 	r.shard(rec.Member).finish(now, rec, a)
 }
 
-// Count tells how many records are held and how many of them are unfinished.
-func (r *Registry) Count() (held, open int) {
+// Count returns the number of records and how many of them are unfinished.
+func (r *Registry) Count() (held, unfinished int) {
 	r.members.Range(func(_, v any) bool {
 		s := v.(*shard)
 		s.mu.Lock()
 		held += len(s.records)
-		open += s.open
+		unfinished += s.unfinished
 		s.mu.Unlock()
 		return true
 	})
-	return held, open
+	return held, unfinished
 }
 
-// Record is one job as its callers see it.
+// Record is the state of one job for its callers.
 type Record struct {
 	Member string
 	Key    identity.Key
@@ -117,22 +119,22 @@
 	done        chan struct{}
 	shard       *shard
 
-	// Under the shard's lock:
-	answer *Answer
-	kept   int64 // bytes of body counted against the member
-	holds  int   // callers that may still read the answer
+	// Guarded by the shard's lock:
+	answer    *Answer
+	bodyBytes int64 // size of the answer's body as counted in answerBytes
+	readers   int   // callers that have not called Release yet
 }
 
-// Done is closed when the answer is there.
+// Done returns a channel that is closed when the answer is available.
 func (rec *Record) Done() <-chan struct{} { return rec.done }
 
-// Release ends the caller's hold. A body is dropped only when nobody holds its
-// record: else a caller that waited for the answer could be woken and find that
-// a flood of other answers had pushed out its own.
+// Release ends the caller's use of the record. A body is only dropped when its
+// record has no readers: otherwise a waiting caller could be woken and find that
+// its answer had already been evicted by a burst of other answers.
 func (rec *Record) Release() {
 	rec.shard.mu.Lock()
 	defer rec.shard.mu.Unlock()
-	rec.holds--
+	rec.readers--
 }
 
 // Answer returns the final answer, or nil while the job is unfinished.
@@ -142,16 +144,17 @@
 	return rec.answer
 }
 
-// shard is one member's records. Its lock is held for map and heap work only.
+// shard holds the records of one member. Its lock is held for map and heap
+// operations only.
 type shard struct {
-	mu      sync.Mutex
-	limits  Limits
-	records map[string]*Record
-	oldest  birthHeap // finished records, oldest birth first
-	answers []*Record // finished records with a body, in order of finishing
-	bytes   int64     // bodies in answers
-	open    int
-	floorMs int64 // births below were forgotten, or may have been
+	mu           sync.Mutex
+	limits       Limits
+	records      map[string]*Record
+	finished     creationHeap // finished records, earliest creation time first
+	withBody     []*Record    // finished records with a body, in order of completion
+	answerBytes  int64        // total size of the bodies in withBody
+	unfinished   int
+	minCreatedMs int64 // records of keys created earlier were dropped, or may have been
 }
 
 func (s *shard) admit(now time.Time, member string, key identity.Key, f Fingerprint) (*Record, bool, *errkind.Error) {
@@ -161,32 +164,34 @@
 		if rec.fingerprint != f {
 			return nil, false, errkind.New(errkind.IdentityReused, "another request was submitted as %s", key.Text)
 		}
-		rec.holds++
+		rec.readers++
 		return rec, false, nil
 	}
 	s.expire(now)
-	if err := s.vouch(now, key); err != nil {
+	if err := s.checkCreationTime(now, key); err != nil {
 		return nil, false, err
 	}
 	if len(s.records) >= s.limits.Records && !s.evict() {
-		return nil, false, errkind.New(errkind.TooManyJobs, "%d jobs are unfinished", s.open).WithAfter(time.Second)
+		return nil, false, errkind.New(errkind.TooManyJobs, "%d jobs are unfinished", s.unfinished).WithAfter(time.Second)
 	}
-	// Making room may have raised the floor above this very identity.
-	if err := s.vouch(now, key); err != nil {
+	// Evicting a record may have raised the minimum above the creation time of this
+	// key.
+	if err := s.checkCreationTime(now, key); err != nil {
 		return nil, false, err
 	}
-	rec := &Record{Member: member, Key: key, fingerprint: f, done: make(chan struct{}), shard: s, holds: 1}
+	rec := &Record{Member: member, Key: key, fingerprint: f, done: make(chan struct{}), shard: s, readers: 1}
 	s.records[key.Text] = rec
-	s.open++
+	s.unfinished++
 	return rec, true, nil
 }
 
-// vouch refuses an identity that may have been here before and is forgotten,
-// or that claims a birth so late that its record would be held for too long.
-// Without it a late resubmission would be taken for a new job and run again.
-func (s *shard) vouch(now time.Time, key identity.Key) *errkind.Error {
+// checkCreationTime refuses a key whose record may have been dropped, because a late
+// resubmission would otherwise be treated as a new job and run again. It also
+// refuses a key whose creation time is so far in the future that its record would
+// be kept for too long.
+func (s *shard) checkCreationTime(now time.Time, key identity.Key) *errkind.Error {
 	switch {
-	case key.BirthMs < s.floor(now):
+	case key.BirthMs < s.currentMinCreatedMs(now):
 		return errkind.New(errkind.IdentityExpired, "born %v ago; identities are vouched for during %v",
 			now.Sub(time.UnixMilli(key.BirthMs)).Round(time.Millisecond), s.limits.Retention)
 	case key.BirthMs > now.Add(s.limits.Skew).UnixMilli():
@@ -196,44 +201,47 @@
 	return nil
 }
 
-func (s *shard) floor(now time.Time) int64 {
-	return max(s.floorMs, now.Add(-s.limits.Retention).UnixMilli())
+func (s *shard) currentMinCreatedMs(now time.Time) int64 {
+	return max(s.minCreatedMs, now.Add(-s.limits.Retention).UnixMilli())
 }
 
-// expire drops finished records that fell below the retention. The floor is
-// raised with them, so that a clock set back brings no identity to life again.
+// expire drops finished records that are older than the retention. It also raises
+// the minimum creation time, so that dropped keys stay refused if the clock is set
+// back.
 func (s *shard) expire(now time.Time) {
-	s.floorMs = s.floor(now)
-	for len(s.oldest) > 0 && s.oldest[0].Key.BirthMs < s.floorMs {
-		s.drop(heap.Pop(&s.oldest).(*Record))
+	s.minCreatedMs = s.currentMinCreatedMs(now)
+	for len(s.finished) > 0 && s.finished[0].Key.BirthMs < s.minCreatedMs {
+		s.dropRecord(heap.Pop(&s.finished).(*Record))
 	}
 }
 
-// evict makes room for one record at the price of a higher floor.
+// evict drops the finished record with the earliest creation time to make room for
+// another one, and raises the minimum accordingly. It returns false if no record is
+// finished.
 func (s *shard) evict() bool {
-	if len(s.oldest) == 0 {
+	if len(s.finished) == 0 {
 		return false
 	}
-	rec := heap.Pop(&s.oldest).(*Record)
-	s.floorMs = max(s.floorMs, rec.Key.BirthMs+1)
-	s.drop(rec)
+	rec := heap.Pop(&s.finished).(*Record)
+	s.minCreatedMs = max(s.minCreatedMs, rec.Key.BirthMs+1)
+	s.dropRecord(rec)
 	return true
 }
 
-func (s *shard) drop(rec *Record) {
+func (s *shard) dropRecord(rec *Record) {
 	delete(s.records, rec.Key.Text)
-	s.bytes -= rec.kept
-	rec.kept = 0
+	s.answerBytes -= rec.bodyBytes
+	rec.bodyBytes = 0
 }
 
 func (s *shard) find(now time.Time, key identity.Key) (*Record, *errkind.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if rec, ok := s.records[key.Text]; ok {
-		rec.holds++
+		rec.readers++
 		return rec, nil
 	}
-	if err := s.vouch(now, key); err != nil {
+	if err := s.checkCreationTime(now, key); err != nil {
 		return nil, err
 	}
 	return nil, errkind.New(errkind.NotFound, "no job %s was submitted here", key.Text)
@@ -247,44 +255,45 @@
 	}
 	rec.answer = a
 	close(rec.done)
-	s.open--
-	heap.Push(&s.oldest, rec)
-	rec.kept = int64(len(a.Body))
-	s.bytes += rec.kept
-	s.answers = append(s.answers, rec)
-	s.trim()
+	s.unfinished--
+	heap.Push(&s.finished, rec)
+	rec.bodyBytes = int64(len(a.Body))
+	s.answerBytes += rec.bodyBytes
+	s.withBody = append(s.withBody, rec)
+	s.trimBodies()
 	s.expire(now)
 }
 
-// trim drops the bodies that were finished first until the rest fits. The
-// record stays, so that the identity is still known to have been answered.
-func (s *shard) trim() {
-	for len(s.answers) > 0 {
-		rec := s.answers[0]
-		if rec.kept > 0 && (s.bytes <= s.limits.AnswerBytes || rec.holds > 0) {
+// trimBodies drops the earliest finished bodies until the rest fits the limit, and
+// stops early at a body that still has readers. It keeps the records, so that
+// their keys are still known as answered.
+func (s *shard) trimBodies() {
+	for len(s.withBody) > 0 {
+		rec := s.withBody[0]
+		if rec.bodyBytes > 0 && (s.answerBytes <= s.limits.AnswerBytes || rec.readers > 0) {
 			return
 		}
-		s.answers[0] = nil
-		s.answers = s.answers[1:]
-		if rec.kept == 0 {
+		s.withBody[0] = nil
+		s.withBody = s.withBody[1:]
+		if rec.bodyBytes == 0 {
 			continue
 		}
-		s.bytes -= rec.kept
-		rec.kept = 0
+		s.answerBytes -= rec.bodyBytes
+		rec.bodyBytes = 0
 		a := *rec.answer
 		a.Body = nil
 		rec.answer = &a
 	}
 }
 
-// birthHeap orders records by birth, oldest first.
-type birthHeap []*Record
+// creationHeap orders records by creation time, earliest first.
+type creationHeap []*Record
 
-func (h birthHeap) Len() int           { return len(h) }
-func (h birthHeap) Less(i, j int) bool { return h[i].Key.BirthMs < h[j].Key.BirthMs }
-func (h birthHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *birthHeap) Push(x any)        { *h = append(*h, x.(*Record)) }
-func (h *birthHeap) Pop() any {
+func (h creationHeap) Len() int           { return len(h) }
+func (h creationHeap) Less(i, j int) bool { return h[i].Key.BirthMs < h[j].Key.BirthMs }
+func (h creationHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *creationHeap) Push(x any)        { *h = append(*h, x.(*Record)) }
+func (h *creationHeap) Pop() any {
 	old := *h
 	rec := old[len(old)-1]
 	old[len(old)-1] = nil
