--- a/internal/guard/admin.go
+++ b/internal/guard/admin.go
@@ -12,9 +12,9 @@
 
 // Bounds of the admin HTTP.
 const (
-	adminHeaderTimeout = 5 * time.Second
-	adminStopTimeout   = time.Second
-	adminMaxHeader     = 16 << 10
+	adminHeaderTimeout   = 5 * time.Second
+	adminShutdownTimeout = time.Second
+	adminMaxHeaderBytes  = 16 << 10
 )
 
 // AdminHandler serves the guard's own state to the worker it runs on:
@@ -26,7 +26,7 @@
 func (g *Guard) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	mux.HandleFunc("GET /readyz", g.serveReady)
+	mux.HandleFunc("GET /readyz", g.serveReadyz)
 	mux.HandleFunc("POST /drain", func(w http.ResponseWriter, _ *http.Request) {
 		g.Drain("asked for by the admin HTTP")
 		w.WriteHeader(http.StatusAccepted)
@@ -37,16 +37,16 @@
 	return mux
 }
 
-func (g *Guard) serveReady(w http.ResponseWriter, _ *http.Request) {
-	s, links := g.Stats(), g.linkCount()
+func (g *Guard) serveReadyz(w http.ResponseWriter, _ *http.Request) {
+	stats, links := g.Stats(), g.linkCount()
 	w.Header().Set("Content-Type", "application/json")
-	if !s.Healthy || s.Draining || links == 0 {
+	if !stats.Healthy || stats.Draining || links == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	_ = json.NewEncoder(w).Encode(struct {
 		Links int
 		Stats any
-	}{links, s})
+	}{links, stats})
 }
 
 func (g *Guard) linkCount() int {
@@ -68,27 +68,27 @@
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 		return nil, fmt.Errorf("admin address %q: want a loopback IP number", g.opt.Admin)
 	}
-	l, err := net.Listen("tcp", g.opt.Admin)
+	listener, err := net.Listen("tcp", g.opt.Admin)
 	if err != nil {
 		return nil, fmt.Errorf("admin address: %w", err)
 	}
-	return l, nil
+	return listener, nil
 }
 
-func (g *Guard) serveAdmin(ctx context.Context, l net.Listener) {
-	if l == nil {
+func (g *Guard) serveAdmin(ctx context.Context, listener net.Listener) {
+	if listener == nil {
 		return
 	}
-	srv := &http.Server{Handler: g.AdminHandler(), ReadHeaderTimeout: adminHeaderTimeout, MaxHeaderBytes: adminMaxHeader}
-	g.work.Go(func() {
-		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	srv := &http.Server{Handler: g.AdminHandler(), ReadHeaderTimeout: adminHeaderTimeout, MaxHeaderBytes: adminMaxHeaderBytes}
+	g.wg.Go(func() {
+		if err := srv.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			g.opt.Logger.Error("admin HTTP ended", "err", err)
 		}
 	})
-	g.work.Go(func() {
+	g.wg.Go(func() {
 		<-ctx.Done()
-		stopCtx, cancel := context.WithTimeout(context.Background(), adminStopTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), adminShutdownTimeout)
 		defer cancel()
-		_ = srv.Shutdown(stopCtx)
+		_ = srv.Shutdown(shutdownCtx)
 	})
 }
--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -11,41 +11,41 @@
 	"wigeontray/internal/errkind"
 )
 
-// provenConn is a connection to the upstream that can prove that a request was
+// trackedConn is a connection to the upstream that can prove that a request was
 // never written to it. An error of net/http alone does not tell: its writer may
 // still be about to write when RoundTrip has already given up.
-type provenConn struct {
+type trackedConn struct {
 	net.Conn
-	mu      sync.Mutex
-	sealed  bool
-	written int64 // bytes handed to the system, counted before each write
+	mu           sync.Mutex
+	isSealed     bool
+	bytesWritten int64 // bytes handed to the system, counted before each write
 }
 
 // Write refuses once the connection is sealed.
-func (c *provenConn) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.isSealed {
 		c.mu.Unlock()
 		return 0, net.ErrClosed
 	}
-	c.written += int64(len(b))
+	c.bytesWritten += int64(len(b))
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-func (c *provenConn) position() int64 {
+func (c *trackedConn) offset() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.written
+	return c.bytesWritten
 }
 
-// sealAt forbids all further writes if nothing was written after position, and
+// sealIfUnwritten forbids all further writes if nothing was written after position, and
 // tells whether that is so.
-func (c *provenConn) sealAt(position int64) bool {
+func (c *trackedConn) sealIfUnwritten(offset int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = c.sealed || c.written == position
-	return c.written == position
+	c.isSealed = c.isSealed || c.bytesWritten == offset
+	return c.bytesWritten == offset
 }
 
 // dialError marks a failed dial: no connection, so no request.
@@ -56,73 +56,73 @@
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-func provenDialer(dial dialFunc) dialFunc {
+func trackedDialer(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, &dialError{err}
 		}
-		return &provenConn{Conn: conn}, nil
+		return &trackedConn{Conn: conn}, nil
 	}
 }
 
-// attempt is one connection that a request was given, and how much had been
+// connAttempt is one connection that a request was given, and how much had been
 // written to it before.
-type attempt struct {
-	conn     *provenConn
-	position int64
+type connAttempt struct {
+	conn   *trackedConn
+	offset int64
 }
 
-// attempts records the connections that one request was given.
-type attempts struct {
-	mu   sync.Mutex
-	list []attempt
-	odd  bool // a connection that cannot prove anything
+// connAttempts records the connections that one request was given.
+type connAttempts struct {
+	mu           sync.Mutex
+	list         []connAttempt
+	hasUntracked bool // a connection that cannot prove anything
 }
 
-func (a *attempts) trace() *httptrace.ClientTrace {
+func (a *connAttempts) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: a.gotConn}
 }
 
-func (a *attempts) gotConn(info httptrace.GotConnInfo) {
+func (a *connAttempts) gotConn(info httptrace.GotConnInfo) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	conn, ok := info.Conn.(*provenConn)
+	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
-		a.odd = true
+		a.hasUntracked = true
 		return
 	}
-	a.list = append(a.list, attempt{conn: conn, position: conn.position()})
+	a.list = append(a.list, connAttempt{conn: conn, offset: conn.offset()})
 }
 
-// unwritten proves that no byte of the request went out or ever will.
-func (a *attempts) unwritten() bool {
+// sealUnwritten proves that no byte of the request went out or ever will.
+func (a *connAttempts) sealUnwritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	proved := !a.odd
-	for _, t := range a.list {
-		proved = t.conn.sealAt(t.position) && proved
+	isUnwritten := !a.hasUntracked
+	for _, attempt := range a.list {
+		isUnwritten = attempt.conn.sealIfUnwritten(attempt.offset) && isUnwritten
 	}
-	return proved
+	return isUnwritten
 }
 
-// classify turns an error of RoundTrip into a result. RanNo lets the entry send
+// classifyError turns an error of RoundTrip into a result. RanNo lets the entry send
 // the task to another guard, so it is claimed only on proof; after the first
 // byte the upstream may have run the task, whatever the error says.
-func (a *attempts) classify(ctx context.Context, err error) runResult {
+func (a *connAttempts) classifyError(ctx context.Context, err error) taskResult {
 	kind, ran := errkind.UpstreamFailed, errkind.RanUnknown
-	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
-	if a.unwritten() {
+	isExpired := errors.Is(ctx.Err(), context.DeadlineExceeded)
+	if a.sealUnwritten() {
 		ran = errkind.RanNo
 	}
 	switch {
-	case expired && ran == errkind.RanNo:
+	case isExpired && ran == errkind.RanNo:
 		kind = errkind.DeadlineExpired
-	case expired:
+	case isExpired:
 		kind = errkind.TimedOut
 	}
-	res := failure(kind, ran, err)
-	_, res.unreachable = errors.AsType[*dialError](err)
-	res.unreachable = res.unreachable && !expired
+	res := failedResult(kind, ran, err)
+	_, res.isUnreachable = errors.AsType[*dialError](err)
+	res.isUnreachable = res.isUnreachable && !isExpired
 	return res
 }
--- a/internal/guard/counters.go
+++ b/internal/guard/counters.go
@@ -7,18 +7,18 @@
 	"wigeontray/internal/wire"
 )
 
-// counters holds the guard's metrics. Each refusal and failure kind has one of
+// guardMetrics holds the guard's metrics. Each refusal and failure kind has one of
 // its own, registered on first use.
-type counters struct {
-	registry      metrics.Registry
-	started       metrics.Counter
-	linksOpened   metrics.Counter
-	linkFailures  metrics.Counter
-	superseded    metrics.Counter
-	unknownFrames metrics.Counter
+type guardMetrics struct {
+	registry        metrics.Registry
+	tasksStarted    metrics.Counter
+	linksOpened     metrics.Counter
+	linkFailures    metrics.Counter
+	linksSuperseded metrics.Counter
+	unknownFrames   metrics.Counter
 }
 
-func newCounters(r metrics.Registry, stats func() ledger.Stats) *counters {
+func newGuardMetrics(r metrics.Registry, stats func() ledger.Stats) *guardMetrics {
 	gauge := func(name string, read func(ledger.Stats) int64) {
 		_ = r.Register(name, metrics.NewFunctionalGauge(func() int64 { return read(stats()) }))
 	}
@@ -27,21 +27,21 @@
 	gauge("guard.remembered", func(s ledger.Stats) int64 { return int64(s.Remembered) })
 	gauge("guard.held_bytes", func(s ledger.Stats) int64 { return int64(s.HeldBytes) })
 	gauge("guard.floor_ms", func(s ledger.Stats) int64 { return s.FloorMs })
-	return &counters{
-		registry:      r,
-		started:       metrics.GetOrRegisterCounter("guard.started", r),
-		linksOpened:   metrics.GetOrRegisterCounter("guard.links_opened", r),
-		linkFailures:  metrics.GetOrRegisterCounter("guard.link_failures", r),
-		superseded:    metrics.GetOrRegisterCounter("guard.links_superseded", r),
-		unknownFrames: metrics.GetOrRegisterCounter("guard.unknown_frames", r),
+	return &guardMetrics{
+		registry:        r,
+		tasksStarted:    metrics.GetOrRegisterCounter("guard.started", r),
+		linksOpened:     metrics.GetOrRegisterCounter("guard.links_opened", r),
+		linkFailures:    metrics.GetOrRegisterCounter("guard.link_failures", r),
+		linksSuperseded: metrics.GetOrRegisterCounter("guard.links_superseded", r),
+		unknownFrames:   metrics.GetOrRegisterCounter("guard.unknown_frames", r),
 	}
 }
 
-// result counts a result that is sent: guard.refused.KIND for a task that never
+// countResult counts a result that is sent: guard.refused.KIND for a task that never
 // runs here, guard.result.KIND for any other.
-func (c *counters) result(r *wire.Result) {
+func (c *guardMetrics) countResult(r *wire.Result) {
 	prefix := "guard.result."
-	if finalRefusal(r) {
+	if isNotRun(r) {
 		prefix = "guard.refused."
 	}
 	metrics.GetOrRegisterCounter(prefix+r.Kind.String(), c.registry).Inc(1)
--- a/internal/guard/fake_test.go
+++ b/internal/guard/fake_test.go
@@ -19,13 +19,13 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-const home = identity.Incarnation("entry-a-1")
+const testEntry = identity.Incarnation("entry-a-1")
 
 // fakeEntry is the other end of a guard's links. It records what it receives.
 type fakeEntry struct {
-	name   identity.Incarnation
-	others []wire.EntryAddr // told in Welcome
-	rude   bool             // ends each link after its Welcome
+	incarnation  identity.Incarnation
+	otherEntries []wire.EntryAddr // told in Welcome
+	closing      bool             // ends each link after its Welcome
 
 	mu     sync.Mutex
 	hello  *wire.Hello
@@ -37,17 +37,17 @@
 func (e *fakeEntry) dial(context.Context, string) (wire.Link, error) {
 	a, b := wiretest.Pipe()
 	go e.serve(b)
-	return orderlyLink{a}, nil
+	return delayedCloseLink{a}, nil
 }
 
-// orderlyLink ends a moment after it is told to. A socket delivers what was
+// delayedCloseLink ends a moment after it is told to. A socket delivers what was
 // written before its close; a wiretest.Pipe may drop it.
-type orderlyLink struct{ wire.Link }
+type delayedCloseLink struct{ wire.Link }
 
 // Shut tells that the peer has read all, which is when the pipe has ended.
-func (l orderlyLink) Shut() <-chan struct{} { return l.Done() }
+func (l delayedCloseLink) Shut() <-chan struct{} { return l.Done() }
 
-func (l orderlyLink) Close(reason string) {
+func (l delayedCloseLink) Close(reason string) {
 	time.AfterFunc(time.Microsecond, func() { l.Link.Close(reason) })
 }
 
@@ -60,8 +60,8 @@
 	e.mu.Lock()
 	e.hello, e.link = f.Hello, link
 	e.mu.Unlock()
-	_ = link.Send(&wire.Frame{Welcome: &wire.Welcome{Version: 1, Incarnation: e.name, Entries: e.others}})
-	if e.rude {
+	_ = link.Send(&wire.Frame{Welcome: &wire.Welcome{Version: 1, Incarnation: e.incarnation, Entries: e.otherEntries}})
+	if e.closing {
 		link.Close("go away")
 	}
 	for {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (e *fakeEntry) newest() wire.Link {
+func (e *fakeEntry) newestLink() wire.Link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.link
@@ -83,11 +83,11 @@
 
 func (e *fakeEntry) send(t testing.TB, f *wire.Frame) {
 	t.Helper()
-	qt.Assert(t, e.newest().Send(f), qt.IsNil)
+	qt.Assert(t, e.newestLink().Send(f), qt.IsNil)
 }
 
-// each calls visit with every frame so far.
-func (e *fakeEntry) each(visit func(*wire.Frame)) {
+// visitFrames calls visit with every frame so far.
+func (e *fakeEntry) visitFrames(visit func(*wire.Frame)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, f := range e.frames {
@@ -97,7 +97,7 @@
 
 func (e *fakeEntry) results() []wire.Result {
 	var out []wire.Result
-	e.each(func(f *wire.Frame) {
+	e.visitFrames(func(f *wire.Frame) {
 		if f.Result != nil {
 			out = append(out, *f.Result)
 		}
@@ -107,7 +107,7 @@
 
 // load is the newest load report, alone or on a result.
 func (e *fakeEntry) load() (load wire.Load) {
-	e.each(func(f *wire.Frame) {
+	e.visitFrames(func(f *wire.Frame) {
 		switch {
 		case f.Load != nil:
 			load = *f.Load
@@ -124,7 +124,7 @@
 	done  chan struct{}
 	once  sync.Once
 
-	frozen atomic.Bool // connections are made, and nobody reads them
+	isUnresponsive atomic.Bool // connections are made, and nobody reads them
 }
 
 func newMemoryNet() *memoryNet {
@@ -133,7 +133,7 @@
 
 func (n *memoryNet) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	a, b := net.Pipe()
-	if n.frozen.Load() {
+	if n.isUnresponsive.Load() {
 		return a, nil
 	}
 	select {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (n *memoryNet) freeze() { n.frozen.Store(true) }
+func (n *memoryNet) makeUnresponsive() { n.isUnresponsive.Store(true) }
 
 func (n *memoryNet) Accept() (net.Conn, error) {
 	select {
@@ -160,14 +160,14 @@
 func (n *memoryNet) Close() error   { n.once.Do(func() { close(n.done) }); return nil }
 func (n *memoryNet) Addr() net.Addr { return &net.UnixAddr{Name: "memory"} }
 
-// bench is a guard with a fake entry and a sample upstream, all in memory.
-type bench struct {
+// testEnv is a guard with a fake entry and a sample upstream, all in memory.
+type testEnv struct {
 	guard    *Guard
 	entry    *fakeEntry
 	upstream *sample.Upstream
 	net      *memoryNet
 	server   *http.Server
-	ran      chan error
+	runErr   chan error
 	cancel   context.CancelFunc
 }
 
@@ -178,42 +178,42 @@
 	}
 }
 
-// newBench starts a guard. It must be called in a synctest bubble, and ended
+// newTestEnv starts a guard. It must be called in a synctest bubble, and ended
 // with close.
-func newBench(t testing.TB, change func(*Options), others ...wire.EntryAddr) *bench {
-	b := &bench{entry: &fakeEntry{name: home, others: others}, upstream: sample.New("w1", 1), net: newMemoryNet(), ran: make(chan error, 1)}
-	b.server = &http.Server{Handler: b.upstream}
-	go func() { _ = b.server.Serve(b.net) }()
+func newTestEnv(t testing.TB, change func(*Options), otherEntries ...wire.EntryAddr) *testEnv {
+	env := &testEnv{entry: &fakeEntry{incarnation: testEntry, otherEntries: otherEntries}, upstream: sample.New("w1", 1), net: newMemoryNet(), runErr: make(chan error, 1)}
+	env.server = &http.Server{Handler: env.upstream}
+	go func() { _ = env.server.Serve(env.net) }()
 	opt := testOptions()
-	opt.Dial, opt.DialUpstream = b.entry.dial, b.net.dial
+	opt.Dial, opt.DialUpstream = env.entry.dial, env.net.dial
 	if change != nil {
 		change(&opt)
 	}
 	g, err := New(opt)
 	qt.Assert(t, err, qt.IsNil)
-	b.guard = g
+	env.guard = g
 	ctx, cancel := context.WithCancel(context.Background())
-	b.cancel = cancel
-	go func() { b.ran <- g.Run(ctx) }()
+	env.cancel = cancel
+	go func() { env.runErr <- g.Run(ctx) }()
 	time.Sleep(time.Millisecond) // linked and healthy
-	return b
+	return env
 }
 
-func (b *bench) close() {
-	b.cancel()
-	_ = b.server.Close()
-	<-b.ran
+func (env *testEnv) close() {
+	env.cancel()
+	_ = env.server.Close()
+	<-env.runErr
 	time.Sleep(time.Millisecond) // links end
 }
 
-// task makes a Start of a fresh job, born now.
-func task(body string) *wire.Start {
-	key := identity.NewTicket(home, time.Now())
-	return &wire.Start{Ref: wire.Ref{Member: "ayni", Key: key.Text}, Of: 1, Home: home, LeftMs: 5000, Body: []byte(body)}
+// newStart makes a Start of a fresh job, born now.
+func newStart(body string) *wire.Start {
+	key := identity.NewTicket(testEntry, time.Now())
+	return &wire.Start{Ref: wire.Ref{Member: "ayni", Key: key.Text}, Of: 1, Home: testEntry, LeftMs: 5000, Body: []byte(body)}
 }
 
-// verdicts writes what a test compares of results.
-func verdicts(results ...wire.Result) []string {
+// summaries writes what a test compares of results.
+func summaries(results ...wire.Result) []string {
 	var out []string
 	for _, r := range results {
 		out = append(out, fmt.Sprintf("%v, ran %v, %d", r.Kind, r.Ran, r.Status))
@@ -221,10 +221,10 @@
 	return out
 }
 
-// expect compares all results that came so far.
-func (e *fakeEntry) expect(t testing.TB, want ...string) {
+// expectResults compares all results that came so far.
+func (e *fakeEntry) expectResults(t testing.TB, want ...string) {
 	t.Helper()
-	qt.Assert(t, verdicts(e.results()...), qt.DeepEquals, want)
+	qt.Assert(t, summaries(e.results()...), qt.DeepEquals, want)
 }
 
-const served = "none, ran yes, 200"
+const okSummary = "none, ran yes, 200"
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -26,28 +26,28 @@
 	opt         Options
 	incarnation identity.Incarnation
 	upstream    *upstream
-	count       *counters
-
-	mu     sync.Mutex // guards what follows; never held while waiting
-	ledger *ledger.Ledger
-	timer  *time.Timer // calls tick when the ledger is next due
-	config *wire.Config
-	links  map[identity.Incarnation]*session
-	addrs  map[string]*address
-	rand   *rand.Rand
-	ctx    context.Context // of the run; nil before Run
-	ended  bool            // no goroutine of the run may begin any more
-	idle   chan struct{}   // closed when draining and nothing runs or waits
-
-	stopped chan struct{} // closed when Stop has done its work
-	once    sync.Once
-	work    sync.WaitGroup // goroutines of the run
+	metrics     *guardMetrics
+
+	mu        sync.Mutex // guards what follows; never held while waiting
+	ledger    *ledger.Ledger
+	timer     *time.Timer // calls tick when the ledger is next due
+	config    *wire.Config
+	links     map[identity.Incarnation]*session
+	addresses map[string]*address
+	rand      *rand.Rand
+	ctx       context.Context // of the run; nil before Run
+	closing   bool            // no goroutine of the run may begin any more
+	drained   chan struct{}   // closed when draining and nothing runs or waits
+
+	stopped  chan struct{} // closed when Stop has done its work
+	stopOnce sync.Once
+	wg       sync.WaitGroup // goroutines of the run
 }
 
 // New checks the options and returns a guard that does nothing before Run.
 func New(opt Options) (*Guard, error) {
 	opt = opt.withDefaults()
-	if err := opt.check(); err != nil {
+	if err := opt.validate(); err != nil {
 		return nil, fmt.Errorf("guard options: %w", err)
 	}
 	g := &Guard{
@@ -56,12 +56,12 @@
 		upstream:    newUpstream(opt),
 		ledger:      ledger.New(time.Now(), opt.Ledger),
 		links:       make(map[identity.Incarnation]*session),
-		addrs:       make(map[string]*address),
+		addresses:   make(map[string]*address),
 		rand:        rand.New(rand.NewPCG(opt.Seed, 0)),
-		idle:        make(chan struct{}),
+		drained:     make(chan struct{}),
 		stopped:     make(chan struct{}),
 	}
-	g.count = newCounters(opt.Registry, g.Stats)
+	g.metrics = newGuardMetrics(opt.Registry, g.Stats)
 	return g, nil
 }
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	g.begin(ctx)
+	g.startBackground(ctx)
 	g.serveAdmin(ctx, admin)
 	select {
 	case <-g.stopped:
@@ -93,23 +93,23 @@
 		err = context.Cause(ctx)
 	}
 	cancel()
-	g.end()
+	g.shutdown()
 	return err
 }
 
-func (g *Guard) begin(ctx context.Context) {
+func (g *Guard) startBackground(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ctx = ctx
-	g.work.Go(func() { g.watchHealth(ctx) })
+	g.wg.Go(func() { g.watchHealth(ctx) })
 	for _, addr := range g.opt.Entries {
 		g.addAddress(addr, false)
 	}
 }
 
-func (g *Guard) end() {
+func (g *Guard) shutdown() {
 	g.mu.Lock()
-	g.ended = true
+	g.closing = true
 	for _, s := range g.links {
 		s.link.Close("guard ended")
 	}
@@ -117,51 +117,51 @@
 		g.timer.Stop()
 	}
 	g.mu.Unlock()
-	g.work.Wait()
+	g.wg.Wait()
 	g.upstream.close()
 }
 
-// step feeds one event to the ledger and carries out its actions, in order.
-func (g *Guard) step(event func(now time.Time, l *ledger.Ledger)) {
+// apply feeds one event to the ledger and carries out its actions, in order.
+func (g *Guard) apply(event func(now time.Time, l *ledger.Ledger)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stepLocked(event)
+	g.applyLocked(event)
 }
 
-func (g *Guard) stepLocked(event func(now time.Time, l *ledger.Ledger)) {
+func (g *Guard) applyLocked(event func(now time.Time, l *ledger.Ledger)) {
 	now := time.Now()
 	event(now, g.ledger)
-	for _, a := range g.ledger.Actions() {
+	for _, action := range g.ledger.Actions() {
 		switch {
-		case a.Run != nil:
-			g.start(*a.Run)
-		case a.Send != nil:
-			g.send(a.Send)
+		case action.Run != nil:
+			g.startTask(*action.Run)
+		case action.Send != nil:
+			g.sendFrame(action.Send)
 		}
 	}
-	g.schedule(now)
-	g.noteIdle()
+	g.scheduleTick(now)
+	g.closeDrainedIfIdle()
 }
 
-// start runs a task beside the event loop.
-func (g *Guard) start(run ledger.Run) {
-	if g.ended {
+// startTask runs a task beside the event loop.
+func (g *Guard) startTask(run ledger.Run) {
+	if g.closing {
 		return
 	}
-	g.count.started.Inc(1)
+	g.metrics.tasksStarted.Inc(1)
 	ctx := g.ctx
-	g.work.Go(func() {
+	g.wg.Go(func() {
 		res := g.upstream.run(ctx, run)
-		if res.unreachable {
+		if res.isUnreachable {
 			g.setHealthy(false, res.Detail)
 		}
-		g.step(func(now time.Time, l *ledger.Ledger) { l.Finished(now, res.Result) })
+		g.apply(func(now time.Time, l *ledger.Ledger) { l.Finished(now, res.Result) })
 	})
 }
 
-func (g *Guard) send(s *ledger.Send) {
+func (g *Guard) sendFrame(s *ledger.Send) {
 	if r := s.Frame.Result; r != nil {
-		g.count.result(r)
+		g.metrics.countResult(r)
 	}
 	if link := g.links[s.To]; link != nil {
 		// A failed Send has ended the link; its reader cleans up, and the entry
@@ -170,8 +170,8 @@
 	}
 }
 
-// schedule arranges for tick to be called when the ledger is next due.
-func (g *Guard) schedule(now time.Time) {
+// scheduleTick arranges for tick to be called when the ledger is next due.
+func (g *Guard) scheduleTick(now time.Time) {
 	next := g.ledger.NextTick()
 	switch {
 	case next.IsZero() && g.timer != nil:
@@ -184,23 +184,23 @@
 }
 
 func (g *Guard) tick() {
-	g.step(func(now time.Time, l *ledger.Ledger) { l.Tick(now) })
+	g.apply(func(now time.Time, l *ledger.Ledger) { l.Tick(now) })
 }
 
-func (g *Guard) noteIdle() {
+func (g *Guard) closeDrainedIfIdle() {
 	if !g.ledger.Stats().Draining || !g.ledger.Idle() {
 		return
 	}
 	select {
-	case <-g.idle:
+	case <-g.drained:
 	default:
-		close(g.idle)
+		close(g.drained)
 	}
 }
 
-// handle feeds one frame from an entry to the ledger.
-func (g *Guard) handle(from identity.Incarnation, f *wire.Frame) {
-	g.stepLocked(func(now time.Time, l *ledger.Ledger) {
+// handleFrame feeds one frame from an entry to the ledger.
+func (g *Guard) handleFrame(from identity.Incarnation, f *wire.Frame) {
+	g.applyLocked(func(now time.Time, l *ledger.Ledger) {
 		switch {
 		case f.Start != nil:
 			l.Start(now, from, f.Start)
@@ -213,19 +213,19 @@
 		case f.Collect != nil:
 			l.Collect(from, f.Collect)
 		case f.Config != nil:
-			g.takeConfig(from, f.Config)
+			g.applyConfig(from, f.Config)
 		case f.ConfigAck != nil:
-			g.noteRevision(from, f.ConfigAck.Revision)
+			g.updateEntryRevision(from, f.ConfigAck.Revision)
 		case f.Welcome != nil: // tells of entries that joined since
-			g.learn(f.Welcome.Entries)
+			g.addLearnedEntries(f.Welcome.Entries)
 		case f.Goodbye != nil: // the entry closes the link when it is done
 		default:
-			g.count.unknownFrames.Inc(1)
+			g.metrics.unknownFrames.Inc(1)
 		}
 	})
 }
 
-// finalRefusal tells whether a result promises that the task never runs here.
-func finalRefusal(r *wire.Result) bool {
+// isNotRun tells whether a result promises that the task never runs here.
+func isNotRun(r *wire.Result) bool {
 	return r.Ran == errkind.RanNo
 }
--- a/internal/guard/health.go
+++ b/internal/guard/health.go
@@ -15,10 +15,10 @@
 	"wigeontray/internal/pause"
 )
 
-// slowProbes is how many health checks in a row may time out before the
+// unhealthyAfterTimeouts is how many health checks in a row may time out before the
 // upstream counts as unhealthy. One slow answer under load is no death; a
 // refused connection or an error status takes effect at once.
-const slowProbes = 2
+const unhealthyAfterTimeouts = 2
 
 // prober checks the upstream's health on connections of its own, at most one
 // at a time, so that a check never waits behind tasks.
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.opt.HealthTimeout)
 	defer cancel()
 	if p.opt.HealthPath == "" {
-		return p.connect(ctx)
+		return p.probeTCP(ctx)
 	}
 	target := strings.TrimSuffix(p.opt.Upstream, "/") + p.opt.HealthPath
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -56,14 +56,14 @@
 		return fmt.Errorf("health check: %w", err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.CopyN(io.Discard, resp.Body, maxDetail)
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDetailBytes)
 	if resp.StatusCode < 200 || resp.StatusCode > 299 {
 		return fmt.Errorf("health check: status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-func (p *prober) connect(ctx context.Context) error {
+func (p *prober) probeTCP(ctx context.Context) error {
 	u, err := url.Parse(p.opt.Upstream)
 	if err != nil {
 		return fmt.Errorf("health check: %w", err)
@@ -79,15 +79,15 @@
 // a word would otherwise look idle and be given work before any other.
 func (g *Guard) watchHealth(ctx context.Context) {
 	p := newProber(g.opt)
-	slow := 0
+	timeouts := 0
 	for ctx.Err() == nil {
 		err := p.probe(ctx)
 		switch {
 		case err == nil:
-			slow = 0
+			timeouts = 0
 			g.setHealthy(true, "")
-		case timedOut(err) && slow+1 < slowProbes:
-			slow++
+		case isTimeout(err) && timeouts+1 < unhealthyAfterTimeouts:
+			timeouts++
 		case ctx.Err() == nil:
 			g.setHealthy(false, err.Error())
 		}
@@ -95,13 +95,13 @@
 	}
 }
 
-func timedOut(err error) bool {
-	var e net.Error
-	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &e) && e.Timeout()
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
 func (g *Guard) setHealthy(healthy bool, reason string) {
-	g.step(func(now time.Time, l *ledger.Ledger) {
+	g.apply(func(now time.Time, l *ledger.Ledger) {
 		if l.Stats().Healthy == healthy {
 			return
 		}
--- a/internal/guard/links.go
+++ b/internal/guard/links.go
@@ -17,77 +17,77 @@
 const (
 	dialTimeout    = 5 * time.Second
 	welcomeTimeout = 5 * time.Second
-	backoffMin     = 100 * time.Millisecond
-	backoffMax     = 5 * time.Second
-	// steadyAfter is how long a link must last before its loss counts as the
+	minBackoff     = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// backoffResetAge is how long a link must last before its loss counts as the
 	// first failure. An entry that welcomes a guard and then ends the link, as
 	// one with another fleet key may, would otherwise be dialed ten times a
 	// second by every guard.
-	steadyAfter = 10 * time.Second
-	// forgetAfter is how long an address that an entry told is dialed without
+	backoffResetAge = 10 * time.Second
+	// learnedAddressTimeout is how long an address that an entry told is dialed without
 	// success. Entries are replaced daily, and without a bound a guard would
 	// dial every entry that ever was.
-	forgetAfter  = 10 * time.Minute
-	maxAddresses = 64 // entries that a guard links to
+	learnedAddressTimeout = 10 * time.Minute
+	maxAddresses          = 64 // entries that a guard links to
 )
 
 // address is one place where an entry is reached.
 type address struct {
-	addr    string
-	learned bool // told by an entry, not by the settings
-	reached time.Time
+	addr        string
+	isLearned   bool // told by an entry, not by the settings
+	lastReached time.Time
 }
 
 // session is one established link.
 type session struct {
-	entry    identity.Incarnation
-	link     wire.Link
-	revision int64         // configuration in force at the entry, as far as known
-	replaced *session      // newer link of the same incarnation, if any
-	ended    chan struct{} // closed when the link is no longer read
+	entry          identity.Incarnation
+	link           wire.Link
+	configRevision int64         // configuration in force at the entry, as far as known
+	replacedBy     *session      // newer link of the same incarnation, if any
+	readDone       chan struct{} // closed when the link is no longer read
 }
 
 // addAddress begins to link to addr unless that is under way. g.mu is held.
-func (g *Guard) addAddress(addr string, learned bool) {
-	if g.addrs[addr] != nil || len(g.addrs) >= maxAddresses || g.ended {
+func (g *Guard) addAddress(addr string, isLearned bool) {
+	if g.addresses[addr] != nil || len(g.addresses) >= maxAddresses || g.closing {
 		return
 	}
-	a := &address{addr: addr, learned: learned, reached: time.Now()}
-	g.addrs[addr] = a
+	a := &address{addr: addr, isLearned: isLearned, lastReached: time.Now()}
+	g.addresses[addr] = a
 	ctx := g.ctx
-	g.work.Go(func() { g.keepLinked(ctx, a) })
+	g.wg.Go(func() { g.maintainLink(ctx, a) })
 }
 
-// keepLinked holds a link to one address until ctx ends or the address is
+// maintainLink holds a link to one address until ctx ends or the address is
 // given up.
-func (g *Guard) keepLinked(ctx context.Context, a *address) {
-	backoff := backoffMin
-	for ctx.Err() == nil && !g.closing() {
-		began := time.Now()
-		if s, err := g.connect(ctx, a); err == nil {
-			g.serve(ctx, s)
-			g.waitReplaced(ctx, s)
+func (g *Guard) maintainLink(ctx context.Context, a *address) {
+	backoff := minBackoff
+	for ctx.Err() == nil && !g.isClosing() {
+		startedAt := time.Now()
+		if s, err := g.openSession(ctx, a); err == nil {
+			g.serveSession(ctx, s)
+			g.waitForReplacements(ctx, s)
 		} else {
-			g.count.linkFailures.Inc(1)
-			if g.giveUp(a) {
+			g.metrics.linkFailures.Inc(1)
+			if g.dropIfUnreachable(a) {
 				return
 			}
 		}
-		if time.Since(began) > steadyAfter {
-			backoff = backoffMin
+		if time.Since(startedAt) > backoffResetAge {
+			backoff = minBackoff
 		}
 		pause.For(ctx, g.jitter(backoff))
-		backoff = min(2*backoff, backoffMax)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// waitReplaced waits until the newer link that replaced s has ended as well.
+// waitForReplacements waits until the newer link that replaced s has ended as well.
 // When two addresses lead to one entry, each new link ends the other; if both
 // sides redialed at once, the entry would lose and regain this guard for ever.
-func (g *Guard) waitReplaced(ctx context.Context, s *session) {
+func (g *Guard) waitForReplacements(ctx context.Context, s *session) {
 	for s = g.replacement(s); s != nil; s = g.replacement(s) {
 		select {
-		case <-s.ended:
+		case <-s.readDone:
 		case <-ctx.Done():
 			return
 		}
@@ -97,23 +97,23 @@
 func (g *Guard) replacement(s *session) *session {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return s.replaced
+	return s.replacedBy
 }
 
-func (g *Guard) closing() bool {
+func (g *Guard) isClosing() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ended
+	return g.closing
 }
 
-// giveUp forgets a learned address that was not reached for a long time.
-func (g *Guard) giveUp(a *address) bool {
-	if !a.learned || time.Since(a.reached) < forgetAfter {
+// dropIfUnreachable forgets a learned address that was not reached for a long time.
+func (g *Guard) dropIfUnreachable(a *address) bool {
+	if !a.isLearned || time.Since(a.lastReached) < learnedAddressTimeout {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.addrs, a.addr)
+	delete(g.addresses, a.addr)
 	return true
 }
 
@@ -125,25 +125,25 @@
 	return d/2 + time.Duration(g.rand.Int64N(int64(d/2)+1))
 }
 
-// connect dials an address and exchanges Hello and Welcome.
-func (g *Guard) connect(ctx context.Context, a *address) (*session, error) {
+// openSession dials an address and exchanges Hello and Welcome.
+func (g *Guard) openSession(ctx context.Context, a *address) (*session, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	link, err := g.opt.Dial(dialCtx, a.addr)
 	if err != nil {
 		return nil, fmt.Errorf("dial entry %s: %w", a.addr, err)
 	}
-	welcome, err := g.greet(ctx, link)
+	welcome, err := g.handshake(ctx, link)
 	if err != nil {
 		link.Close("no welcome")
 		return nil, fmt.Errorf("entry %s: %w", a.addr, err)
 	}
-	a.reached = time.Now()
-	return g.adopt(link, welcome), nil
+	a.lastReached = time.Now()
+	return g.registerSession(link, welcome), nil
 }
 
-func (g *Guard) greet(ctx context.Context, link wire.Link) (*wire.Welcome, error) {
-	if err := link.Send(&wire.Frame{Hello: g.hello()}); err != nil {
+func (g *Guard) handshake(ctx context.Context, link wire.Link) (*wire.Welcome, error) {
+	if err := link.Send(&wire.Frame{Hello: g.newHello()}); err != nil {
 		return nil, fmt.Errorf("send hello: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, welcomeTimeout)
@@ -161,41 +161,41 @@
 	return f.Welcome, nil
 }
 
-func (g *Guard) hello() *wire.Hello {
+func (g *Guard) newHello() *wire.Hello {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return &wire.Hello{
 		Version: wire.Version, MinVersion: wire.MinVersion, Incarnation: g.incarnation,
 		Service: g.opt.Service, Worker: g.opt.Worker, Rack: g.opt.Rack,
 		Domain: g.opt.Domain, Region: g.opt.Region, Slots: g.opt.Slots,
-		Accelerator: g.opt.Accelerator, MemoryMB: g.opt.MemoryMB, Revision: g.revision(), Load: g.ledger.Load(),
+		Accelerator: g.opt.Accelerator, MemoryMB: g.opt.MemoryMB, Revision: g.configRevision(), Load: g.ledger.Load(),
 		Software: g.opt.Software, Key: g.opt.Key,
 	}
 }
 
-// adopt makes a welcomed link the current one of its entry. An older link of
+// registerSession makes a welcomed link the current one of its entry. An older link of
 // the same incarnation is ended and no longer read: a frame that it still holds
 // could be a Cancel or Reserve that the entry has since replaced.
-func (g *Guard) adopt(link wire.Link, w *wire.Welcome) *session {
-	s := &session{entry: w.Incarnation, link: link, revision: w.Revision, ended: make(chan struct{})}
+func (g *Guard) registerSession(link wire.Link, w *wire.Welcome) *session {
+	s := &session{entry: w.Incarnation, link: link, configRevision: w.Revision, readDone: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if old := g.links[s.entry]; old != nil {
-		old.replaced = s
+		old.replacedBy = s
 		old.link.Close("superseded")
-		g.count.superseded.Inc(1)
+		g.metrics.linksSuperseded.Inc(1)
 	}
 	g.links[s.entry] = s
-	g.count.linksOpened.Inc(1)
+	g.metrics.linksOpened.Inc(1)
 	g.opt.Logger.Info("linked", "entry", s.entry)
-	g.stepLocked(func(now time.Time, l *ledger.Ledger) { l.LinkUp(now, s.entry) })
-	g.learn(w.Entries)
-	g.offerConfig(s)
+	g.applyLocked(func(now time.Time, l *ledger.Ledger) { l.LinkUp(now, s.entry) })
+	g.addLearnedEntries(w.Entries)
+	g.scheduleConfigSend(s)
 	return s
 }
 
-// learn begins to link to entries that another entry told of.
-func (g *Guard) learn(entries []wire.EntryAddr) {
+// addLearnedEntries begins to link to entries that another entry told of.
+func (g *Guard) addLearnedEntries(entries []wire.EntryAddr) {
 	for _, e := range entries {
 		if e.Inner != "" && g.links[e.Incarnation] == nil {
 			g.addAddress(e.Inner, true)
@@ -203,12 +203,12 @@
 	}
 }
 
-// serve reads a link until it ends or is replaced.
-func (g *Guard) serve(ctx context.Context, s *session) {
-	defer close(s.ended)
+// serveSession reads a link until it ends or is replaced.
+func (g *Guard) serveSession(ctx context.Context, s *session) {
+	defer close(s.readDone)
 	for {
 		f, err := s.link.Recv(ctx)
-		if err != nil || !g.receive(s, f) {
+		if err != nil || !g.handleIfCurrent(s, f) {
 			break
 		}
 	}
@@ -220,22 +220,22 @@
 	}
 	delete(g.links, s.entry)
 	g.opt.Logger.Info("link lost", "entry", s.entry)
-	g.stepLocked(func(now time.Time, l *ledger.Ledger) { l.LinkDown(now, s.entry) })
+	g.applyLocked(func(now time.Time, l *ledger.Ledger) { l.LinkDown(now, s.entry) })
 }
 
-// receive handles a frame if its link is still the current one of its entry.
-func (g *Guard) receive(s *session, f *wire.Frame) bool {
+// handleIfCurrent handles a frame if its link is still the current one of its entry.
+func (g *Guard) handleIfCurrent(s *session, f *wire.Frame) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.links[s.entry] != s {
 		return false
 	}
-	g.handle(s.entry, f)
+	g.handleFrame(s.entry, f)
 	return true
 }
 
-// socketDialer opens WebSocket links; tlsConfig nil means plain text.
-func socketDialer(tlsConfig *tls.Config) func(context.Context, string) (wire.Link, error) {
+// webSocketDialer opens WebSocket links; tlsConfig nil means plain text.
+func webSocketDialer(tlsConfig *tls.Config) func(context.Context, string) (wire.Link, error) {
 	scheme := "ws"
 	if tlsConfig != nil {
 		scheme = "wss"
--- a/internal/guard/options.go
+++ b/internal/guard/options.go
@@ -22,18 +22,18 @@
 
 // Defaults of Options.
 const (
-	DefaultConnections   = 64
-	DefaultHealthEvery   = time.Second
-	DefaultHealthTimeout = time.Second
-	DefaultMaxAnswer     = 2 << 20
-	DefaultUpstreamIdle  = 2 * time.Second
+	DefaultMaxConnections      = 64
+	DefaultHealthInterval      = time.Second
+	DefaultHealthTimeout       = time.Second
+	DefaultMaxResponseBytes    = 2 << 20
+	DefaultUpstreamIdleTimeout = 2 * time.Second
 )
 
-// frameMargin is the room that a Result needs in a frame besides its body.
-const frameMargin = 64 << 10
+// resultOverheadBytes is the room that a Result needs in a frame besides its body.
+const resultOverheadBytes = 64 << 10
 
-// workerForm leaves room for the suffix that makes a name an incarnation.
-var workerForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,49}$`)
+// workerPattern leaves room for the suffix that makes a name an incarnation.
+var workerPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,49}$`)
 
 // Options configures a Guard. A zero field takes its default where one exists.
 type Options struct {
@@ -56,11 +56,11 @@
 	HealthEvery   time.Duration // period of the health check
 	HealthTimeout time.Duration // bound on one health check
 	Connections   int           // to the upstream at once, at least 2
-	// UpstreamIdle is how long a connection is kept unused. It must be shorter
+	// UpstreamIdleTimeout is how long a connection is kept unused. It must be shorter
 	// than the upstream's own limit: if the upstream closes a connection at the
 	// moment when a task is written to it, nobody knows whether the task ran.
-	UpstreamIdle time.Duration
-	MaxAnswer    int // bytes of one upstream answer
+	UpstreamIdleTimeout time.Duration
+	MaxAnswer           int // bytes of one upstream answer
 
 	Admin    string           // loopback host:port of the admin HTTP; empty for none
 	Metrics  http.Handler     // serves /metrics on the admin HTTP; may be nil
@@ -78,11 +78,11 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Slots, ledger.DefaultSlots)
-	setDefault(&o.Connections, DefaultConnections)
-	setDefault(&o.HealthEvery, DefaultHealthEvery)
+	setDefault(&o.Connections, DefaultMaxConnections)
+	setDefault(&o.HealthEvery, DefaultHealthInterval)
 	setDefault(&o.HealthTimeout, DefaultHealthTimeout)
-	setDefault(&o.MaxAnswer, DefaultMaxAnswer)
-	setDefault(&o.UpstreamIdle, DefaultUpstreamIdle)
+	setDefault(&o.MaxAnswer, DefaultMaxResponseBytes)
+	setDefault(&o.UpstreamIdleTimeout, DefaultUpstreamIdleTimeout)
 	o.Ledger.Slots = o.Slots
 	o.Ledger.Member, _, _ = strings.Cut(o.Service, "/")
 	if o.Registry == nil {
@@ -92,7 +92,7 @@
 		o.Logger = log.New(io.Discard)
 	}
 	if o.Dial == nil {
-		o.Dial = socketDialer(o.TLS)
+		o.Dial = webSocketDialer(o.TLS)
 	}
 	if o.DialUpstream == nil {
 		o.DialUpstream = new(net.Dialer).DialContext
@@ -100,20 +100,20 @@
 	return o
 }
 
-func setDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *v == zero {
-		*v = d
+	if *field == zero {
+		*field = value
 	}
 }
 
-// check reports the first option that cannot work.
-func (o Options) check() error {
+// validate reports the first option that cannot work.
+func (o Options) validate() error {
 	member, service, ok := strings.Cut(o.Service, "/")
 	if !ok || member == "" || service == "" {
 		return fmt.Errorf("service %q: want member/service", o.Service)
 	}
-	if !workerForm.MatchString(o.Worker) {
+	if !workerPattern.MatchString(o.Worker) {
 		return fmt.Errorf("worker %q: want 1 to 50 lower-case letters, digits and dashes", o.Worker)
 	}
 	if len(o.Entries) == 0 {
@@ -122,15 +122,15 @@
 	if o.Slots < 1 || o.Connections < 2 {
 		return fmt.Errorf("slots %d, connections %d: want at least 1 and 2", o.Slots, o.Connections)
 	}
-	if o.MaxAnswer < 1 || o.MaxAnswer > wire.MaxFrame-frameMargin {
-		return fmt.Errorf("largest answer %d bytes: want 1 to %d", o.MaxAnswer, wire.MaxFrame-frameMargin)
+	if o.MaxAnswer < 1 || o.MaxAnswer > wire.MaxFrame-resultOverheadBytes {
+		return fmt.Errorf("largest answer %d bytes: want 1 to %d", o.MaxAnswer, wire.MaxFrame-resultOverheadBytes)
 	}
-	return o.checkUpstream()
+	return o.validateUpstream()
 }
 
-// checkUpstream also refuses https: the proof that a request was never written
+// validateUpstream also refuses https: the proof that a request was never written
 // counts bytes on the plain connection, and the upstream is on the same worker.
-func (o Options) checkUpstream() error {
+func (o Options) validateUpstream() error {
 	u, err := url.Parse(o.Upstream)
 	if err != nil || u.Scheme != "http" || u.Host == "" || u.Path != "" && u.Path != "/" {
 		return fmt.Errorf("upstream %q: want http://host:port", o.Upstream)
--- a/internal/guard/upstream.go
+++ b/internal/guard/upstream.go
@@ -27,8 +27,8 @@
 
 // Bounds on what is read of an answer besides its body.
 const (
-	maxDetail         = 512 // bytes of an error's body that are kept
-	maxResponseHeader = 64 << 10
+	maxDetailBytes         = 512 // bytes of an error's body that are kept
+	maxResponseHeaderBytes = 64 << 10
 )
 
 // TaskName is the value of TaskHeader for a Ref.
@@ -38,10 +38,10 @@
 
 // upstream posts tasks to the service beside the guard.
 type upstream struct {
-	base      string
-	path      atomic.Pointer[string] // read for each task, replaced by configuration
-	maxAnswer int64
-	transport *http.Transport
+	baseURL          string
+	path             atomic.Pointer[string] // read for each task, replaced by configuration
+	maxResponseBytes int64
+	transport        *http.Transport
 }
 
 // newUpstream leaves one of the connections to the health check. Redirects are
@@ -51,15 +51,15 @@
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	u := &upstream{
-		base:      strings.TrimSuffix(opt.Upstream, "/"),
-		maxAnswer: int64(opt.MaxAnswer),
+		baseURL:          strings.TrimSuffix(opt.Upstream, "/"),
+		maxResponseBytes: int64(opt.MaxAnswer),
 		transport: &http.Transport{
-			DialContext:            provenDialer(opt.DialUpstream),
+			DialContext:            trackedDialer(opt.DialUpstream),
 			MaxConnsPerHost:        opt.Connections - 1,
 			MaxIdleConnsPerHost:    opt.Connections - 1,
-			IdleConnTimeout:        opt.UpstreamIdle,
+			IdleConnTimeout:        opt.UpstreamIdleTimeout,
 			DisableCompression:     true,
-			MaxResponseHeaderBytes: maxResponseHeader,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 			Protocols:              protocols,
 		},
 	}
@@ -68,52 +68,52 @@
 	return u
 }
 
-// url is where tasks are posted now.
-func (u *upstream) url() string { return u.base + *u.path.Load() }
+// taskURL is where tasks are posted now.
+func (u *upstream) taskURL() string { return u.baseURL + *u.path.Load() }
 
 func (u *upstream) close() { u.transport.CloseIdleConnections() }
 
-// runResult is a Result and what it says about the upstream.
-type runResult struct {
+// taskResult is a Result and what it says about the upstream.
+type taskResult struct {
 	wire.Result
-	unreachable bool // no connection could be made
+	isUnreachable bool // no connection could be made
 }
 
 // run posts one task and waits for the whole answer, until the deadline.
-func (u *upstream) run(ctx context.Context, task ledger.Run) runResult {
-	began := time.Now()
+func (u *upstream) run(ctx context.Context, task ledger.Run) taskResult {
+	startedAt := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, task.Deadline)
 	defer cancel()
 	res := u.post(ctx, task)
 	res.Ref = task.Ref
-	res.RunMs = time.Since(began).Milliseconds()
-	res.Detail = clip(res.Detail)
+	res.RunMs = time.Since(startedAt).Milliseconds()
+	res.Detail = truncateDetail(res.Detail)
 	return res
 }
 
-func (u *upstream) post(ctx context.Context, task ledger.Run) runResult {
-	var tries attempts
-	req, err := u.request(httptrace.WithClientTrace(ctx, tries.trace()), task)
+func (u *upstream) post(ctx context.Context, task ledger.Run) taskResult {
+	var attempts connAttempts
+	req, err := u.newRequest(httptrace.WithClientTrace(ctx, attempts.trace()), task)
 	if err != nil {
-		return failure(errkind.BadRequest, errkind.RanNo, err)
+		return failedResult(errkind.BadRequest, errkind.RanNo, err)
 	}
 	resp, err := u.transport.RoundTrip(req)
 	if err != nil {
-		return tries.classify(ctx, err)
+		return attempts.classifyError(ctx, err)
 	}
 	defer resp.Body.Close()
-	return u.read(ctx, resp)
+	return u.readResponse(ctx, resp)
 }
 
-// request makes a request that net/http cannot send again by itself. Transport
+// newRequest makes a request that net/http cannot send again by itself. Transport
 // repeats a request on a fresh connection when a reused one was closed and the
 // request is "replayable": its method is safe, or it has an Idempotency-Key
 // header, and its body can be had again by GetBody. For an upstream that read
 // the request and then closed, the task would run twice. So the method is POST,
 // no such header is set, and the body's type gives http.NewRequest no GetBody.
-func (u *upstream) request(ctx context.Context, task ledger.Run) (*http.Request, error) {
+func (u *upstream) newRequest(ctx context.Context, task ledger.Run) (*http.Request, error) {
 	body := struct{ io.Reader }{bytes.NewReader(task.Body)}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.url(), body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.taskURL(), body)
 	if err != nil {
 		return nil, fmt.Errorf("make request: %w", err)
 	}
@@ -127,42 +127,42 @@
 	return req, nil
 }
 
-// read takes in an answer whole, or tells why it is not.
-func (u *upstream) read(ctx context.Context, resp *http.Response) runResult {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, u.maxAnswer+1))
+// readResponse takes in an answer whole, or tells why it is not.
+func (u *upstream) readResponse(ctx context.Context, resp *http.Response) taskResult {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, u.maxResponseBytes+1))
 	switch {
 	case err != nil && ctx.Err() != nil:
-		return failure(errkind.TimedOut, errkind.RanYes, fmt.Errorf("read answer: %w", err))
+		return failedResult(errkind.TimedOut, errkind.RanYes, fmt.Errorf("read answer: %w", err))
 	case err != nil:
-		return failure(errkind.UpstreamPartial, errkind.RanYes, fmt.Errorf("read answer: %w", err))
-	case int64(len(body)) > u.maxAnswer:
-		return failure(errkind.UpstreamFailed, errkind.RanYes, fmt.Errorf("answer exceeds %d bytes", u.maxAnswer))
+		return failedResult(errkind.UpstreamPartial, errkind.RanYes, fmt.Errorf("read answer: %w", err))
+	case int64(len(body)) > u.maxResponseBytes:
+		return failedResult(errkind.UpstreamFailed, errkind.RanYes, fmt.Errorf("answer exceeds %d bytes", u.maxResponseBytes))
 	case resp.StatusCode < 200 || resp.StatusCode > 299:
-		res := failure(errkind.UpstreamFailed, errkind.RanYes, errors.New(string(body[:min(len(body), maxDetail)])))
+		res := failedResult(errkind.UpstreamFailed, errkind.RanYes, errors.New(string(body[:min(len(body), maxDetailBytes)])))
 		res.Status = resp.StatusCode
 		return res
-	case unframed(resp):
-		return failure(errkind.UpstreamPartial, errkind.RanYes, errors.New("answer has neither a length nor chunks"))
+	case isCloseDelimited(resp):
+		return failedResult(errkind.UpstreamPartial, errkind.RanYes, errors.New("answer has neither a length nor chunks"))
 	}
-	return runResult{Result: wire.Result{Ran: errkind.RanYes, Status: resp.StatusCode, Body: body}}
+	return taskResult{Result: wire.Result{Ran: errkind.RanYes, Status: resp.StatusCode, Body: body}}
 }
 
-// unframed tells whether the end of the body was only told by the end of the
+// isCloseDelimited tells whether the end of the body was only told by the end of the
 // connection. An upstream that dies in the middle of such a body looks as if it
 // had finished, and half an answer would be passed on as a whole one.
-func unframed(resp *http.Response) bool {
+func isCloseDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-func failure(kind errkind.Kind, ran errkind.Ran, err error) runResult {
-	return runResult{Result: wire.Result{Kind: kind, Ran: ran, Detail: err.Error()}}
+func failedResult(kind errkind.Kind, ran errkind.Ran, err error) taskResult {
+	return taskResult{Result: wire.Result{Kind: kind, Ran: ran, Detail: err.Error()}}
 }
 
-// clip bounds a detail and keeps it valid UTF-8: a text string that is not is
+// truncateDetail bounds a detail and keeps it valid UTF-8: a text string that is not is
 // refused by the decoder at the entry, which would end the link.
-func clip(detail string) string {
-	if len(detail) > maxDetail {
-		detail = detail[:maxDetail]
+func truncateDetail(detail string) string {
+	if len(detail) > maxDetailBytes {
+		detail = detail[:maxDetailBytes]
 	}
 	return strings.ToValidUTF8(detail, "?")
 }
--- a/internal/guard/upstream_test.go
+++ b/internal/guard/upstream_test.go
@@ -25,15 +25,15 @@
 // the connection.
 type rawUpstream struct {
 	net.Listener
-	script func(n int) (answer string, last bool)
-	mu     sync.Mutex
-	tasks  []string // TaskHeader of each request
+	respond func(n int) (answer string, last bool)
+	mu      sync.Mutex
+	tasks   []string // TaskHeader of each request
 }
 
-func newRawUpstream(t testing.TB, script func(int) (string, bool)) *rawUpstream {
+func newRawUpstream(t testing.TB, respond func(int) (string, bool)) *rawUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	u := &rawUpstream{Listener: l, script: script}
+	u := &rawUpstream{Listener: l, respond: respond}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for conn, err := l.Accept(); err == nil; conn, err = l.Accept() {
@@ -53,17 +53,17 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		u.mu.Lock()
-		answer, last := u.script(len(u.tasks))
+		response, closeConn := u.respond(len(u.tasks))
 		u.tasks = append(u.tasks, req.Header.Get(TaskHeader))
 		u.mu.Unlock()
-		_, _ = io.WriteString(conn, answer)
-		if last {
+		_, _ = io.WriteString(conn, response)
+		if closeConn {
 			return
 		}
 	}
 }
 
-func (u *rawUpstream) seen(task string) int {
+func (u *rawUpstream) requestCount(task string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return strings.Count(strings.Join(u.tasks, "\n")+"\n", task+"\n")
@@ -83,19 +83,19 @@
 	return c
 }
 
-func runOf(key string) ledger.Run {
+func newRun(key string) ledger.Run {
 	return ledger.Run{Ref: wire.Ref{Member: "ayni", Key: key}, Body: []byte("{}"), Deadline: time.Now().Add(5 * time.Second)}
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
-// closesOnReuse answers the first request and keeps the connection; it reads
+// closeOnReuse answers the first request and keeps the connection; it reads
 // the second whole and closes. Later ones are answered.
-func closesOnReuse(n int) (string, bool) {
+func closeOnReuse(n int) (string, bool) {
 	if n == 1 {
 		return "", true
 	}
-	return ok, false
+	return okResponse, false
 }
 
 // The upstream reads a booking on a connection that was used before, starts the
@@ -104,14 +104,14 @@
 // send it once and say that it may have run; the naive client, as a control,
 // sends it twice.
 func TestRequestIsNotResent(t *testing.T) {
-	u := newRawUpstream(t, closesOnReuse)
+	u := newRawUpstream(t, closeOnReuse)
 	c := u.client(t, nil)
-	qt.Assert(t, c.run(t.Context(), runOf("warm")).Kind, qt.Equals, errkind.None)
-	got := c.run(t.Context(), runOf("booking"))
-	qt.Assert(t, verdicts(got.Result), qt.DeepEquals, []string{"upstream_failed, ran unknown, 0"})
-	qt.Assert(t, u.seen("ayni/booking/0"), qt.Equals, 1)
+	qt.Assert(t, c.run(t.Context(), newRun("warm")).Kind, qt.Equals, errkind.None)
+	got := c.run(t.Context(), newRun("booking"))
+	qt.Assert(t, summaries(got.Result), qt.DeepEquals, []string{"upstream_failed, ran unknown, 0"})
+	qt.Assert(t, u.requestCount("ayni/booking/0"), qt.Equals, 1)
 
-	control := newRawUpstream(t, closesOnReuse)
+	control := newRawUpstream(t, closeOnReuse)
 	naive := &http.Client{Transport: new(http.Transport)}
 	for _, key := range []string{"warm", "booking"} {
 		req, err := http.NewRequest(http.MethodPost, control.url(), bytes.NewReader([]byte("{}")))
@@ -124,7 +124,7 @@
 		_ = resp.Body.Close()
 	}
 	naive.CloseIdleConnections()
-	qt.Assert(t, control.seen("booking"), qt.Equals, 2)
+	qt.Assert(t, control.requestCount("booking"), qt.Equals, 2)
 }
 
 // Upstreams die, refuse, cut their answers short and redirect. The caller reads
@@ -148,11 +148,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			u := newRawUpstream(t, func(int) (string, bool) { return test.answer, true })
 			c := u.client(t, func(o *Options) { o.MaxAnswer = 8 })
-			got := c.run(t.Context(), runOf("booking"))
-			qt.Check(t, verdicts(got.Result), qt.DeepEquals, []string{test.want})
+			got := c.run(t.Context(), newRun("booking"))
+			qt.Check(t, summaries(got.Result), qt.DeepEquals, []string{test.want})
 			qt.Check(t, got.Detail, qt.Contains, test.detail)
 			qt.Check(t, utf8.ValidString(got.Detail) && got.Body == nil, qt.IsTrue)
-			qt.Check(t, u.seen("ayni/booking/0"), qt.Equals, 1)
+			qt.Check(t, u.requestCount("ayni/booking/0"), qt.Equals, 1)
 		})
 	}
 }
@@ -163,34 +163,34 @@
 	u := newRawUpstream(t, nil)
 	c := u.client(t, nil)
 	_ = u.Close()
-	got := c.run(t.Context(), runOf("booking"))
-	qt.Assert(t, verdicts(got.Result), qt.DeepEquals, []string{"upstream_failed, ran no, 0"})
-	qt.Assert(t, got.unreachable, qt.IsTrue)
+	got := c.run(t.Context(), newRun("booking"))
+	qt.Assert(t, summaries(got.Result), qt.DeepEquals, []string{"upstream_failed, ran no, 0"})
+	qt.Assert(t, got.isUnreachable, qt.IsTrue)
 }
 
 // All connections hang and the next task waits for one until its deadline. It
 // was never written, so it is "not run"; the one that hangs may have run.
-func TestDeadlineTellsWrittenFromUnwritten(t *testing.T) {
-	read, hang := make(chan struct{}), make(chan struct{})
-	defer close(hang)
+func TestDeadlineDistinguishesWrittenFromUnwritten(t *testing.T) {
+	requestRead, release := make(chan struct{}), make(chan struct{})
+	defer close(release)
 	u := newRawUpstream(t, func(n int) (string, bool) {
 		if n == 0 {
-			close(read)
+			close(requestRead)
 		}
-		<-hang
+		<-release
 		return "", true
 	})
 	c := u.client(t, func(o *Options) { o.Connections = 2 })
 	// Far beyond the other deadline: once it passes, the connection is free.
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	written := make(chan runResult, 1)
-	go func() { written <- c.run(ctx, runOf("written")) }()
-	<-read
-	waiting := runOf("waiting")
+	written := make(chan taskResult, 1)
+	go func() { written <- c.run(ctx, newRun("written")) }()
+	<-requestRead
+	waiting := newRun("waiting")
 	waiting.Deadline = time.Now().Add(50 * time.Millisecond)
 	got := []wire.Result{c.run(t.Context(), waiting).Result, (<-written).Result}
-	qt.Assert(t, verdicts(got...), qt.DeepEquals, []string{
+	qt.Assert(t, summaries(got...), qt.DeepEquals, []string{
 		"deadline_expired, ran no, 0", "timed_out, ran unknown, 0",
 	})
 }
@@ -201,13 +201,13 @@
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	a, b := net.Pipe()
 	_ = b.Close()
-	c := &provenConn{Conn: a}
-	qt.Assert(t, c.sealAt(c.position()), qt.IsTrue)
+	c := &trackedConn{Conn: a}
+	qt.Assert(t, c.sealIfUnwritten(c.offset()), qt.IsTrue)
 	_, err := c.Write([]byte("POST"))
 	qt.Assert(t, err, qt.ErrorIs, net.ErrClosed)
 
-	late := &provenConn{Conn: a}
-	at := late.position()
-	_, _ = late.Write([]byte("POST"))
-	qt.Assert(t, late.sealAt(at), qt.IsFalse)
+	written := &trackedConn{Conn: a}
+	before := written.offset()
+	_, _ = written.Write([]byte("POST"))
+	qt.Assert(t, written.sealIfUnwritten(before), qt.IsFalse)
 }
