--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -21,7 +21,7 @@
 // MaxKeyLen bounds an Idempotency-Key, in bytes.
 const MaxKeyLen = 128
 
-var incarnationForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+var incarnationPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 // Incarnation names one run of one process: its configured name and a random
 // suffix, so that a restarted process is never taken for its predecessor.
@@ -55,7 +55,7 @@
 	home, id := "", text
 	if i := strings.LastIndexByte(text, '.'); i >= 0 {
 		home, id = text[:i], text[i+1:]
-		if !incarnationForm.MatchString(home) {
+		if !incarnationPattern.MatchString(home) {
 			return Key{}, fmt.Errorf("identity %q: malformed home", text)
 		}
 	}
@@ -63,18 +63,18 @@
 	if err != nil || u.Version() != 7 || u.String() != id {
 		return Key{}, fmt.Errorf("identity %q: want a lower-case UUIDv7 or home.UUIDv7", text)
 	}
-	return Key{Text: text, Home: Incarnation(home), UUID: u, BirthMs: birth(u)}, nil
+	return Key{Text: text, Home: Incarnation(home), UUID: u, BirthMs: timestampMs(u)}, nil
 }
 
 // NewTicket mints an identity that only the entry home may start.
 func NewTicket(home Incarnation, now time.Time) Key {
 	u := uuid.Must(uuid.NewV7())
-	setBirth(&u, now.UnixMilli())
+	setTimestampMs(&u, now.UnixMilli())
 	return Key{Text: string(home) + "." + u.String(), Home: home, UUID: u, BirthMs: now.UnixMilli()}
 }
 
-// birth reads the 48-bit millisecond timestamp of a UUIDv7 (RFC 9562, 5.7).
-func birth(u uuid.UUID) int64 {
+// timestampMs reads the 48-bit millisecond timestamp of a UUIDv7 (RFC 9562, 5.7).
+func timestampMs(u uuid.UUID) int64 {
 	var ms int64
 	for _, b := range u[:6] {
 		ms = ms<<8 | int64(b)
@@ -82,7 +82,7 @@
 	return ms
 }
 
-func setBirth(u *uuid.UUID, ms int64) {
+func setTimestampMs(u *uuid.UUID, ms int64) {
 	for i := 5; i >= 0; i-- {
 		u[i] = byte(ms)
 		ms >>= 8
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -17,7 +17,7 @@
 	c.Assert(got.BirthMs, qt.Equals, now.UnixMilli())
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsMalformedKeys(t *testing.T) {
 	for _, text := range []string{
 		"", "booking-7", "9b2d0f2e-55aa-4a51-8f1d-0a7c5f1d8a11",
 		".0190a5d0-0000-7000-8000-000000000000", "UPPER.0190a5d0-0000-7000-8000-000000000000",
