--- a/internal/tlsconf/generate.go
+++ b/internal/tlsconf/generate.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	authorityLife = 5 * 365 * 24 * time.Hour
-	leafLife      = 365 * 24 * time.Hour
-	clockSkew     = time.Hour // a VM whose clock is behind must accept a new certificate
-	serialBits    = 127
-	certMode      = 0o644
-	keyMode       = 0o600
-	dirMode       = 0o755
+	caValidityPeriod   = 5 * 365 * 24 * time.Hour
+	leafValidityPeriod = 365 * 24 * time.Hour
+	maxClockSkew       = time.Hour // a VM whose clock is behind must accept a new certificate
+	serialBits         = 127
+	certMode           = 0o644
+	keyMode            = 0o600
+	dirMode            = 0o755
 )
 
-// issued is a certificate with its key.
-type issued struct {
+// issuedCert is a certificate with its key.
+type issuedCert struct {
 	cert *x509.Certificate
 	der  []byte
 	key  *ecdsa.PrivateKey
@@ -53,63 +53,63 @@
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return fmt.Errorf("generate fleet: %w", err)
 	}
-	authority, err := newAuthority(now)
+	ca, err := newCA(now)
 	if err != nil {
 		return err
 	}
-	entry, err := newLeaf(authority, entryTemplate(hosts), now)
+	entry, err := newLeaf(ca, entryTemplate(hosts), now)
 	if err != nil {
 		return err
 	}
-	guard, err := newLeaf(authority, guardTemplate(), now)
+	guard, err := newLeaf(ca, guardTemplate(), now)
 	if err != nil {
 		return err
 	}
-	return writeFleet(dir, authority, entry, guard)
+	return writeFleetFiles(dir, ca, entry, guard)
 }
 
-func writeFleet(dir string, authority, entry, guard *issued) error {
+func writeFleetFiles(dir string, ca, entry, guard *issuedCert) error {
 	files := []struct {
 		cert, key string
-		pair      *issued
+		pair      *issuedCert
 	}{
-		{AuthorityCert, AuthorityKey, authority},
+		{AuthorityCert, AuthorityKey, ca},
 		{EntryCert, EntryKey, entry},
 		{GuardCert, GuardKey, guard},
 	}
 	for _, f := range files {
-		if err := writePair(filepath.Join(dir, f.cert), filepath.Join(dir, f.key), f.pair); err != nil {
+		if err := writeCertAndKey(filepath.Join(dir, f.cert), filepath.Join(dir, f.key), f.pair); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func newAuthority(now time.Time) (*issued, error) {
-	t := &x509.Certificate{
+func newCA(now time.Time) (*issuedCert, error) {
+	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "wigeontray authority"},
-		NotAfter:              now.Add(authorityLife),
+		NotAfter:              now.Add(caValidityPeriod),
 		KeyUsage:              x509.KeyUsageCertSign,
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		MaxPathLenZero:        true,
 	}
-	return issue(t, nil, now)
+	return issueCert(template, nil, now)
 }
 
 func entryTemplate(hosts []string) *x509.Certificate {
-	t := &x509.Certificate{
+	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: "wigeontray entry"},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	for _, h := range hosts {
 		if ip := net.ParseIP(h); ip != nil {
-			t.IPAddresses = append(t.IPAddresses, ip)
+			template.IPAddresses = append(template.IPAddresses, ip)
 		} else {
-			t.DNSNames = append(t.DNSNames, h)
+			template.DNSNames = append(template.DNSNames, h)
 		}
 	}
-	return t
+	return template
 }
 
 func guardTemplate() *x509.Certificate {
@@ -119,27 +119,27 @@
 	}
 }
 
-func newLeaf(authority *issued, t *x509.Certificate, now time.Time) (*issued, error) {
-	t.NotAfter = now.Add(leafLife)
-	t.KeyUsage = x509.KeyUsageDigitalSignature
-	return issue(t, authority, now)
+func newLeaf(ca *issuedCert, template *x509.Certificate, now time.Time) (*issuedCert, error) {
+	template.NotAfter = now.Add(leafValidityPeriod)
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	return issueCert(template, ca, now)
 }
 
-// issue signs t with the parent, or with its own key when there is none.
-func issue(t *x509.Certificate, parent *issued, now time.Time) (*issued, error) {
+// issueCert signs t with the parent, or with its own key when there is none.
+func issueCert(template *x509.Certificate, parent *issuedCert, now time.Time) (*issuedCert, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("generate key: %w", err)
 	}
-	if t.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits)); err != nil {
+	if template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits)); err != nil {
 		return nil, fmt.Errorf("draw serial number: %w", err)
 	}
-	t.NotBefore = now.Add(-clockSkew)
-	signer, signerKey := t, key
+	template.NotBefore = now.Add(-maxClockSkew)
+	signer, signerKey := template, key
 	if parent != nil {
 		signer, signerKey = parent.cert, parent.key
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, signer, &key.PublicKey, signerKey)
+	der, err := x509.CreateCertificate(rand.Reader, template, signer, &key.PublicKey, signerKey)
 	if err != nil {
 		return nil, fmt.Errorf("sign certificate: %w", err)
 	}
@@ -147,28 +147,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("parse certificate: %w", err)
 	}
-	return &issued{cert: cert, der: der, key: key}, nil
+	return &issuedCert{cert: cert, der: der, key: key}, nil
 }
 
-func writePair(certFile, keyFile string, p *issued) error {
-	keyDER, err := x509.MarshalPKCS8PrivateKey(p.key)
+func writeCertAndKey(certFile, keyFile string, issued *issuedCert) error {
+	keyDER, err := x509.MarshalPKCS8PrivateKey(issued.key)
 	if err != nil {
 		return fmt.Errorf("encode key: %w", err)
 	}
 	if err := writePEM(keyFile, "PRIVATE KEY", keyDER, keyMode); err != nil {
 		return err
 	}
-	return writePEM(certFile, "CERTIFICATE", p.der, certMode)
+	return writePEM(certFile, "CERTIFICATE", issued.der, certMode)
 }
 
 // writePEM creates file. It fails when file exists: overwriting an authority's
 // key would cut off every process that trusts the old one.
-func writePEM(file, kind string, der []byte, mode os.FileMode) error {
+func writePEM(file, blockType string, der []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return fmt.Errorf("write key file: %w", err)
 	}
-	if err := pem.Encode(f, &pem.Block{Type: kind, Bytes: der}); err != nil {
+	if err := pem.Encode(f, &pem.Block{Type: blockType, Bytes: der}); err != nil {
 		_ = f.Close() // the first error is the one to report
 		return fmt.Errorf("write %s: %w", file, err)
 	}
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -25,23 +25,23 @@
 // their own, so TLS 1.2 is accepted there; between the system's processes both
 // ends are ours.
 const (
-	minOutside = tls.VersionTLS12
-	minInside  = tls.VersionTLS13
+	minExternalVersion = tls.VersionTLS12
+	minInternalVersion = tls.VersionTLS13
 )
 
 var (
-	errNoCertificate = errors.New("certificate and key are both needed")
-	errNoAuthority   = errors.New("the authority's certificate is needed")
+	errNoKeyPair = errors.New("certificate and key are both needed")
+	errNoCA      = errors.New("the authority's certificate is needed")
 )
 
 // CallerServer is the configuration of the listener for callers. They prove
 // who they are by token, so no certificate is asked of them.
 func CallerServer(f Files) (*tls.Config, error) {
-	cert, err := loadPair(f)
+	cert, err := loadKeyPair(f)
 	if err != nil {
 		return nil, err
 	}
-	return &tls.Config{MinVersion: minOutside, Certificates: []tls.Certificate{cert}}, nil
+	return &tls.Config{MinVersion: minExternalVersion, Certificates: []tls.Certificate{cert}}, nil
 }
 
 // InnerServer is the configuration of an entry's listener for guards and other
@@ -49,16 +49,16 @@
 // that, anybody who reaches the port could announce an upstream and be handed
 // a member's tasks.
 func InnerServer(f Files) (*tls.Config, error) {
-	cert, err := loadPair(f)
+	cert, err := loadKeyPair(f)
 	if err != nil {
 		return nil, err
 	}
-	pool, err := loadPool(f.CA)
+	pool, err := loadCertPool(f.CA)
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{
-		MinVersion:   minInside,
+		MinVersion:   minInternalVersion,
 		Certificates: []tls.Certificate{cert},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    pool,
@@ -67,24 +67,24 @@
 
 // InnerClient is the configuration with which guards and entries dial entries.
 func InnerClient(f Files) (*tls.Config, error) {
-	cert, err := loadPair(f)
+	cert, err := loadKeyPair(f)
 	if err != nil {
 		return nil, err
 	}
-	pool, err := loadPool(f.CA)
+	pool, err := loadCertPool(f.CA)
 	if err != nil {
 		return nil, err
 	}
-	return &tls.Config{MinVersion: minInside, Certificates: []tls.Certificate{cert}, RootCAs: pool}, nil
+	return &tls.Config{MinVersion: minInternalVersion, Certificates: []tls.Certificate{cert}, RootCAs: pool}, nil
 }
 
 // OutsideClient is the configuration for dialling the platform's store or an
 // entry as a caller. An empty CA means the system's authorities; an empty Cert
 // and Key mean that no certificate is presented.
 func OutsideClient(f Files) (*tls.Config, error) {
-	c := &tls.Config{MinVersion: minOutside}
+	c := &tls.Config{MinVersion: minExternalVersion}
 	if f.CA != "" {
-		pool, err := loadPool(f.CA)
+		pool, err := loadCertPool(f.CA)
 		if err != nil {
 			return nil, err
 		}
@@ -93,7 +93,7 @@
 	if f.Cert == "" && f.Key == "" {
 		return c, nil
 	}
-	cert, err := loadPair(f)
+	cert, err := loadKeyPair(f)
 	if err != nil {
 		return nil, err
 	}
@@ -101,9 +101,9 @@
 	return c, nil
 }
 
-func loadPair(f Files) (tls.Certificate, error) {
+func loadKeyPair(f Files) (tls.Certificate, error) {
 	if f.Cert == "" || f.Key == "" {
-		return tls.Certificate{}, errNoCertificate
+		return tls.Certificate{}, errNoKeyPair
 	}
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
@@ -112,9 +112,9 @@
 	return cert, nil
 }
 
-func loadPool(file string) (*x509.CertPool, error) {
+func loadCertPool(file string) (*x509.CertPool, error) {
 	if file == "" {
-		return nil, errNoAuthority
+		return nil, errNoCA
 	}
 	pem, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -14,11 +14,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func fleet(c *qt.C) (entry, guard Files) {
+func generateTestFleet(c *qt.C) (entry, guard Files) {
 	dir := c.TempDir()
 	c.Assert(GenerateFleet(dir, []string{"127.0.0.1", "entry-1.example"}, time.Now()), qt.IsNil)
-	at := func(name string) string { return filepath.Join(dir, name) }
-	return Files{at(EntryCert), at(EntryKey), at(AuthorityCert)}, Files{at(GuardCert), at(GuardKey), at(AuthorityCert)}
+	pathOf := func(name string) string { return filepath.Join(dir, name) }
+	return Files{pathOf(EntryCert), pathOf(EntryKey), pathOf(AuthorityCert)}, Files{pathOf(GuardCert), pathOf(GuardKey), pathOf(AuthorityCert)}
 }
 
 // handshake connects both configurations over loopback and returns the two
@@ -50,9 +50,9 @@
 	return <-done, clientErr
 }
 
-func TestGuardAndEntryTrustEachOther(t *testing.T) {
+func TestInnerServerAcceptsFleetCertificates(t *testing.T) {
 	c := qt.New(t)
-	entry, guard := fleet(c)
+	entry, guard := generateTestFleet(c)
 	server, err := InnerServer(entry)
 	c.Assert(err, qt.IsNil)
 	for _, files := range []Files{guard, entry} {
@@ -66,18 +66,18 @@
 
 // A process without a certificate of the fleet dials an entry's inner port.
 // If it were let in, it could announce an upstream and receive members' tasks.
-func TestStrangerIsRefused(t *testing.T) {
+func TestInnerServerRejectsUnknownClients(t *testing.T) {
 	c := qt.New(t)
-	entry, _ := fleet(c)
+	entry, _ := generateTestFleet(c)
 	server, err := InnerServer(entry)
 	c.Assert(err, qt.IsNil)
-	bare, err := OutsideClient(Files{CA: entry.CA})
+	withoutCert, err := OutsideClient(Files{CA: entry.CA})
 	c.Assert(err, qt.IsNil)
-	serverErr, clientErr := handshake(c, server, bare)
+	serverErr, clientErr := handshake(c, server, withoutCert)
 	c.Assert(serverErr, qt.IsNotNil)
 	c.Assert(clientErr, qt.IsNotNil)
 
-	_, otherGuard := fleet(c)
+	_, otherGuard := generateTestFleet(c)
 	otherGuard.CA = entry.CA
 	foreign, err := InnerClient(otherGuard)
 	c.Assert(err, qt.IsNil)
@@ -89,7 +89,7 @@
 // would run whatever tasks it is sent.
 func TestGuardCertificateCannotServe(t *testing.T) {
 	c := qt.New(t)
-	_, guard := fleet(c)
+	_, guard := generateTestFleet(c)
 	server, err := InnerServer(guard)
 	c.Assert(err, qt.IsNil)
 	client, err := InnerClient(guard)
@@ -98,9 +98,9 @@
 	c.Assert(clientErr, qt.IsNotNil)
 }
 
-func TestInsideNeedsTLS13(t *testing.T) {
+func TestInnerServerRequiresTLS13(t *testing.T) {
 	c := qt.New(t)
-	entry, guard := fleet(c)
+	entry, guard := generateTestFleet(c)
 	server, err := InnerServer(entry)
 	c.Assert(err, qt.IsNil)
 	client, err := InnerClient(guard)
@@ -119,21 +119,21 @@
 	c.Assert(clientErr, qt.IsNil)
 }
 
-func TestMissingFilesAreNamed(t *testing.T) {
+func TestMissingFilesAreReported(t *testing.T) {
 	c := qt.New(t)
 	_, err := CallerServer(Files{Cert: "only.pem"})
-	c.Assert(err, qt.ErrorIs, errNoCertificate)
-	entry, _ := fleet(c)
+	c.Assert(err, qt.ErrorIs, errNoKeyPair)
+	entry, _ := generateTestFleet(c)
 	entry.CA = ""
 	_, err = InnerServer(entry)
-	c.Assert(err, qt.ErrorIs, errNoAuthority)
+	c.Assert(err, qt.ErrorIs, errNoCA)
 	_, err = OutsideClient(Files{CA: "absent.pem"})
 	c.Assert(err, qt.ErrorMatches, ".*absent.pem.*")
 }
 
 // An operator runs the command a second time in the same directory. If it
 // replaced the authority, every running process would refuse the new ones.
-func TestGenerateOverwritesNothing(t *testing.T) {
+func TestGenerateFleetDoesNotOverwriteFiles(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
 	c.Assert(GenerateFleet(dir, []string{"127.0.0.1"}, time.Now()), qt.IsNil)
@@ -148,7 +148,7 @@
 	c.Assert(info.Mode().Perm(), qt.Equals, os.FileMode(keyMode))
 }
 
-func TestToken(t *testing.T) {
+func TestNewToken(t *testing.T) {
 	c := qt.New(t)
 	a, err := NewToken()
 	c.Assert(err, qt.IsNil)
