--- a/internal/guard/admin.go
+++ b/internal/guard/admin.go
@@ -10,19 +10,22 @@
 	"time"
 )
 
-// Bounds of the admin HTTP.
+// Limits of the admin HTTP server.
 const (
 	adminHeaderTimeout   = 5 * time.Second
 	adminShutdownTimeout = time.Second
 	adminMaxHeaderBytes  = 16 << 10
 )
 
-// AdminHandler serves the guard's own state to the worker it runs on:
+// AdminHandler returns the handler of the admin endpoints, which are served on
+// loopback:
 //
-//	GET  /healthz  200 while the process lives
-//	GET  /readyz   200 while new work is taken, else 503; JSON of ledger.Stats
+//	GET  /healthz  200 while the process runs
+//	GET  /readyz   200 while the upstream is healthy, the guard is not draining
+//	               and it is linked to an entry, else 503; JSON with the number
+//	               of links and ledger.Stats
 //	GET  /metrics  Options.Metrics, if set
-//	POST /drain    202; announces a planned stop, for good
+//	POST /drain    202; drains the guard before a planned stop; cannot be undone
 func (g *Guard) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
@@ -55,7 +58,8 @@
 	return len(g.links)
 }
 
-// listenAdmin refuses any address but loopback: whoever reaches the admin HTTP
+// listenAdmin listens on Options.Admin, or returns nil if that is empty. Only
+// loopback addresses are allowed, because every client of the admin endpoints
 // can drain the worker.
 func (g *Guard) listenAdmin() (net.Listener, error) {
 	if g.opt.Admin == "" {
@@ -66,7 +70,7 @@
 		return nil, fmt.Errorf("admin address: %w", err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return nil, fmt.Errorf("admin address %q: want a loopback IP number", g.opt.Admin)
+		return nil, fmt.Errorf("admin address %q: want a loopback IP address", g.opt.Admin)
 	}
 	listener, err := net.Listen("tcp", g.opt.Admin)
 	if err != nil {
@@ -82,7 +86,7 @@
 	srv := &http.Server{Handler: g.AdminHandler(), ReadHeaderTimeout: adminHeaderTimeout, MaxHeaderBytes: adminMaxHeaderBytes}
 	g.wg.Go(func() {
 		if err := srv.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			g.opt.Logger.Error("admin HTTP ended", "err", err)
+			g.opt.Logger.Error("admin HTTP server failed", "err", err)
 		}
 	})
 	g.wg.Go(func() {
--- a/internal/guard/attempt.go
+++ b/internal/guard/attempt.go
@@ -11,17 +11,18 @@
 	"wigeontray/internal/errkind"
 )
 
-// trackedConn is a connection to the upstream that can prove that a request was
-// never written to it. An error of net/http alone does not tell: its writer may
-// still be about to write when RoundTrip has already given up.
+// trackedConn is a connection to the upstream that counts the bytes written,
+// which proves whether a request was never written to it. An error from
+// net/http alone is no such proof: its write loop may still be about to write
+// after RoundTrip has returned the error.
 type trackedConn struct {
 	net.Conn
 	mu           sync.Mutex
 	isSealed     bool
-	bytesWritten int64 // bytes handed to the system, counted before each write
+	bytesWritten int64 // bytes passed to the operating system, counted before each write
 }
 
-// Write refuses once the connection is sealed.
+// Write fails with net.ErrClosed once the connection is sealed.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.isSealed {
@@ -39,8 +40,8 @@
 	return c.bytesWritten
 }
 
-// sealIfUnwritten forbids all further writes if nothing was written after position, and
-// tells whether that is so.
+// sealIfUnwritten makes all further writes fail if nothing was written after
+// offset, and reports whether that is the case.
 func (c *trackedConn) sealIfUnwritten(offset int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +49,7 @@
 	return c.bytesWritten == offset
 }
 
-// dialError marks a failed dial: no connection, so no request.
+// dialError marks a failed dial: without a connection, no request was sent.
 type dialError struct{ err error }
 
 func (e *dialError) Error() string { return fmt.Sprintf("dial upstream: %v", e.err) }
@@ -66,18 +67,17 @@
 	}
 }
 
-// connAttempt is one connection that a request was given, and how much had been
-// written to it before.
+// connAttempt is one connection that net/http assigned to a request.
 type connAttempt struct {
 	conn   *trackedConn
-	offset int64
+	offset int64 // bytes written to conn before the assignment
 }
 
-// connAttempts records the connections that one request was given.
+// connAttempts records the connections that net/http assigned to one request.
 type connAttempts struct {
 	mu           sync.Mutex
 	list         []connAttempt
-	hasUntracked bool // a connection that cannot prove anything
+	hasUntracked bool // one of the connections does not count its writes
 }
 
 func (a *connAttempts) trace() *httptrace.ClientTrace {
@@ -95,7 +95,9 @@
 	a.list = append(a.list, connAttempt{conn: conn, offset: conn.offset()})
 }
 
-// sealUnwritten proves that no byte of the request went out or ever will.
+// sealUnwritten seals the connections on which no byte of the request was
+// written, and reports whether none was written on any of them. If so, none
+// ever will be.
 func (a *connAttempts) sealUnwritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -106,9 +108,10 @@
 	return isUnwritten
 }
 
-// classifyError turns an error of RoundTrip into a result. RanNo lets the entry send
-// the task to another guard, so it is claimed only on proof; after the first
-// byte the upstream may have run the task, whatever the error says.
+// classifyError converts an error of RoundTrip into a result. RanNo lets the
+// entry send the task to another guard, so it is reported only on proof. Once
+// the first byte is written, the upstream may have run the task, whatever the
+// error is.
 func (a *connAttempts) classifyError(ctx context.Context, err error) taskResult {
 	kind, ran := errkind.UpstreamFailed, errkind.RanUnknown
 	isExpired := errors.Is(ctx.Err(), context.DeadlineExceeded)
--- a/internal/guard/config.go
+++ b/internal/guard/config.go
@@ -8,12 +8,13 @@
 	"wigeontray/internal/wire"
 )
 
-// maxConfigSendDelay is the time over which guards spread their copies of the
-// configuration towards an entry that lags behind. All guards of a fleet see a
-// restarted entry at once, and a snapshot can be a megabyte.
+// maxConfigSendDelay is the upper bound of the random delay before a guard sends
+// its configuration to an entry with an older one. All guards of a fleet link to
+// a restarted entry at the same time, and a snapshot can be a megabyte.
 const maxConfigSendDelay = 500 * time.Millisecond
 
-// configRevision tells which configuration the guard holds; 0 for none. g.mu is held.
+// configRevision returns the revision of the guard's configuration, or 0 if it
+// has none. g.mu is held.
 func (g *Guard) configRevision() int64 {
 	if g.config == nil {
 		return 0
@@ -21,9 +22,10 @@
 	return g.config.Revision
 }
 
-// applyConfig keeps a newer configuration and acknowledges what is in force. An
-// entry that restarted from a store that answers from the past sends an older
-// one; obeying it would revert what operators were told is accepted.
+// applyConfig stores and applies c if it is newer than the current
+// configuration, and acknowledges the revision in force. An entry that restarts
+// from a store that serves stale reads sends an older configuration; applying it
+// would revert changes that operators saw accepted. g.mu is held.
 func (g *Guard) applyConfig(from identity.Incarnation, c *wire.Config) {
 	if c.Revision > g.configRevision() {
 		g.config = c
@@ -36,18 +38,18 @@
 	}
 }
 
-// applyServicePath puts the record of the guard's own service in force. A path in the
-// settings goes before the record's.
+// applyServicePath sets the upstream's path from the record of the guard's
+// service. A path in Options takes precedence over the record's.
 func (g *Guard) applyServicePath(c *wire.Config) {
 	guardConfig, err := record.DecodeForGuard(c.Snapshot)
 	if err != nil || guardConfig.Service == nil || g.opt.Path != "" {
-		return // the path that was in force stays
+		return // keep the current path
 	}
 	g.upstream.path.Store(&guardConfig.Service.Path)
 }
 
-// updateEntryRevision notes which configuration an entry holds, and offers it a newer
-// one. g.mu is held.
+// updateEntryRevision records the revision of an entry's configuration, and
+// schedules sending the guard's own if that is newer. g.mu is held.
 func (g *Guard) updateEntryRevision(from identity.Incarnation, configRevision int64) {
 	s := g.links[from]
 	if s == nil || configRevision <= s.configRevision {
@@ -57,9 +59,10 @@
 	g.scheduleConfigSend(s)
 }
 
-// scheduleConfigSend sends the guard's configuration to an entry that holds an older
-// one: an entry that starts while the store is out knows none, and would
-// refuse or misjudge work that the rest of the fleet serves. g.mu is held.
+// scheduleConfigSend sends the guard's configuration after a random delay if the
+// entry's is older. An entry that starts while the store is unavailable has no
+// configuration, and would reject or mishandle requests that the rest of the
+// fleet serves. g.mu is held.
 func (g *Guard) scheduleConfigSend(s *session) {
 	if s.configRevision >= g.configRevision() {
 		return
--- a/internal/guard/counters.go
+++ b/internal/guard/counters.go
@@ -7,8 +7,8 @@
 	"wigeontray/internal/wire"
 )
 
-// guardMetrics holds the guard's metrics. Each refusal and failure kind has one of
-// its own, registered on first use.
+// guardMetrics holds the guard's counters. The counters of results, one for each
+// error kind, are registered on first use by countResult.
 type guardMetrics struct {
 	registry        metrics.Registry
 	tasksStarted    metrics.Counter
@@ -18,6 +18,7 @@
 	unknownFrames   metrics.Counter
 }
 
+// newGuardMetrics registers the counters, and gauges that read stats.
 func newGuardMetrics(r metrics.Registry, stats func() ledger.Stats) *guardMetrics {
 	gauge := func(name string, read func(ledger.Stats) int64) {
 		_ = r.Register(name, metrics.NewFunctionalGauge(func() int64 { return read(stats()) }))
@@ -37,8 +38,8 @@
 	}
 }
 
-// countResult counts a result that is sent: guard.refused.KIND for a task that never
-// runs here, guard.result.KIND for any other.
+// countResult counts a result when it is sent: in guard.refused.KIND if the task
+// never runs on this upstream, in guard.result.KIND otherwise.
 func (c *guardMetrics) countResult(r *wire.Result) {
 	prefix := "guard.result."
 	if isNotRun(r) {
--- a/internal/guard/fake_test.go
+++ b/internal/guard/fake_test.go
@@ -19,13 +19,14 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
+// testEntry is the incarnation of the fake entry in tests.
 const testEntry = identity.Incarnation("entry-a-1")
 
-// fakeEntry is the other end of a guard's links. It records what it receives.
+// fakeEntry is an entry that a guard links to. It records the frames it receives.
 type fakeEntry struct {
 	incarnation  identity.Incarnation
-	otherEntries []wire.EntryAddr // told in Welcome
-	closing      bool             // ends each link after its Welcome
+	otherEntries []wire.EntryAddr // sent in Welcome
+	closing      bool             // closes each link after sending its Welcome
 
 	mu     sync.Mutex
 	hello  *wire.Hello
@@ -33,25 +34,27 @@
 	frames []*wire.Frame
 }
 
-// dial is for Options.Dial.
+// dial implements Options.Dial with a pipe to the fake entry.
 func (e *fakeEntry) dial(context.Context, string) (wire.Link, error) {
 	a, b := wiretest.Pipe()
 	go e.serve(b)
 	return delayedCloseLink{a}, nil
 }
 
-// delayedCloseLink ends a moment after it is told to. A socket delivers what was
-// written before its close; a wiretest.Pipe may drop it.
+// delayedCloseLink closes its link one microsecond after Close is called. A
+// socket delivers the frames written before its close; a wiretest.Pipe may drop
+// them.
 type delayedCloseLink struct{ wire.Link }
 
-// Shut tells that the peer has read all, which is when the pipe has ended.
+// Shut is closed when the pipe is closed, as the peer has read all frames then.
 func (l delayedCloseLink) Shut() <-chan struct{} { return l.Done() }
 
 func (l delayedCloseLink) Close(reason string) {
 	time.AfterFunc(time.Microsecond, func() { l.Link.Close(reason) })
 }
 
-// serve welcomes a guard and then reads until the link ends.
+// serve answers a guard's Hello with a Welcome, then reads frames until the link
+// is closed.
 func (e *fakeEntry) serve(link wire.Link) {
 	f, err := link.Recv(context.Background())
 	if err != nil || f.Hello == nil {
@@ -86,7 +89,7 @@
 	qt.Assert(t, e.newestLink().Send(f), qt.IsNil)
 }
 
-// visitFrames calls visit with every frame so far.
+// visitFrames calls visit with every frame received so far.
 func (e *fakeEntry) visitFrames(visit func(*wire.Frame)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,7 +108,7 @@
 	return out
 }
 
-// load is the newest load report, alone or on a result.
+// load returns the newest load report, sent by itself or as part of a result.
 func (e *fakeEntry) load() (load wire.Load) {
 	e.visitFrames(func(f *wire.Frame) {
 		switch {
@@ -118,13 +121,14 @@
 	return load
 }
 
-// memoryNet listens in memory, so that HTTP runs under synctest's clock.
+// memoryNet is an in-memory net.Listener, which lets HTTP run on the clock of
+// synctest.
 type memoryNet struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 
-	isUnresponsive atomic.Bool // connections are made, and nobody reads them
+	isUnresponsive atomic.Bool // connections are opened but never read
 }
 
 func newMemoryNet() *memoryNet {
@@ -160,7 +164,8 @@
 func (n *memoryNet) Close() error   { n.once.Do(func() { close(n.done) }); return nil }
 func (n *memoryNet) Addr() net.Addr { return &net.UnixAddr{Name: "memory"} }
 
-// testEnv is a guard with a fake entry and a sample upstream, all in memory.
+// testEnv is a running guard with a fake entry and a sample upstream, connected
+// in memory.
 type testEnv struct {
 	guard    *Guard
 	entry    *fakeEntry
@@ -178,8 +183,8 @@
 	}
 }
 
-// newTestEnv starts a guard. It must be called in a synctest bubble, and ended
-// with close.
+// newTestEnv starts a guard. It must be called in a synctest bubble, and the
+// caller must call close.
 func newTestEnv(t testing.TB, change func(*Options), otherEntries ...wire.EntryAddr) *testEnv {
 	env := &testEnv{entry: &fakeEntry{incarnation: testEntry, otherEntries: otherEntries}, upstream: sample.New("w1", 1), net: newMemoryNet(), runErr: make(chan error, 1)}
 	env.server = &http.Server{Handler: env.upstream}
@@ -195,7 +200,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	env.cancel = cancel
 	go func() { env.runErr <- g.Run(ctx) }()
-	time.Sleep(time.Millisecond) // linked and healthy
+	time.Sleep(time.Millisecond) // wait until the guard is linked and healthy
 	return env
 }
 
@@ -203,16 +208,16 @@
 	env.cancel()
 	_ = env.server.Close()
 	<-env.runErr
-	time.Sleep(time.Millisecond) // links end
+	time.Sleep(time.Millisecond) // wait until the links are closed
 }
 
-// newStart makes a Start of a fresh job, born now.
+// newStart returns a Start of a new job with the current time as its birth.
 func newStart(body string) *wire.Start {
 	key := identity.NewTicket(testEntry, time.Now())
 	return &wire.Start{Ref: wire.Ref{Member: "ayni", Key: key.Text}, Of: 1, Home: testEntry, LeftMs: 5000, Body: []byte(body)}
 }
 
-// summaries writes what a test compares of results.
+// summaries formats the kind, ran and status of each result for comparison.
 func summaries(results ...wire.Result) []string {
 	var out []string
 	for _, r := range results {
@@ -221,10 +226,11 @@
 	return out
 }
 
-// expectResults compares all results that came so far.
+// expectResults checks the summaries of all results received so far.
 func (e *fakeEntry) expectResults(t testing.TB, want ...string) {
 	t.Helper()
 	qt.Assert(t, summaries(e.results()...), qt.DeepEquals, want)
 }
 
+// okSummary is the summary of a successful result.
 const okSummary = "none, ran yes, 200"
--- a/internal/guard/flush.go
+++ b/internal/guard/flush.go
@@ -7,16 +7,17 @@
 	"wigeontray/internal/pause"
 )
 
-// flushPollInterval is how often a stop looks whether the links have sent everything.
+// flushPollInterval is the interval at which flushLinks checks for unsent frames.
 const flushPollInterval = 5 * time.Millisecond
 
-// unsentCounter is a link that knows how many frames still wait for its socket.
-// Closing a link drops what waits; a stop that did not wait for it would lose
-// results that the upstream has already computed, and callers would see "outcome
-// unknown".
+// unsentCounter is implemented by links that report how many frames are not yet
+// written to the socket. Closing a link drops those frames. Without waiting for
+// them, Stop would lose results that the upstream has already computed, and
+// callers would get "outcome unknown".
 type unsentCounter interface{ Unsent() int }
 
-// flushLinks waits until each link has nothing left to send or has ended.
+// flushLinks waits until each link has either sent all its frames or been
+// removed, or until ctx is canceled.
 func (g *Guard) flushLinks(ctx context.Context) {
 	for g.hasUnsentFrames() && ctx.Err() == nil {
 		pause.For(ctx, flushPollInterval)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,9 +1,10 @@
-// Package guard owns the guard process: one beside each upstream. It announces
-// the upstream to every entry it knows, takes tasks from them, runs each on the
-// upstream over HTTP at most once, and drains before a planned stop.
+// Package guard implements the guard process, which runs beside each upstream.
+// A guard advertises its upstream to all entries in its address list, accepts
+// tasks from them, runs each task on the upstream over HTTP at most once, and
+// drains before a planned stop.
 //
-// What is accepted, started and refused is decided by package ledger; this
-// package owns the goroutines and connections around it.
+// Package ledger decides which tasks are accepted, started and refused. This
+// package provides the goroutines and connections around that state machine.
 //
 // The package may import errkind, identity, ledger and wire.
 package guard
@@ -21,30 +22,30 @@
 	"wigeontray/internal/wire"
 )
 
-// Guard is one guard process. Its methods may be called from many goroutines.
+// Guard is one guard process. Its methods are safe for concurrent use.
 type Guard struct {
 	opt         Options
 	incarnation identity.Incarnation
 	upstream    *upstream
 	metrics     *guardMetrics
 
-	mu        sync.Mutex // guards what follows; never held while waiting
+	mu        sync.Mutex // protects the fields below; never held during a blocking call
 	ledger    *ledger.Ledger
-	timer     *time.Timer // calls tick when the ledger is next due
+	timer     *time.Timer // calls tick at the ledger's next deadline
 	config    *wire.Config
-	links     map[identity.Incarnation]*session
-	addresses map[string]*address
+	links     map[identity.Incarnation]*session // current link of each entry
+	addresses map[string]*address               // entry addresses being dialed or linked
 	rand      *rand.Rand
-	ctx       context.Context // of the run; nil before Run
-	closing   bool            // no goroutine of the run may begin any more
-	drained   chan struct{}   // closed when draining and nothing runs or waits
+	ctx       context.Context // context of Run; nil before Run
+	closing   bool            // links are being closed; no further link or task goroutine may start
+	drained   chan struct{}   // closed when the guard is draining and no task runs or waits
 
-	stopped  chan struct{} // closed when Stop has done its work
+	stopped  chan struct{} // closed when Stop has finished
 	stopOnce sync.Once
-	wg       sync.WaitGroup // goroutines of the run
+	wg       sync.WaitGroup // goroutines started by Run
 }
 
-// New checks the options and returns a guard that does nothing before Run.
+// New validates the options and returns a guard that is inactive until Run.
 func New(opt Options) (*Guard, error) {
 	opt = opt.withDefaults()
 	if err := opt.validate(); err != nil {
@@ -65,18 +66,18 @@
 	return g, nil
 }
 
-// Incarnation names this run of the guard.
+// Incarnation returns the identifier of this run of the guard.
 func (g *Guard) Incarnation() identity.Incarnation { return g.incarnation }
 
-// Stats reads the ledger.
+// Stats returns the current statistics of the ledger.
 func (g *Guard) Stats() ledger.Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Stats()
 }
 
-// Run serves until Stop has done its work, then returns nil. When ctx ends
-// first, it cuts off what is in flight and returns the cause.
+// Run serves tasks until Stop has finished, then returns nil. If ctx is
+// canceled first, Run aborts the tasks in flight and returns the cause.
 func (g *Guard) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -97,6 +98,7 @@
 	return err
 }
 
+// startBackground starts the health checks and a link to each configured entry.
 func (g *Guard) startBackground(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,6 +109,7 @@
 	}
 }
 
+// shutdown closes all links and waits for the goroutines of Run to finish.
 func (g *Guard) shutdown() {
 	g.mu.Lock()
 	g.closing = true
@@ -121,13 +124,15 @@
 	g.upstream.close()
 }
 
-// apply feeds one event to the ledger and carries out its actions, in order.
+// apply passes one event to the ledger and performs the resulting actions in
+// order.
 func (g *Guard) apply(event func(now time.Time, l *ledger.Ledger)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.applyLocked(event)
 }
 
+// applyLocked is apply for callers that hold g.mu.
 func (g *Guard) applyLocked(event func(now time.Time, l *ledger.Ledger)) {
 	now := time.Now()
 	event(now, g.ledger)
@@ -143,7 +148,8 @@
 	g.closeDrainedIfIdle()
 }
 
-// startTask runs a task beside the event loop.
+// startTask runs a task on the upstream in a new goroutine and passes its
+// result to the ledger. g.mu is held.
 func (g *Guard) startTask(run ledger.Run) {
 	if g.closing {
 		return
@@ -159,18 +165,20 @@
 	})
 }
 
+// sendFrame sends a frame on the current link of an entry; without one, the
+// frame is dropped. g.mu is held.
 func (g *Guard) sendFrame(s *ledger.Send) {
 	if r := s.Frame.Result; r != nil {
 		g.metrics.countResult(r)
 	}
 	if link := g.links[s.To]; link != nil {
-		// A failed Send has ended the link; its reader cleans up, and the entry
-		// asks again on the next one.
+		// A failed Send closes the link. serveSession then removes the session,
+		// and the entry repeats its request on the next link.
 		_ = link.link.Send(s.Frame)
 	}
 }
 
-// scheduleTick arranges for tick to be called when the ledger is next due.
+// scheduleTick sets the timer to call tick at the ledger's next deadline.
 func (g *Guard) scheduleTick(now time.Time) {
 	next := g.ledger.NextTick()
 	switch {
@@ -187,6 +195,7 @@
 	g.apply(func(now time.Time, l *ledger.Ledger) { l.Tick(now) })
 }
 
+// closeDrainedIfIdle closes g.drained once the guard is draining and idle.
 func (g *Guard) closeDrainedIfIdle() {
 	if !g.ledger.Stats().Draining || !g.ledger.Idle() {
 		return
@@ -198,7 +207,7 @@
 	}
 }
 
-// handleFrame feeds one frame from an entry to the ledger.
+// handleFrame processes one frame from an entry. g.mu is held.
 func (g *Guard) handleFrame(from identity.Incarnation, f *wire.Frame) {
 	g.applyLocked(func(now time.Time, l *ledger.Ledger) {
 		switch {
@@ -216,16 +225,17 @@
 			g.applyConfig(from, f.Config)
 		case f.ConfigAck != nil:
 			g.updateEntryRevision(from, f.ConfigAck.Revision)
-		case f.Welcome != nil: // tells of entries that joined since
+		case f.Welcome != nil: // lists entries that joined since the handshake
 			g.addLearnedEntries(f.Welcome.Entries)
-		case f.Goodbye != nil: // the entry closes the link when it is done
+		case f.Goodbye != nil: // no action: the entry closes the link itself when it has finished
 		default:
 			g.metrics.unknownFrames.Inc(1)
 		}
 	})
 }
 
-// isNotRun tells whether a result promises that the task never runs here.
+// isNotRun reports whether a result guarantees that the task has not run and
+// will never run on this guard's upstream.
 func isNotRun(r *wire.Result) bool {
 	return r.Ran == errkind.RanNo
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -15,9 +15,9 @@
 	"wigeontray/internal/wire"
 )
 
-// A planned stop comes while large answers are under way over real sockets,
-// plain and TLS. What waits in the link when it closes is lost, and its callers
-// would read "outcome unknown" though the upstream had done the work.
+// Stops a guard while large results are being sent over real sockets, with and
+// without TLS. Frames that are unsent when a link closes are lost, and their
+// callers would get "outcome unknown" although the upstream finished the task.
 func TestStopFlushesLargeResults(t *testing.T) {
 	for _, useTLS := range []bool{false, true} {
 		entry := &fakeEntry{incarnation: testEntry}
@@ -42,7 +42,8 @@
 	}
 }
 
-// socketOptions serves an entry and an upstream on loopback.
+// socketOptions serves an entry and a sample upstream on loopback, and returns
+// the options of a guard for them.
 func socketOptions(t testing.TB, entry *fakeEntry, useTLS bool) Options {
 	inner := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		link, err := wire.Accept(w, r, nil)
@@ -64,16 +65,17 @@
 	return opt
 }
 
-// waitUntil waits on the real clock; synctest cannot watch sockets.
+// waitUntil polls condition on the real clock for up to 10 s; synctest does not
+// support sockets.
 func waitUntil(t testing.TB, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
-		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("did not happen within 10 s"))
+		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("condition not met within 10 s"))
 	}
 }
 
-// An upstream fails in each way that the sample upstream knows. The caller of
-// each task reads what is known of it, and the slot is free afterwards.
+// Runs a task with each fault of the sample upstream. The result must state
+// whether the task ran, and the slot must be free afterwards.
 func TestUpstreamFaultsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
@@ -88,9 +90,9 @@
 	})
 }
 
-// Links break again and again in the middle of a burst, and the entry sends all
-// that it has no answer for again each time. Every task must be answered once
-// it is asked for on a link that holds, and none may run twice.
+// Closes the link repeatedly during a burst of tasks, while the entry keeps
+// resending every Start without a result. Once the link stays open, every task
+// must get a result, and no task may run twice.
 func TestRepeatedResendsRunEachTaskOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
--- a/internal/guard/health.go
+++ b/internal/guard/health.go
@@ -15,13 +15,14 @@
 	"wigeontray/internal/pause"
 )
 
-// unhealthyAfterTimeouts is how many health checks in a row may time out before the
-// upstream counts as unhealthy. One slow answer under load is no death; a
-// refused connection or an error status takes effect at once.
+// unhealthyAfterTimeouts is the number of consecutive health checks that must
+// time out for the upstream to be marked unhealthy. A single slow response under
+// load does not mean that the upstream has failed. A refused connection or an
+// error status marks it unhealthy at once.
 const unhealthyAfterTimeouts = 2
 
-// prober checks the upstream's health on connections of its own, at most one
-// at a time, so that a check never waits behind tasks.
+// prober runs the health checks of the upstream on separate connections, at most
+// one at a time, so that a check never waits for tasks.
 type prober struct {
 	opt    Options
 	client *http.Client
@@ -39,7 +40,7 @@
 	}}
 }
 
-// probe returns nil if the upstream is healthy.
+// probe runs one health check and returns nil if the upstream is healthy.
 func (p *prober) probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, p.opt.HealthTimeout)
 	defer cancel()
@@ -63,6 +64,7 @@
 	return nil
 }
 
+// probeTCP checks only that the upstream accepts a connection.
 func (p *prober) probeTCP(ctx context.Context) error {
 	u, err := url.Parse(p.opt.Upstream)
 	if err != nil {
@@ -75,8 +77,8 @@
 	return conn.Close()
 }
 
-// watchHealth checks the upstream until ctx ends. An upstream that dies without
-// a word would otherwise look idle and be given work before any other.
+// watchHealth runs health checks until ctx is canceled. Without them, an
+// upstream that crashes would look idle and be assigned tasks before all others.
 func (g *Guard) watchHealth(ctx context.Context) {
 	p := newProber(g.opt)
 	timeouts := 0
@@ -100,6 +102,8 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
+// setHealthy passes a change of the upstream's health to the ledger; reason is
+// logged if it is unhealthy.
 func (g *Guard) setHealthy(healthy bool, reason string) {
 	g.apply(func(now time.Time, l *ledger.Ledger) {
 		if l.Stats().Healthy == healthy {
--- a/internal/guard/links.go
+++ b/internal/guard/links.go
@@ -13,28 +13,28 @@
 	"wigeontray/internal/wire"
 )
 
-// Timing and bounds of links.
+// Timeouts and limits of links.
 const (
 	dialTimeout    = 5 * time.Second
 	welcomeTimeout = 5 * time.Second
 	minBackoff     = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	// backoffResetAge is how long a link must last before its loss counts as the
-	// first failure. An entry that welcomes a guard and then ends the link, as
-	// one with another fleet key may, would otherwise be dialed ten times a
-	// second by every guard.
+	// backoffResetAge is how long a link must last for its loss to reset the
+	// backoff. An entry that sends a Welcome and then closes the link, as one with
+	// another fleet key may, would otherwise be dialed ten times a second by every
+	// guard.
 	backoffResetAge = 10 * time.Second
-	// learnedAddressTimeout is how long an address that an entry told is dialed without
-	// success. Entries are replaced daily, and without a bound a guard would
-	// dial every entry that ever was.
+	// learnedAddressTimeout is how long an address received from an entry is dialed
+	// without success before it is dropped. Entries are replaced daily, and without
+	// a limit a guard would keep dialing every entry that ever existed.
 	learnedAddressTimeout = 10 * time.Minute
-	maxAddresses          = 64 // entries that a guard links to
+	maxAddresses          = 64 // entry addresses that a guard dials
 )
 
-// address is one place where an entry is reached.
+// address is a network address of an entry.
 type address struct {
 	addr        string
-	isLearned   bool // told by an entry, not by the settings
+	isLearned   bool // received from an entry, not set in Options
 	lastReached time.Time
 }
 
@@ -42,12 +42,13 @@
 type session struct {
 	entry          identity.Incarnation
 	link           wire.Link
-	configRevision int64         // configuration in force at the entry, as far as known
-	replacedBy     *session      // newer link of the same incarnation, if any
+	configRevision int64         // newest revision that the entry reported or was sent
+	replacedBy     *session      // newer session with the same entry, if any
 	readDone       chan struct{} // closed when the link is no longer read
 }
 
-// addAddress begins to link to addr unless that is under way. g.mu is held.
+// addAddress starts linking to addr unless it is in g.addresses already. g.mu
+// is held.
 func (g *Guard) addAddress(addr string, isLearned bool) {
 	if g.addresses[addr] != nil || len(g.addresses) >= maxAddresses || g.closing {
 		return
@@ -58,8 +59,8 @@
 	g.wg.Go(func() { g.maintainLink(ctx, a) })
 }
 
-// maintainLink holds a link to one address until ctx ends or the address is
-// given up.
+// maintainLink keeps a link to one address until ctx is canceled, the guard
+// closes its links, or the address is dropped.
 func (g *Guard) maintainLink(ctx context.Context, a *address) {
 	backoff := minBackoff
 	for ctx.Err() == nil && !g.isClosing() {
@@ -76,14 +77,15 @@
 		if time.Since(startedAt) > backoffResetAge {
 			backoff = minBackoff
 		}
-		pause.For(ctx, g.jitter(backoff))
+		pause.For(ctx, g.jitteredDelay(backoff))
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// waitForReplacements waits until the newer link that replaced s has ended as well.
-// When two addresses lead to one entry, each new link ends the other; if both
-// sides redialed at once, the entry would lose and regain this guard for ever.
+// waitForReplacements waits until the session that replaced s, if any, and all
+// that replaced it in turn have ended. When two addresses lead to one entry, each
+// new link closes the other. If both were redialed at once, the entry would lose
+// and regain this guard endlessly.
 func (g *Guard) waitForReplacements(ctx context.Context, s *session) {
 	for s = g.replacement(s); s != nil; s = g.replacement(s) {
 		select {
@@ -106,7 +108,8 @@
 	return g.closing
 }
 
-// dropIfUnreachable forgets a learned address that was not reached for a long time.
+// dropIfUnreachable removes a learned address that was not reached for
+// learnedAddressTimeout, and reports whether it did.
 func (g *Guard) dropIfUnreachable(a *address) bool {
 	if !a.isLearned || time.Since(a.lastReached) < learnedAddressTimeout {
 		return false
@@ -117,15 +120,16 @@
 	return true
 }
 
-// jitter draws a time between half of d and d, so that the guards of a fleet do
-// not all redial a restarted entry at the same moment.
-func (g *Guard) jitter(d time.Duration) time.Duration {
+// jitteredDelay returns a random duration between d/2 and d, so that the guards of a
+// fleet do not all redial a restarted entry at the same moment.
+func (g *Guard) jitteredDelay(d time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return d/2 + time.Duration(g.rand.Int64N(int64(d/2)+1))
 }
 
-// openSession dials an address and exchanges Hello and Welcome.
+// openSession dials an address, exchanges Hello and Welcome, and registers the
+// session.
 func (g *Guard) openSession(ctx context.Context, a *address) (*session, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -142,6 +146,7 @@
 	return g.registerSession(link, welcome), nil
 }
 
+// handshake sends a Hello and waits for the entry's Welcome.
 func (g *Guard) handshake(ctx context.Context, link wire.Link) (*wire.Welcome, error) {
 	if err := link.Send(&wire.Frame{Hello: g.newHello()}); err != nil {
 		return nil, fmt.Errorf("send hello: %w", err)
@@ -153,10 +158,10 @@
 		return nil, fmt.Errorf("wait for welcome: %w", err)
 	}
 	if f.Welcome == nil || f.Welcome.Incarnation == "" {
-		return nil, errors.New("first frame is no welcome")
+		return nil, errors.New("first frame is not a valid welcome")
 	}
 	if f.Welcome.Version < wire.MinVersion {
-		return nil, fmt.Errorf("protocol version %d is older than %d", f.Welcome.Version, wire.MinVersion)
+		return nil, fmt.Errorf("protocol version %d is older than the minimum %d", f.Welcome.Version, wire.MinVersion)
 	}
 	return f.Welcome, nil
 }
@@ -173,9 +178,10 @@
 	}
 }
 
-// registerSession makes a welcomed link the current one of its entry. An older link of
-// the same incarnation is ended and no longer read: a frame that it still holds
-// could be a Cancel or Reserve that the entry has since replaced.
+// registerSession makes a link that completed the handshake the current one of
+// its entry. An older link of the same incarnation is closed and no longer read:
+// a frame still unread on it could be a Cancel or Reserve that the entry has
+// since superseded.
 func (g *Guard) registerSession(link wire.Link, w *wire.Welcome) *session {
 	s := &session{entry: w.Incarnation, link: link, configRevision: w.Revision, readDone: make(chan struct{})}
 	g.mu.Lock()
@@ -194,7 +200,8 @@
 	return s
 }
 
-// addLearnedEntries begins to link to entries that another entry told of.
+// addLearnedEntries starts linking to entries that another entry announced. g.mu
+// is held.
 func (g *Guard) addLearnedEntries(entries []wire.EntryAddr) {
 	for _, e := range entries {
 		if e.Inner != "" && g.links[e.Incarnation] == nil {
@@ -203,7 +210,7 @@
 	}
 }
 
-// serveSession reads a link until it ends or is replaced.
+// serveSession reads frames from a link until it closes or is replaced.
 func (g *Guard) serveSession(ctx context.Context, s *session) {
 	defer close(s.readDone)
 	for {
@@ -223,7 +230,8 @@
 	g.applyLocked(func(now time.Time, l *ledger.Ledger) { l.LinkDown(now, s.entry) })
 }
 
-// handleIfCurrent handles a frame if its link is still the current one of its entry.
+// handleIfCurrent processes a frame if s is still the current session of its
+// entry, and reports whether it is.
 func (g *Guard) handleIfCurrent(s *session, f *wire.Frame) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -234,7 +242,8 @@
 	return true
 }
 
-// webSocketDialer opens WebSocket links; tlsConfig nil means plain text.
+// webSocketDialer returns a function that opens WebSocket links. Without a
+// tlsConfig the links are not encrypted.
 func webSocketDialer(tlsConfig *tls.Config) func(context.Context, string) (wire.Link, error) {
 	scheme := "ws"
 	if tlsConfig != nil {
--- a/internal/guard/links_test.go
+++ b/internal/guard/links_test.go
@@ -15,9 +15,9 @@
 	"wigeontray/internal/wire"
 )
 
-// The link breaks while the upstream works on a booking. The guard links again
-// by itself, and the entry sends the Start once more; the escort is booked once
-// and the agent still gets the answer.
+// Closes the link while a task is running. After the guard has reconnected and
+// the entry has resent the Start, the result must arrive and the task must have
+// run once.
 func TestResultIsResentAfterLinkLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
@@ -35,11 +35,11 @@
 	})
 }
 
-// Two addresses lead to the same entry, as when a balancer's address stands in
-// the settings. The newer link replaces the older, and a Start that is read
-// late from the older must not run: the entry may have cancelled it since. If
-// both were redialed at once, the entry would lose this worker again and again,
-// and each time leave tasks in doubt.
+// Configures two addresses of the same entry, such as its own and that of a load
+// balancer. The newer link replaces the older one, and a Start read late from the
+// older link must not run, because the entry may have cancelled it since. If both
+// addresses were redialed at once, the entry would lose this worker repeatedly,
+// each time with tasks whose outcome is unknown.
 func TestDuplicateEntryAddressesKeepOneLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, func(o *Options) { o.Entries = []string{"entry-a:1", "balancer:1"} })
@@ -57,8 +57,9 @@
 	})
 }
 
-// A new entry joins a running fleet and stands in no guard's settings. It would
-// get no workers if the other entries did not tell of it.
+// Announces new entries, in a Welcome of the handshake and in a later one. An
+// entry that joins a running fleet is in no guard's settings and would get no
+// workers if guards ignored the addresses that other entries send.
 func TestGuardLinksToLearnedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		others := map[string]*fakeEntry{"entry-b:1": {incarnation: "entry-b-1"}, "entry-c:1": {incarnation: "entry-c-1"}}
@@ -82,9 +83,10 @@
 	})
 }
 
-// An entry is gone for good, and another one ends each link after its Welcome.
-// The guard keeps trying, but more and more rarely, as a fleet of guards would
-// otherwise flood them; an address that only an entry told of is given up.
+// Configures an entry that is unreachable and one that closes each link after
+// its Welcome. The guard must back off, because a fleet of guards would otherwise
+// flood them with connections. An unreachable address that was learned from an
+// entry must be dropped.
 func TestUnreachableEntryDialsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var unreachable, closing, learned atomic.Int64
@@ -112,15 +114,16 @@
 		before := learned.Load()
 		time.Sleep(time.Hour)
 		qt.Assert(t, learned.Load(), qt.Equals, before)
-		for _, n := range []int64{unreachable.Load(), closing.Load()} { // in 71 minutes, every 2.5 to 5 s
+		for _, n := range []int64{unreachable.Load(), closing.Load()} { // one dial every 2.5 to 5 s for 71 minutes
 			qt.Assert(t, n > 800 && n < 1800, qt.IsTrue, qt.Commentf("%d dials", n))
 		}
 	})
 }
 
-// An entry comes back from a store that answers from the past, or starts while
-// the store is out. Operators were told that their change is in force; the
-// guard must neither go back nor leave the entry behind.
+// Sends an older configuration, as an entry does whose store serves stale reads,
+// and then reconnects the entry without one, as when it starts while the store is
+// unavailable. Operators saw the newer change accepted, so the guard must neither
+// revert it nor leave the entry without it.
 func TestOlderConfigIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
@@ -150,9 +153,9 @@
 	})
 }
 
-// The upstream dies without a word, or answers its health check with an error
-// because it is about to leave. Its entries must know within seconds, or they
-// would keep feeding the worker that looks idle.
+// Makes the upstream refuse connections, hang, or fail its health check as it
+// does before a shutdown. The guard must report this to its entries within
+// seconds, or they would keep sending tasks to a worker that looks idle.
 func TestUnhealthyUpstreamGetsNoTasks(t *testing.T) {
 	for name, makeUnhealthy := range map[string]func(*testEnv){
 		"dead":    func(env *testEnv) { _ = env.server.Close() },
@@ -176,9 +179,9 @@
 	}
 }
 
-// The upstream's port refuses between two health checks. The first task that
-// meets it must take the worker out at once, and not a second's worth of tasks
-// after it.
+// Makes the upstream refuse connections between two health checks. The first
+// task that fails to connect must mark it unhealthy at once. Otherwise all tasks
+// until the next health check, about a second's worth, would fail as well.
 func TestRefusedConnectionMarksUpstreamUnhealthy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, func(o *Options) { o.HealthEvery = time.Hour })
@@ -191,9 +194,10 @@
 	})
 }
 
-// Whoever reaches the admin HTTP can take the worker out of service, so it must
-// not listen where others reach it. A drain there is announced to entries, and
-// the platform reads from /readyz that the worker is not ready.
+// Drains the guard by the admin endpoint. The drain must be announced to entries
+// and make /readyz report that the worker is not ready. As any client of the
+// admin endpoints can take the worker out of service, they must be served on
+// loopback only.
 func TestAdminHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
@@ -218,15 +222,15 @@
 	qt.Assert(t, g.Run(t.Context()), qt.ErrorMatches, "admin address .*loopback.*")
 }
 
-// A wrong setting must be told at the start. A guard that came up with it would
-// look fine and refuse or lose tasks later.
+// Checks that New rejects invalid options. A guard that started with them would
+// appear healthy, and refuse or lose tasks later.
 func TestNewRejectsInvalidOptions(t *testing.T) {
 	for want, change := range map[string]func(*Options){
-		".*service.*":        func(o *Options) { o.Service = "reserva" },
-		".*worker.*":         func(o *Options) { o.Worker = "Worker 1" },
-		".*connections 1.*":  func(o *Options) { o.Connections = 1 },
-		".*largest answer.*": func(o *Options) { o.MaxAnswer = wire.MaxFrame },
-		".*upstream.*":       func(o *Options) { o.Upstream = "https://127.0.0.1:1" },
+		".*service.*":               func(o *Options) { o.Service = "reserva" },
+		".*worker.*":                func(o *Options) { o.Worker = "Worker 1" },
+		".*connections 1.*":         func(o *Options) { o.Connections = 1 },
+		".*maximum response size.*": func(o *Options) { o.MaxAnswer = wire.MaxFrame },
+		".*upstream.*":              func(o *Options) { o.Upstream = "https://127.0.0.1:1" },
 	} {
 		opt := testOptions()
 		change(&opt)
--- a/internal/guard/options.go
+++ b/internal/guard/options.go
@@ -22,63 +22,67 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxConnections      = 64
+	DefaultConnections         = 64
 	DefaultHealthInterval      = time.Second
 	DefaultHealthTimeout       = time.Second
 	DefaultMaxResponseBytes    = 2 << 20
 	DefaultUpstreamIdleTimeout = 2 * time.Second
 )
 
-// resultOverheadBytes is the room that a Result needs in a frame besides its body.
+// resultOverheadBytes is the space reserved in a frame for the fields of a
+// Result other than its body.
 const resultOverheadBytes = 64 << 10
 
-// workerPattern leaves room for the suffix that makes a name an incarnation.
+// workerPattern limits a worker name to 50 characters, which leaves room for the
+// suffix that identity.NewIncarnation appends.
 var workerPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,49}$`)
 
-// Options configures a Guard. A zero field takes its default where one exists.
+// Options configures a Guard. Zero fields are set to their defaults where they
+// have one.
 type Options struct {
-	Entries []string    // host:port of the entries' inner protocol
-	TLS     *tls.Config // towards entries; nil dials them in plain text
-	Key     string      // the member's guard key, or the fleet's; sent in Hello
+	Entries []string    // host:port of the entries' listeners for the inner protocol
+	TLS     *tls.Config // TLS for links to entries; nil disables TLS
+	Key     string      // guard key of the member or of the fleet, sent in Hello
 
 	Service     string // "member/service"
 	Worker      string // lower-case letters, digits and dashes
 	Rack        string
 	Domain      string // failure domain
 	Region      string
-	Accelerator int // accelerators on the worker
-	MemoryMB    int // memory of the worker, megabytes; 0 if not known
-	Slots       int // tasks on the upstream at once
+	Accelerator int // number of accelerators on the worker
+	MemoryMB    int // memory of the worker in megabytes; 0 if unknown
+	Slots       int // maximum number of tasks that run on the upstream concurrently
 
 	Upstream      string        // http://host:port
-	Path          string        // to which tasks are posted; empty takes the service record's
-	HealthPath    string        // path that answers 2xx while healthy; empty only connects
-	HealthEvery   time.Duration // period of the health check
-	HealthTimeout time.Duration // bound on one health check
-	Connections   int           // to the upstream at once, at least 2
-	// UpstreamIdleTimeout is how long a connection is kept unused. It must be shorter
-	// than the upstream's own limit: if the upstream closes a connection at the
-	// moment when a task is written to it, nobody knows whether the task ran.
+	Path          string        // path of task requests; empty uses the path in the service record
+	HealthPath    string        // path that returns 2xx while healthy; empty only opens a connection
+	HealthEvery   time.Duration // interval between health checks
+	HealthTimeout time.Duration // timeout of one health check
+	Connections   int           // maximum number of connections to the upstream, at least 2
+	// UpstreamIdleTimeout is how long an idle connection is kept open. It must be
+	// shorter than the upstream's own idle timeout: if the upstream closes a
+	// connection while a task is being written to it, it is unknown whether the
+	// task ran.
 	UpstreamIdleTimeout time.Duration
-	MaxAnswer           int // bytes of one upstream answer
+	MaxAnswer           int // maximum size of one upstream response, in bytes
 
-	Admin    string           // loopback host:port of the admin HTTP; empty for none
-	Metrics  http.Handler     // serves /metrics on the admin HTTP; may be nil
-	Registry metrics.Registry // receives the counters; nil makes a private one
-	Logger   *log.Logger      // nil discards
+	Admin    string           // loopback host:port of the admin HTTP server; empty disables it
+	Metrics  http.Handler     // handler of /metrics on the admin HTTP server; may be nil
+	Registry metrics.Registry // registry for the guard's metrics; nil creates a private one
+	Logger   *log.Logger      // nil discards all messages
 	Software string           // version of the binary
-	Ledger   ledger.Options   // bounds of memory and waiting; Slots and Member are set from above
-	Seed     uint64           // of the jitter in reconnecting
+	Ledger   ledger.Options   // limits of the ledger; Slots and Member are overwritten from the fields above
+	Seed     uint64           // seed of the random delays
 
-	// Dial opens a link to an entry; nil dials a WebSocket.
+	// Dial opens a link to an entry; nil opens a WebSocket.
 	Dial func(ctx context.Context, addr string) (wire.Link, error)
-	// DialUpstream opens a connection to the upstream; nil dials TCP.
+	// DialUpstream opens a connection to the upstream; nil opens a TCP connection.
 	DialUpstream func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Slots, ledger.DefaultSlots)
-	setDefault(&o.Connections, DefaultMaxConnections)
+	setDefault(&o.Connections, DefaultConnections)
 	setDefault(&o.HealthEvery, DefaultHealthInterval)
 	setDefault(&o.HealthTimeout, DefaultHealthTimeout)
 	setDefault(&o.MaxAnswer, DefaultMaxResponseBytes)
@@ -107,7 +111,7 @@
 	}
 }
 
-// validate reports the first option that cannot work.
+// validate returns an error for the first invalid option.
 func (o Options) validate() error {
 	member, service, ok := strings.Cut(o.Service, "/")
 	if !ok || member == "" || service == "" {
@@ -117,19 +121,20 @@
 		return fmt.Errorf("worker %q: want 1 to 50 lower-case letters, digits and dashes", o.Worker)
 	}
 	if len(o.Entries) == 0 {
-		return errors.New("entries: none given")
+		return errors.New("entries: at least one address is required")
 	}
 	if o.Slots < 1 || o.Connections < 2 {
 		return fmt.Errorf("slots %d, connections %d: want at least 1 and 2", o.Slots, o.Connections)
 	}
 	if o.MaxAnswer < 1 || o.MaxAnswer > wire.MaxFrame-resultOverheadBytes {
-		return fmt.Errorf("largest answer %d bytes: want 1 to %d", o.MaxAnswer, wire.MaxFrame-resultOverheadBytes)
+		return fmt.Errorf("maximum response size %d bytes: want 1 to %d", o.MaxAnswer, wire.MaxFrame-resultOverheadBytes)
 	}
 	return o.validateUpstream()
 }
 
-// validateUpstream also refuses https: the proof that a request was never written
-// counts bytes on the plain connection, and the upstream is on the same worker.
+// validateUpstream checks the upstream's URL and paths. It rejects https, because
+// trackedConn proves by the bytes on a plain connection that a request was never
+// written; TLS is not needed, as the upstream is on the same worker.
 func (o Options) validateUpstream() error {
 	u, err := url.Parse(o.Upstream)
 	if err != nil || u.Scheme != "http" || u.Host == "" || u.Path != "" && u.Path != "/" {
--- a/internal/guard/stop.go
+++ b/internal/guard/stop.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// minDrainDelay is the least time between the announcement of a stop and the
-	// end of the links. A Start that crossed the announcement on its way is
-	// refused with RanNo in that time; if the link had ended before, its entry
-	// could not know whether it ran.
+	// minDrainDelay is the minimum time between the announcement of a stop and the
+	// closing of the links. A Start that was in transit when the stop was announced
+	// is refused with RanNo in that time. If the link were closed earlier, the
+	// entry could not determine whether the task ran.
 	minDrainDelay = 200 * time.Millisecond
-	// closeHandshakeTimeout bounds the wait for the links' close handshakes before the process
-	// ends. A connection that ends without one drops what the peer has not read, so
-	// that results of several megabytes were lost after they were written, where
-	// the entry's machine was busy for longer than a tenth of a second. The library
-	// gives up on a handshake by itself after five seconds.
+	// closeHandshakeTimeout limits the wait for the links' close handshakes before
+	// the process exits. A connection closed without a handshake drops data that
+	// the peer has not read: results of several megabytes were lost after they were
+	// written, when the entry's machine was busy for more than 100 ms. The
+	// WebSocket library itself abandons a handshake after 5 s.
 	closeHandshakeTimeout = 6 * time.Second
 )
 
-// Drain announces a planned stop to all entries: no new work is taken, and what
-// runs finishes. It cannot be undone.
+// Drain announces a planned stop to all entries: new and waiting tasks are
+// refused, and running tasks finish. It cannot be undone.
 func (g *Guard) Drain(reason string) {
 	g.apply(func(now time.Time, l *ledger.Ledger) {
 		if !l.Stats().Draining {
@@ -34,8 +34,9 @@
 	})
 }
 
-// Stop drains, waits for the tasks in flight, sends their results and then ends
-// Run. When ctx ends first, what still runs is cut off, and the cause returned.
+// Stop drains the guard, waits for the tasks in flight, sends their results and
+// then makes Run return. If ctx is canceled first, the remaining tasks are
+// aborted and the cause is returned.
 func (g *Guard) Stop(ctx context.Context) error {
 	g.Drain("stop")
 	pause.For(ctx, minDrainDelay)
@@ -49,7 +50,7 @@
 	return context.Cause(ctx)
 }
 
-// closeLinks begins to end all links and gives them.
+// closeLinks starts closing all links and returns them.
 func (g *Guard) closeLinks() []wire.Link {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -62,10 +63,13 @@
 	return links
 }
 
-// closeNotifier is a link that tells when its peer has read everything.
+// closeNotifier is implemented by links with a close handshake. The channel of
+// Shut is closed when the handshake has completed, after which the peer has read
+// all frames, or has been abandoned.
 type closeNotifier interface{ Shut() <-chan struct{} }
 
-// waitForCloseHandshakes waits until the peers have read what was sent to them.
+// waitForCloseHandshakes waits until the close handshakes of all links have
+// ended, for at most closeHandshakeTimeout.
 func (g *Guard) waitForCloseHandshakes(ctx context.Context, links []wire.Link) {
 	ctx, cancel := context.WithTimeout(ctx, closeHandshakeTimeout)
 	defer cancel()
--- a/internal/guard/stop_test.go
+++ b/internal/guard/stop_test.go
@@ -12,11 +12,11 @@
 	"wigeontray/internal/wire"
 )
 
-// An operator stops a guard while its upstream works on two tasks, a third
-// waits for a slot and a fourth is already on the wire; or while it is idle and
-// one task is on the wire. If the stop cut any of them off, its caller would
-// read "outcome unknown" for a planned stop.
-func TestStopFinishesAcceptedTasks(t *testing.T) {
+// Stops a guard in two states: with two tasks running, one waiting for a slot and
+// one in transit; and idle with one task in transit. Running tasks must finish and
+// the others be refused. If the stop left any of them without a result, its caller
+// would get "outcome unknown" because of a planned stop.
+func TestStopFinishesOrRefusesEveryTask(t *testing.T) {
 	refused := "draining, ran no, 0"
 	for _, want := range [][]string{{refused, refused, okSummary, okSummary}, {refused}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// slowClosingLink is a link to an entry that takes its time to read.
+// slowClosingLink is a link whose close handshake takes closeDelay, as that of an
+// entry that reads slowly.
 type slowClosingLink struct {
 	delayedCloseLink
 	closeDelay time.Duration
@@ -58,9 +59,9 @@
 	})
 }
 
-// A guard stops while its entry's machine is busy and reads slowly. The results
-// are on the socket, but not read. If the guard's process ended before they are,
-// they would be dropped, and callers would read "outcome unknown".
+// Stops a guard while its entry reads slowly, because its machine is busy. If the
+// guard's process exited before the entry had read the results written to the
+// socket, they would be lost and callers would get "outcome unknown".
 func TestStopWaitsForCloseHandshakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const closeDelay = 2 * time.Second
@@ -81,8 +82,9 @@
 	})
 }
 
-// An upstream hangs during a planned stop. Without a bound the guard's process
-// would stay until somebody kills it; the operator sees which stop was cut off.
+// Stops a guard whose upstream hangs. Without a time limit the guard's process
+// would run until it is killed. The error shows the operator that the stop was
+// cut short.
 func TestStopReturnsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
--- a/internal/guard/upstream.go
+++ b/internal/guard/upstream.go
@@ -22,21 +22,21 @@
 // Headers of a request to the upstream.
 const (
 	TaskHeader     = "Wigeontray-Task"        // member/key/task
-	DeadlineHeader = "Wigeontray-Deadline-Ms" // time left, in milliseconds
+	DeadlineHeader = "Wigeontray-Deadline-Ms" // time until the deadline, in milliseconds
 )
 
-// Bounds on what is read of an answer besides its body.
+// Size limits of error details and response headers.
 const (
-	maxDetailBytes         = 512 // bytes of an error's body that are kept
+	maxDetailBytes         = 512 // of an error response's body, and of a result's Detail
 	maxResponseHeaderBytes = 64 << 10
 )
 
-// TaskName is the value of TaskHeader for a Ref.
+// TaskName returns the value of TaskHeader for a Ref.
 func TaskName(ref wire.Ref) string {
 	return ref.Member + "/" + ref.Key + "/" + strconv.Itoa(ref.Task)
 }
 
-// upstream posts tasks to the service beside the guard.
+// upstream is the HTTP client that posts tasks to the guard's upstream.
 type upstream struct {
 	baseURL          string
 	path             atomic.Pointer[string] // read for each task, replaced by configuration
@@ -44,9 +44,9 @@
 	transport        *http.Transport
 }
 
-// newUpstream leaves one of the connections to the health check. Redirects are
-// not followed, since they are handled above the transport: a 307 would post
-// the task a second time.
+// newUpstream returns a client of the upstream in opt. One of opt.Connections is
+// left to the health check. Tasks use the transport directly, because an
+// http.Client follows redirects and a 307 would post the task a second time.
 func newUpstream(opt Options) *upstream {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -68,18 +68,18 @@
 	return u
 }
 
-// taskURL is where tasks are posted now.
+// taskURL returns the URL to which tasks are currently posted.
 func (u *upstream) taskURL() string { return u.baseURL + *u.path.Load() }
 
 func (u *upstream) close() { u.transport.CloseIdleConnections() }
 
-// taskResult is a Result and what it says about the upstream.
+// taskResult is the Result of a task and the reachability of the upstream.
 type taskResult struct {
 	wire.Result
-	isUnreachable bool // no connection could be made
+	isUnreachable bool // dialing the upstream failed
 }
 
-// run posts one task and waits for the whole answer, until the deadline.
+// run posts one task and waits until its deadline for the complete response.
 func (u *upstream) run(ctx context.Context, task ledger.Run) taskResult {
 	startedAt := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, task.Deadline)
@@ -105,12 +105,13 @@
 	return u.readResponse(ctx, resp)
 }
 
-// newRequest makes a request that net/http cannot send again by itself. Transport
-// repeats a request on a fresh connection when a reused one was closed and the
-// request is "replayable": its method is safe, or it has an Idempotency-Key
-// header, and its body can be had again by GetBody. For an upstream that read
-// the request and then closed, the task would run twice. So the method is POST,
-// no such header is set, and the body's type gives http.NewRequest no GetBody.
+// newRequest builds a request that net/http cannot resend by itself. When a
+// reused connection is closed, Transport retries a request on a new connection
+// if the request is "replayable": its method is safe or it has an
+// Idempotency-Key header, and GetBody can return its body again. If the upstream
+// had read the request before it closed the connection, the task would run
+// twice. Therefore the method is POST, no such header is set, and the type of
+// the body is one for which http.NewRequest sets no GetBody.
 func (u *upstream) newRequest(ctx context.Context, task ledger.Run) (*http.Request, error) {
 	body := struct{ io.Reader }{bytes.NewReader(task.Body)}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, u.taskURL(), body)
@@ -119,7 +120,7 @@
 	}
 	req.ContentLength = int64(len(task.Body))
 	if len(task.Body) == 0 {
-		req.Body = http.NoBody // a body of unknown length would be sent in chunks
+		req.Body = http.NoBody // with length 0, any other body is sent chunked
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(TaskHeader, TaskName(task.Ref))
@@ -127,7 +128,8 @@
 	return req, nil
 }
 
-// readResponse takes in an answer whole, or tells why it is not.
+// readResponse reads a complete response, or returns a result that explains why
+// it is incomplete or rejected.
 func (u *upstream) readResponse(ctx context.Context, resp *http.Response) taskResult {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, u.maxResponseBytes+1))
 	switch {
@@ -147,9 +149,9 @@
 	return taskResult{Result: wire.Result{Ran: errkind.RanYes, Status: resp.StatusCode, Body: body}}
 }
 
-// isCloseDelimited tells whether the end of the body was only told by the end of the
-// connection. An upstream that dies in the middle of such a body looks as if it
-// had finished, and half an answer would be passed on as a whole one.
+// isCloseDelimited reports whether the end of the body is marked only by the
+// close of the connection. If the upstream crashes while it sends such a body,
+// the truncated response cannot be distinguished from a complete one.
 func isCloseDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
@@ -158,8 +160,8 @@
 	return taskResult{Result: wire.Result{Kind: kind, Ran: ran, Detail: err.Error()}}
 }
 
-// truncateDetail bounds a detail and keeps it valid UTF-8: a text string that is not is
-// refused by the decoder at the entry, which would end the link.
+// truncateDetail limits detail to maxDetailBytes and replaces invalid UTF-8: the
+// decoder of the entry rejects invalid text strings, which would close the link.
 func truncateDetail(detail string) string {
 	if len(detail) > maxDetailBytes {
 		detail = detail[:maxDetailBytes]
--- a/internal/guard/upstream_test.go
+++ b/internal/guard/upstream_test.go
@@ -20,12 +20,12 @@
 	"wigeontray/internal/wire"
 )
 
-// rawUpstream reads whole requests from TCP and answers the n-th, counted from
-// 0, with the bytes that script returns; after an empty or cut answer it closes
-// the connection.
+// rawUpstream reads complete requests from TCP connections. It answers request
+// n, counted from 0, with the bytes that respond returns, and then closes the
+// connection if respond says so.
 type rawUpstream struct {
 	net.Listener
-	respond func(n int) (answer string, last bool)
+	respond func(n int) (response string, closeConn bool)
 	mu      sync.Mutex
 	tasks   []string // TaskHeader of each request
 }
@@ -71,7 +71,7 @@
 
 func (u *rawUpstream) url() string { return "http://" + u.Addr().String() }
 
-// client is the guard's own client of the upstream.
+// client returns the guard's client for this upstream.
 func (u *rawUpstream) client(t testing.TB, change func(*Options)) *upstream {
 	opt := testOptions()
 	opt.Upstream = u.url()
@@ -89,8 +89,8 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
-// closeOnReuse answers the first request and keeps the connection; it reads
-// the second whole and closes. Later ones are answered.
+// closeOnReuse answers the first request and keeps the connection open, closes
+// it after the second request without an answer, and answers all later requests.
 func closeOnReuse(n int) (string, bool) {
 	if n == 1 {
 		return "", true
@@ -98,11 +98,11 @@
 	return okResponse, false
 }
 
-// The upstream reads a booking on a connection that was used before, starts the
-// work and dies or restarts. net/http repeats such a request by itself if it
-// looks repeatable, and the passenger gets two escorts. The guard's client must
-// send it once and say that it may have run; the naive client, as a control,
-// sends it twice.
+// The upstream reads a request on a reused connection and then closes it, as when
+// it crashes or restarts while it runs the task. net/http resends such a request
+// by itself if it considers it replayable, and the task runs twice. The guard's
+// client must send it once and report that it may have run. A plain http.Client
+// serves as the control and sends it twice.
 func TestRequestIsNotResent(t *testing.T) {
 	u := newRawUpstream(t, closeOnReuse)
 	c := u.client(t, nil)
@@ -112,34 +112,34 @@
 	qt.Assert(t, u.requestCount("ayni/booking/0"), qt.Equals, 1)
 
 	control := newRawUpstream(t, closeOnReuse)
-	naive := &http.Client{Transport: new(http.Transport)}
+	plainClient := &http.Client{Transport: new(http.Transport)}
 	for _, key := range []string{"warm", "booking"} {
 		req, err := http.NewRequest(http.MethodPost, control.url(), bytes.NewReader([]byte("{}")))
 		qt.Assert(t, err, qt.IsNil)
 		req.Header.Set("Idempotency-Key", key)
 		req.Header.Set(TaskHeader, key)
-		resp, err := naive.Do(req)
+		resp, err := plainClient.Do(req)
 		qt.Assert(t, err, qt.IsNil)
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	naive.CloseIdleConnections()
+	plainClient.CloseIdleConnections()
 	qt.Assert(t, control.requestCount("booking"), qt.Equals, 2)
 }
 
-// Upstreams die, refuse, cut their answers short and redirect. The caller reads
-// a whole answer or a failure, never half of one, and "not run" only if the
-// request provably never left.
+// Upstreams close the connection, return errors, truncate their responses and
+// redirect. The result must be a complete response or a failure, never a partial
+// response, and RanNo only if the request was provably never written.
 func TestUpstreamFailures(t *testing.T) {
 	for _, test := range []struct {
 		name, answer, detail string
 		want                 string
 	}{
 		{"closed", "", "EOF", "upstream_failed, ran unknown, 0"},
-		{"no HTTP", "what?\r\n\r\n", "malformed", "upstream_failed, ran unknown, 0"},
-		{"half a header", "HTTP/1.1 200 OK\r\nConte", "malformed", "upstream_failed, ran unknown, 0"},
+		{"not HTTP", "what?\r\n\r\n", "malformed", "upstream_failed, ran unknown, 0"},
+		{"partial header", "HTTP/1.1 200 OK\r\nConte", "malformed", "upstream_failed, ran unknown, 0"},
 		{"short", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{}", "EOF", "upstream_partial, ran yes, 0"},
-		{"cut chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", "EOF", "upstream_partial, ran yes, 0"},
+		{"truncated chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", "EOF", "upstream_partial, ran yes, 0"},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\n{}", "neither", "upstream_partial, ran yes, 0"},
 		{"error", "HTTP/1.1 503 Busy\r\nContent-Length: 3\r\n\r\nno\xff", "no?", "upstream_failed, ran yes, 503"},
 		{"redirect", "HTTP/1.1 307 Go\r\nLocation: /again\r\nContent-Length: 0\r\n\r\n", "", "upstream_failed, ran yes, 307"},
@@ -157,8 +157,9 @@
 	}
 }
 
-// The upstream's process is gone and its port refuses. No byte could be sent,
-// so the guard says "not run" and the task runs elsewhere, inside its deadline.
+// The upstream's process has exited and its port refuses connections. As no byte
+// was sent, the guard must report RanNo, so that the entry can run the task
+// elsewhere before its deadline.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	u := newRawUpstream(t, nil)
 	c := u.client(t, nil)
@@ -168,8 +169,9 @@
 	qt.Assert(t, got.isUnreachable, qt.IsTrue)
 }
 
-// All connections hang and the next task waits for one until its deadline. It
-// was never written, so it is "not run"; the one that hangs may have run.
+// The only connection for tasks hangs, and a second task waits for it until its
+// deadline. The second was never written and must be reported as not run; the
+// first may have run.
 func TestDeadlineDistinguishesWrittenFromUnwritten(t *testing.T) {
 	requestRead, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
@@ -181,7 +183,8 @@
 		return "", true
 	})
 	c := u.client(t, func(o *Options) { o.Connections = 2 })
-	// Far beyond the other deadline: once it passes, the connection is free.
+	// Far later than the deadline of the waiting task, because the connection
+	// becomes free when this one expires.
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	written := make(chan taskResult, 1)
@@ -195,9 +198,10 @@
 	})
 }
 
-// net/http gives up on a request while its writer is still about to write. If
-// the guard called that "not run", the bytes could leave a moment later and the
-// task would run here and elsewhere. Sealing must forbid them first.
+// net/http can return an error while its write loop is still about to write the
+// request. If the guard reported RanNo then, the bytes could be written a moment
+// later and the task would run both here and elsewhere. Sealing the connection
+// must prevent that write.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	a, b := net.Pipe()
 	_ = b.Close()
