--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,10 +1,11 @@
-// Package identity owns the names under which callers submit jobs and the
-// names under which processes of the system are known.
+// Package identity defines the identities of jobs, which callers choose, and of
+// the processes of the system.
 //
-// A job's identity is the caller's Idempotency-Key. It carries a time of birth
-// (it is, or ends in, a UUIDv7), so that a process can refuse an identity that
-// is older than its memory in place of running it a second time. A ticket also
-// names the one entry that may ever start it.
+// A job's identity is the caller's Idempotency-Key. It is, or ends in, a UUIDv7
+// and so contains the time at which it was created, its birth. A process refuses
+// an identity that is older than the records it keeps, instead of running the job
+// a second time. A ticket is an identity that also names its home, the only entry
+// that may ever start the job.
 package identity
 
 import (
@@ -18,36 +19,38 @@
 	"github.com/google/uuid"
 )
 
-// MaxKeyLen bounds an Idempotency-Key, in bytes.
+// MaxKeyLen is the maximum length of an Idempotency-Key in bytes.
 const MaxKeyLen = 128
 
 var incarnationPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Incarnation names one run of one process: its configured name and a random
-// suffix, so that a restarted process is never taken for its predecessor.
+// Incarnation identifies one run of one process. It consists of the configured
+// name and a random suffix, so that a restarted process is never mistaken for its
+// predecessor.
 type Incarnation string
 
-// NewIncarnation draws an incarnation for the process called name.
+// NewIncarnation returns a new random incarnation of the process with the given
+// name.
 func NewIncarnation(name string) Incarnation {
 	var b [6]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic(err) // crypto/rand does not fail on the platforms we run on
+		panic(err) // crypto/rand does not fail on the supported platforms
 	}
 	return Incarnation(name + "-" + hex.EncodeToString(b[:]))
 }
 
-// Key is a parsed identity. The text is what the caller sent, and two
-// submissions are the same job when member and text are equal.
+// Key is a parsed job identity. Two submissions are the same job if their members
+// and their Texts are equal.
 type Key struct {
-	Text string
-	Home Incarnation // empty for a plain key
+	Text string      // as the caller sent it
+	Home Incarnation // the only entry that may start the job; empty for a plain key
 	UUID uuid.UUID
-	// BirthMs is the identity's own time of birth, in milliseconds of the Unix
-	// epoch by the clock that made it. It never changes between submissions.
+	// BirthMs is the creation time of the identity in Unix milliseconds, by the
+	// clock of the process that created it. It is the same in every submission.
 	BirthMs int64
 }
 
-// Parse reads an Idempotency-Key: a UUIDv7, or "home.UUIDv7".
+// Parse parses an Idempotency-Key of the form UUIDv7 or "home.UUIDv7".
 func Parse(text string) (Key, error) {
 	if len(text) > MaxKeyLen {
 		return Key{}, fmt.Errorf("identity longer than %d bytes", MaxKeyLen)
@@ -66,14 +69,15 @@
 	return Key{Text: text, Home: Incarnation(home), UUID: u, BirthMs: timestampMs(u)}, nil
 }
 
-// NewTicket mints an identity that only the entry home may start.
+// NewTicket creates an identity with birth now that only the entry home may start.
 func NewTicket(home Incarnation, now time.Time) Key {
 	u := uuid.Must(uuid.NewV7())
 	setTimestampMs(&u, now.UnixMilli())
 	return Key{Text: string(home) + "." + u.String(), Home: home, UUID: u, BirthMs: now.UnixMilli()}
 }
 
-// timestampMs reads the 48-bit millisecond timestamp of a UUIDv7 (RFC 9562, 5.7).
+// timestampMs returns the 48-bit timestamp of a UUIDv7 in Unix milliseconds (RFC
+// 9562, section 5.7).
 func timestampMs(u uuid.UUID) int64 {
 	var ms int64
 	for _, b := range u[:6] {
