--- a/internal/tlsconf/generate.go
+++ b/internal/tlsconf/generate.go
@@ -18,7 +18,7 @@
 // Names of the files that GenerateFleet writes.
 const (
 	AuthorityCert = "ca.pem"
-	AuthorityKey  = "ca-key.pem" // needed only to issue more certificates; belongs on no VM of the fleet
+	AuthorityKey  = "ca-key.pem" // needed only to issue more certificates; must not be stored on a VM of the fleet
 	EntryCert     = "entry.pem"
 	EntryKey      = "entry-key.pem"
 	GuardCert     = "guard.pem"
@@ -28,27 +28,27 @@
 const (
 	caValidityPeriod   = 5 * 365 * 24 * time.Hour
 	leafValidityPeriod = 365 * 24 * time.Hour
-	maxClockSkew       = time.Hour // a VM whose clock is behind must accept a new certificate
+	maxClockSkew       = time.Hour // a VM whose clock is slow by up to this must accept a new certificate
 	serialBits         = 127
 	certMode           = 0o644
 	keyMode            = 0o600
 	dirMode            = 0o755
 )
 
-// issuedCert is a certificate with its key.
+// issuedCert is a certificate with its private key.
 type issuedCert struct {
 	cert *x509.Certificate
 	der  []byte
 	key  *ecdsa.PrivateKey
 }
 
-// GenerateFleet makes an authority, a certificate for entries and one for
-// guards in dir. hosts are the names and IP numbers under which entries are
-// reached; guards are never dialled, so their certificate names none and
-// cannot serve as an entry's. Existing files are never overwritten.
+// GenerateFleet writes a CA, a certificate for entries and one for guards to dir,
+// each with its key. hosts are the host names and IP addresses of the entries.
+// Guards are never dialed, so their certificate contains no host and cannot be
+// used as an entry's. Existing files are never overwritten.
 func GenerateFleet(dir string, hosts []string, now time.Time) error {
 	if len(hosts) == 0 {
-		return fmt.Errorf("generate fleet: no host given for the entries' certificate")
+		return fmt.Errorf("generate fleet: no host name or IP address given for the entry certificate")
 	}
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return fmt.Errorf("generate fleet: %w", err)
@@ -125,14 +125,15 @@
 	return issueCert(template, ca, now)
 }
 
-// issueCert signs t with the parent, or with its own key when there is none.
+// issueCert generates a key and a certificate from template, signed by parent, or
+// self-signed if parent is nil.
 func issueCert(template *x509.Certificate, parent *issuedCert, now time.Time) (*issuedCert, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("generate key: %w", err)
 	}
 	if template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits)); err != nil {
-		return nil, fmt.Errorf("draw serial number: %w", err)
+		return nil, fmt.Errorf("generate serial number: %w", err)
 	}
 	template.NotBefore = now.Add(-maxClockSkew)
 	signer, signerKey := template, key
@@ -161,12 +162,13 @@
 	return writePEM(certFile, "CERTIFICATE", issued.der, certMode)
 }
 
-// writePEM creates file. It fails when file exists: overwriting an authority's
-// key would cut off every process that trusts the old one.
+// writePEM creates a PEM file with one block. It fails if the file exists:
+// overwriting the key of a CA would lock out every process that trusts the old
+// one.
 func writePEM(file, blockType string, der []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
-		return fmt.Errorf("write key file: %w", err)
+		return fmt.Errorf("create PEM file: %w", err)
 	}
 	if err := pem.Encode(f, &pem.Block{Type: blockType, Bytes: der}); err != nil {
 		_ = f.Close() // the first error is the one to report
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -1,8 +1,8 @@
-// Package tlsconf owns the TLS configurations of both binaries and the files
-// that a new fleet starts from: a small certificate authority, certificates
-// for entries and guards, and members' tokens.
+// Package tlsconf builds the TLS configurations of both binaries. It also
+// generates the credentials of a new fleet: a certificate authority (CA),
+// certificates for entries and guards, and members' tokens.
 //
-// The package imports nothing of the project.
+// The package imports no other package of the project.
 package tlsconf
 
 import (
@@ -13,29 +13,31 @@
 	"os"
 )
 
-// Files names the PEM files of one side of a connection. CA may hold several
-// certificates, which lets an authority be replaced without a gap.
+// Files holds the paths of the PEM files for one side of a connection. The CA
+// file may contain several certificates, so that a CA can be replaced without
+// interruption.
 type Files struct {
 	Cert string
 	Key  string
-	CA   string
+	CA   string // certificates of the CAs that are trusted to sign the peer's
 }
 
-// Least protocol versions. Callers and the platform's store bring software of
-// their own, so TLS 1.2 is accepted there; between the system's processes both
-// ends are ours.
+// Minimum TLS versions. Callers and the platform's store run software of other
+// parties, so TLS 1.2 is accepted on connections with them. Connections between
+// the processes of the system have this project's software at both ends and
+// require TLS 1.3.
 const (
 	minExternalVersion = tls.VersionTLS12
 	minInternalVersion = tls.VersionTLS13
 )
 
 var (
-	errNoKeyPair = errors.New("certificate and key are both needed")
-	errNoCA      = errors.New("the authority's certificate is needed")
+	errNoKeyPair = errors.New("certificate and key files are both required")
+	errNoCA      = errors.New("CA certificate file is required")
 )
 
-// CallerServer is the configuration of the listener for callers. They prove
-// who they are by token, so no certificate is asked of them.
+// CallerServer returns the configuration of the listener for callers. Callers
+// authenticate with a token, so no client certificate is requested.
 func CallerServer(f Files) (*tls.Config, error) {
 	cert, err := loadKeyPair(f)
 	if err != nil {
@@ -44,10 +46,10 @@
 	return &tls.Config{MinVersion: minExternalVersion, Certificates: []tls.Certificate{cert}}, nil
 }
 
-// InnerServer is the configuration of an entry's listener for guards and other
-// entries. Both must present a certificate of the fleet's authority: without
-// that, anybody who reaches the port could announce an upstream and be handed
-// a member's tasks.
+// InnerServer returns the configuration of an entry's listener for guards and
+// other entries. Clients must present a certificate signed by the fleet's CA.
+// Otherwise any client that can reach the port could register an upstream and
+// receive a member's tasks.
 func InnerServer(f Files) (*tls.Config, error) {
 	cert, err := loadKeyPair(f)
 	if err != nil {
@@ -65,7 +67,8 @@
 	}, nil
 }
 
-// InnerClient is the configuration with which guards and entries dial entries.
+// InnerClient returns the configuration with which guards and entries dial
+// entries.
 func InnerClient(f Files) (*tls.Config, error) {
 	cert, err := loadKeyPair(f)
 	if err != nil {
@@ -78,9 +81,9 @@
 	return &tls.Config{MinVersion: minInternalVersion, Certificates: []tls.Certificate{cert}, RootCAs: pool}, nil
 }
 
-// OutsideClient is the configuration for dialling the platform's store or an
-// entry as a caller. An empty CA means the system's authorities; an empty Cert
-// and Key mean that no certificate is presented.
+// OutsideClient returns the configuration for dialing the platform's store, or an
+// entry as a caller. With an empty CA the system's root certificates are used;
+// with empty Cert and Key no client certificate is presented.
 func OutsideClient(f Files) (*tls.Config, error) {
 	c := &tls.Config{MinVersion: minExternalVersion}
 	if f.CA != "" {
@@ -118,11 +121,11 @@
 	}
 	pem, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("read authority: %w", err)
+		return nil, fmt.Errorf("read CA certificates: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("read authority %s: no certificate in it", file)
+		return nil, fmt.Errorf("read CA certificates from %s: no valid certificate found", file)
 	}
 	return pool, nil
 }
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -21,8 +21,9 @@
 	return Files{pathOf(EntryCert), pathOf(EntryKey), pathOf(AuthorityCert)}, Files{pathOf(GuardCert), pathOf(GuardKey), pathOf(AuthorityCert)}
 }
 
-// handshake connects both configurations over loopback and returns the two
-// sides' errors. TLS 1.3 reports a refused client certificate on first read.
+// handshake connects a client and a server over loopback and returns the error of
+// each side. The client reads one byte, because TLS 1.3 reports a rejected client
+// certificate only on the first read.
 func handshake(c *qt.C, server, client *tls.Config) (serverErr, clientErr error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -64,8 +65,9 @@
 	}
 }
 
-// A process without a certificate of the fleet dials an entry's inner port.
-// If it were let in, it could announce an upstream and receive members' tasks.
+// Dials an entry's inner port without a certificate, and with one of another
+// fleet. If the entry accepted such a client, it could register an upstream and
+// receive members' tasks.
 func TestInnerServerRejectsUnknownClients(t *testing.T) {
 	c := qt.New(t)
 	entry, _ := generateTestFleet(c)
@@ -77,16 +79,16 @@
 	c.Assert(serverErr, qt.IsNotNil)
 	c.Assert(clientErr, qt.IsNotNil)
 
-	_, otherGuard := generateTestFleet(c)
-	otherGuard.CA = entry.CA
-	foreign, err := InnerClient(otherGuard)
+	_, foreignFiles := generateTestFleet(c)
+	foreignFiles.CA = entry.CA
+	foreign, err := InnerClient(foreignFiles)
 	c.Assert(err, qt.IsNil)
 	serverErr, _ = handshake(c, server, foreign)
 	c.Assert(serverErr, qt.IsNotNil)
 }
 
-// A stolen guard certificate is put on a false entry. A guard that trusted it
-// would run whatever tasks it is sent.
+// Dials a server that uses a guard's certificate, as an impostor with a stolen one
+// would. A guard that accepted it as an entry would run any task it sends.
 func TestGuardCertificateCannotServe(t *testing.T) {
 	c := qt.New(t)
 	_, guard := generateTestFleet(c)
@@ -131,8 +133,8 @@
 	c.Assert(err, qt.ErrorMatches, ".*absent.pem.*")
 }
 
-// An operator runs the command a second time in the same directory. If it
-// replaced the authority, every running process would refuse the new ones.
+// Generates a fleet twice in the same directory. If the second call replaced the
+// CA, every running process would reject processes with the new certificates.
 func TestGenerateFleetDoesNotOverwriteFiles(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
