--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause lets a goroutine wait for a time that a context may cut short. It
-// imports nothing of the project.
+// Package pause provides a sleep that a context can interrupt. It imports no other
+// package of the project.
 package pause
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends, and tells whether the whole time passed.
+// For sleeps for d or until ctx is canceled, and reports whether all of d elapsed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
