--- a/internal/guard/fake_test.go
+++ b/internal/guard/fake_test.go
@@ -19,13 +19,14 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-const home = identity.Incarnation("entry-a-1")
+// testEntry is the incarnation of the fake entry in tests.
+const testEntry = identity.Incarnation("entry-a-1")
 
-// fakeEntry is the other end of a guard's links. It records what it receives.
+// fakeEntry is an entry that a guard links to. It records the frames it receives.
 type fakeEntry struct {
-	name   identity.Incarnation
-	others []wire.EntryAddr // told in Welcome
-	rude   bool             // ends each link after its Welcome
+	incarnation  identity.Incarnation
+	otherEntries []wire.EntryAddr // sent in Welcome
+	closing      bool             // closes each link after sending its Welcome
 
 	mu     sync.Mutex
 	hello  *wire.Hello
@@ -33,25 +34,27 @@
 	frames []*wire.Frame
 }
 
-// dial is for Options.Dial.
+// dial implements Options.Dial with a pipe to the fake entry.
 func (e *fakeEntry) dial(context.Context, string) (wire.Link, error) {
 	a, b := wiretest.Pipe()
 	go e.serve(b)
-	return orderlyLink{a}, nil
+	return delayedCloseLink{a}, nil
 }
 
-// orderlyLink ends a moment after it is told to. A socket delivers what was
-// written before its close; a wiretest.Pipe may drop it.
-type orderlyLink struct{ wire.Link }
+// delayedCloseLink closes its link one microsecond after Close is called. A
+// socket delivers the frames written before its close; a wiretest.Pipe may drop
+// them.
+type delayedCloseLink struct{ wire.Link }
 
-// Shut tells that the peer has read all, which is when the pipe has ended.
-func (l orderlyLink) Shut() <-chan struct{} { return l.Done() }
+// Shut is closed when the pipe is closed, as the peer has read all frames then.
+func (l delayedCloseLink) Shut() <-chan struct{} { return l.Done() }
 
-func (l orderlyLink) Close(reason string) {
+func (l delayedCloseLink) Close(reason string) {
 	time.AfterFunc(time.Microsecond, func() { l.Link.Close(reason) })
 }
 
-// serve welcomes a guard and then reads until the link ends.
+// serve answers a guard's Hello with a Welcome, then reads frames until the link
+// is closed.
 func (e *fakeEntry) serve(link wire.Link) {
 	f, err := link.Recv(context.Background())
 	if err != nil || f.Hello == nil {
@@ -60,8 +63,8 @@
 	e.mu.Lock()
 	e.hello, e.link = f.Hello, link
 	e.mu.Unlock()
-	_ = link.Send(&wire.Frame{Welcome: &wire.Welcome{Version: 1, Incarnation: e.name, Entries: e.others}})
-	if e.rude {
+	_ = link.Send(&wire.Frame{Welcome: &wire.Welcome{Version: 1, Incarnation: e.incarnation, Entries: e.otherEntries}})
+	if e.closing {
 		link.Close("go away")
 	}
 	for {
@@ -75,7 +78,7 @@
 	}
 }
 
-func (e *fakeEntry) newest() wire.Link {
+func (e *fakeEntry) newestLink() wire.Link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.link
@@ -83,11 +86,11 @@
 
 func (e *fakeEntry) send(t testing.TB, f *wire.Frame) {
 	t.Helper()
-	qt.Assert(t, e.newest().Send(f), qt.IsNil)
+	qt.Assert(t, e.newestLink().Send(f), qt.IsNil)
 }
 
-// each calls visit with every frame so far.
-func (e *fakeEntry) each(visit func(*wire.Frame)) {
+// visitFrames calls visit with every frame received so far.
+func (e *fakeEntry) visitFrames(visit func(*wire.Frame)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, f := range e.frames {
@@ -97,7 +100,7 @@
 
 func (e *fakeEntry) results() []wire.Result {
 	var out []wire.Result
-	e.each(func(f *wire.Frame) {
+	e.visitFrames(func(f *wire.Frame) {
 		if f.Result != nil {
 			out = append(out, *f.Result)
 		}
@@ -105,9 +108,9 @@
 	return out
 }
 
-// load is the newest load report, alone or on a result.
+// load returns the newest load report, sent by itself or as part of a result.
 func (e *fakeEntry) load() (load wire.Load) {
-	e.each(func(f *wire.Frame) {
+	e.visitFrames(func(f *wire.Frame) {
 		switch {
 		case f.Load != nil:
 			load = *f.Load
@@ -118,13 +121,14 @@
 	return load
 }
 
-// memoryNet listens in memory, so that HTTP runs under synctest's clock.
+// memoryNet is an in-memory net.Listener, which lets HTTP run on the clock of
+// synctest.
 type memoryNet struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 
-	frozen atomic.Bool // connections are made, and nobody reads them
+	isUnresponsive atomic.Bool // connections are opened but never read
 }
 
 func newMemoryNet() *memoryNet {
@@ -133,7 +137,7 @@
 
 func (n *memoryNet) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	a, b := net.Pipe()
-	if n.frozen.Load() {
+	if n.isUnresponsive.Load() {
 		return a, nil
 	}
 	select {
@@ -146,7 +150,7 @@
 	}
 }
 
-func (n *memoryNet) freeze() { n.frozen.Store(true) }
+func (n *memoryNet) makeUnresponsive() { n.isUnresponsive.Store(true) }
 
 func (n *memoryNet) Accept() (net.Conn, error) {
 	select {
@@ -160,14 +164,15 @@
 func (n *memoryNet) Close() error   { n.once.Do(func() { close(n.done) }); return nil }
 func (n *memoryNet) Addr() net.Addr { return &net.UnixAddr{Name: "memory"} }
 
-// bench is a guard with a fake entry and a sample upstream, all in memory.
-type bench struct {
+// testEnv is a running guard with a fake entry and a sample upstream, connected
+// in memory.
+type testEnv struct {
 	guard    *Guard
 	entry    *fakeEntry
 	upstream *sample.Upstream
 	net      *memoryNet
 	server   *http.Server
-	ran      chan error
+	runErr   chan error
 	cancel   context.CancelFunc
 }
 
@@ -178,42 +183,42 @@
 	}
 }
 
-// newBench starts a guard. It must be called in a synctest bubble, and ended
-// with close.
-func newBench(t testing.TB, change func(*Options), others ...wire.EntryAddr) *bench {
-	b := &bench{entry: &fakeEntry{name: home, others: others}, upstream: sample.New("w1", 1), net: newMemoryNet(), ran: make(chan error, 1)}
-	b.server = &http.Server{Handler: b.upstream}
-	go func() { _ = b.server.Serve(b.net) }()
+// newTestEnv starts a guard. It must be called in a synctest bubble, and the
+// caller must call close.
+func newTestEnv(t testing.TB, change func(*Options), otherEntries ...wire.EntryAddr) *testEnv {
+	env := &testEnv{entry: &fakeEntry{incarnation: testEntry, otherEntries: otherEntries}, upstream: sample.New("w1", 1), net: newMemoryNet(), runErr: make(chan error, 1)}
+	env.server = &http.Server{Handler: env.upstream}
+	go func() { _ = env.server.Serve(env.net) }()
 	opt := testOptions()
-	opt.Dial, opt.DialUpstream = b.entry.dial, b.net.dial
+	opt.Dial, opt.DialUpstream = env.entry.dial, env.net.dial
 	if change != nil {
 		change(&opt)
 	}
 	g, err := New(opt)
 	qt.Assert(t, err, qt.IsNil)
-	b.guard = g
+	env.guard = g
 	ctx, cancel := context.WithCancel(context.Background())
-	b.cancel = cancel
-	go func() { b.ran <- g.Run(ctx) }()
-	time.Sleep(time.Millisecond) // linked and healthy
-	return b
+	env.cancel = cancel
+	go func() { env.runErr <- g.Run(ctx) }()
+	time.Sleep(time.Millisecond) // wait until the guard is linked and healthy
+	return env
 }
 
-func (b *bench) close() {
-	b.cancel()
-	_ = b.server.Close()
-	<-b.ran
-	time.Sleep(time.Millisecond) // links end
+func (env *testEnv) close() {
+	env.cancel()
+	_ = env.server.Close()
+	<-env.runErr
+	time.Sleep(time.Millisecond) // wait until the links are closed
 }
 
-// task makes a Start of a fresh job, born now.
-func task(body string) *wire.Start {
-	key := identity.NewTicket(home, time.Now())
-	return &wire.Start{Ref: wire.Ref{Member: "ayni", Key: key.Text}, Of: 1, Home: home, LeftMs: 5000, Body: []byte(body)}
+// newStart returns a Start of a new job with the current time as its birth.
+func newStart(body string) *wire.Start {
+	key := identity.NewTicket(testEntry, time.Now())
+	return &wire.Start{Ref: wire.Ref{Member: "ayni", Key: key.Text}, Of: 1, Home: testEntry, LeftMs: 5000, Body: []byte(body)}
 }
 
-// verdicts writes what a test compares of results.
-func verdicts(results ...wire.Result) []string {
+// summaries formats the kind, ran and status of each result for comparison.
+func summaries(results ...wire.Result) []string {
 	var out []string
 	for _, r := range results {
 		out = append(out, fmt.Sprintf("%v, ran %v, %d", r.Kind, r.Ran, r.Status))
@@ -221,10 +226,11 @@
 	return out
 }
 
-// expect compares all results that came so far.
-func (e *fakeEntry) expect(t testing.TB, want ...string) {
+// expectResults checks the summaries of all results received so far.
+func (e *fakeEntry) expectResults(t testing.TB, want ...string) {
 	t.Helper()
-	qt.Assert(t, verdicts(e.results()...), qt.DeepEquals, want)
+	qt.Assert(t, summaries(e.results()...), qt.DeepEquals, want)
 }
 
-const served = "none, ran yes, 200"
+// okSummary is the summary of a successful result.
+const okSummary = "none, ran yes, 200"
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,9 +1,10 @@
-// Package guard owns the guard process: one beside each upstream. It announces
-// the upstream to every entry it knows, takes tasks from them, runs each on the
-// upstream over HTTP at most once, and drains before a planned stop.
+// Package guard implements the guard process, which runs beside each upstream.
+// A guard advertises its upstream to all entries in its address list, accepts
+// tasks from them, runs each task on the upstream over HTTP at most once, and
+// drains before a planned stop.
 //
-// What is accepted, started and refused is decided by package ledger; this
-// package owns the goroutines and connections around it.
+// Package ledger decides which tasks are accepted, started and refused. This
+// package provides the goroutines and connections around that state machine.
 //
 // The package may import errkind, identity, ledger and wire.
 package guard
@@ -21,33 +22,33 @@
 	"wigeontray/internal/wire"
 )
 
-// Guard is one guard process. Its methods may be called from many goroutines.
+// Guard is one guard process. Its methods are safe for concurrent use.
 type Guard struct {
 	opt         Options
 	incarnation identity.Incarnation
 	upstream    *upstream
-	count       *counters
-
-	mu     sync.Mutex // guards what follows; never held while waiting
-	ledger *ledger.Ledger
-	timer  *time.Timer // calls tick when the ledger is next due
-	config *wire.Config
-	links  map[identity.Incarnation]*session
-	addrs  map[string]*address
-	rand   *rand.Rand
-	ctx    context.Context // of the run; nil before Run
-	ended  bool            // no goroutine of the run may begin any more
-	idle   chan struct{}   // closed when draining and nothing runs or waits
-
-	stopped chan struct{} // closed when Stop has done its work
-	once    sync.Once
-	work    sync.WaitGroup // goroutines of the run
+	metrics     *guardMetrics
+
+	mu        sync.Mutex // protects the fields below; never held during a blocking call
+	ledger    *ledger.Ledger
+	timer     *time.Timer // calls tick at the ledger's next deadline
+	config    *wire.Config
+	links     map[identity.Incarnation]*session // current link of each entry
+	addresses map[string]*address               // entry addresses being dialed or linked
+	rand      *rand.Rand
+	ctx       context.Context // context of Run; nil before Run
+	closing   bool            // links are being closed; no further link or task goroutine may start
+	drained   chan struct{}   // closed when the guard is draining and no task runs or waits
+
+	stopped  chan struct{} // closed when Stop has finished
+	stopOnce sync.Once
+	wg       sync.WaitGroup // goroutines started by Run
 }
 
-// New checks the options and returns a guard that does nothing before Run.
+// New validates the options and returns a guard that is inactive until Run.
 func New(opt Options) (*Guard, error) {
 	opt = opt.withDefaults()
-	if err := opt.check(); err != nil {
+	if err := opt.validate(); err != nil {
 		return nil, fmt.Errorf("guard options: %w", err)
 	}
 	g := &Guard{
@@ -56,27 +57,27 @@
 		upstream:    newUpstream(opt),
 		ledger:      ledger.New(time.Now(), opt.Ledger),
 		links:       make(map[identity.Incarnation]*session),
-		addrs:       make(map[string]*address),
+		addresses:   make(map[string]*address),
 		rand:        rand.New(rand.NewPCG(opt.Seed, 0)),
-		idle:        make(chan struct{}),
+		drained:     make(chan struct{}),
 		stopped:     make(chan struct{}),
 	}
-	g.count = newCounters(opt.Registry, g.Stats)
+	g.metrics = newGuardMetrics(opt.Registry, g.Stats)
 	return g, nil
 }
 
-// Incarnation names this run of the guard.
+// Incarnation returns the identifier of this run of the guard.
 func (g *Guard) Incarnation() identity.Incarnation { return g.incarnation }
 
-// Stats reads the ledger.
+// Stats returns the current statistics of the ledger.
 func (g *Guard) Stats() ledger.Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.ledger.Stats()
 }
 
-// Run serves until Stop has done its work, then returns nil. When ctx ends
-// first, it cuts off what is in flight and returns the cause.
+// Run serves tasks until Stop has finished, then returns nil. If ctx is
+// canceled first, Run aborts the tasks in flight and returns the cause.
 func (g *Guard) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -84,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	g.begin(ctx)
+	g.startBackground(ctx)
 	g.serveAdmin(ctx, admin)
 	select {
 	case <-g.stopped:
@@ -93,23 +94,25 @@
 		err = context.Cause(ctx)
 	}
 	cancel()
-	g.end()
+	g.shutdown()
 	return err
 }
 
-func (g *Guard) begin(ctx context.Context) {
+// startBackground starts the health checks and a link to each configured entry.
+func (g *Guard) startBackground(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ctx = ctx
-	g.work.Go(func() { g.watchHealth(ctx) })
+	g.wg.Go(func() { g.watchHealth(ctx) })
 	for _, addr := range g.opt.Entries {
 		g.addAddress(addr, false)
 	}
 }
 
-func (g *Guard) end() {
+// shutdown closes all links and waits for the goroutines of Run to finish.
+func (g *Guard) shutdown() {
 	g.mu.Lock()
-	g.ended = true
+	g.closing = true
 	for _, s := range g.links {
 		s.link.Close("guard ended")
 	}
@@ -117,61 +120,66 @@
 		g.timer.Stop()
 	}
 	g.mu.Unlock()
-	g.work.Wait()
+	g.wg.Wait()
 	g.upstream.close()
 }
 
-// step feeds one event to the ledger and carries out its actions, in order.
-func (g *Guard) step(event func(now time.Time, l *ledger.Ledger)) {
+// apply passes one event to the ledger and performs the resulting actions in
+// order.
+func (g *Guard) apply(event func(now time.Time, l *ledger.Ledger)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stepLocked(event)
+	g.applyLocked(event)
 }
 
-func (g *Guard) stepLocked(event func(now time.Time, l *ledger.Ledger)) {
+// applyLocked is apply for callers that hold g.mu.
+func (g *Guard) applyLocked(event func(now time.Time, l *ledger.Ledger)) {
 	now := time.Now()
 	event(now, g.ledger)
-	for _, a := range g.ledger.Actions() {
+	for _, action := range g.ledger.Actions() {
 		switch {
-		case a.Run != nil:
-			g.start(*a.Run)
-		case a.Send != nil:
-			g.send(a.Send)
+		case action.Run != nil:
+			g.startTask(*action.Run)
+		case action.Send != nil:
+			g.sendFrame(action.Send)
 		}
 	}
-	g.schedule(now)
-	g.noteIdle()
+	g.scheduleTick(now)
+	g.closeDrainedIfIdle()
 }
 
-// start runs a task beside the event loop.
-func (g *Guard) start(run ledger.Run) {
-	if g.ended {
+// startTask runs a task on the upstream in a new goroutine and passes its
+// result to the ledger. g.mu is held.
+func (g *Guard) startTask(run ledger.Run) {
+	if g.closing {
 		return
 	}
-	g.count.started.Inc(1)
+	g.metrics.tasksStarted.Inc(1)
 	ctx := g.ctx
-	g.work.Go(func() {
+	g.wg.Go(func() {
 		res := g.upstream.run(ctx, run)
-		if res.unreachable {
+		if res.isUnreachable {
 			g.setHealthy(false, res.Detail)
 		}
-		g.step(func(now time.Time, l *ledger.Ledger) { l.Finished(now, res.Result) })
+		g.apply(func(now time.Time, l *ledger.Ledger) { l.Finished(now, res.Result) })
 	})
 }
 
-func (g *Guard) send(s *ledger.Send) {
+// sendFrame sends a frame on the current link of an entry; without one, the
+// frame is dropped. g.mu is held.
+func (g *Guard) sendFrame(s *ledger.Send) {
 	if r := s.Frame.Result; r != nil {
-		g.count.result(r)
+		g.metrics.countResult(r)
 	}
 	if link := g.links[s.To]; link != nil {
-		// A failed Send has ended the link; its reader cleans up, and the entry
-		// asks again on the next one.
+		// A failed Send closes the link. serveSession then removes the session,
+		// and the entry repeats its request on the next link.
 		_ = link.link.Send(s.Frame)
 	}
 }
 
-// schedule arranges for tick to be called when the ledger is next due.
-func (g *Guard) schedule(now time.Time) {
+// scheduleTick sets the timer to call tick at the ledger's next deadline.
+func (g *Guard) scheduleTick(now time.Time) {
 	next := g.ledger.NextTick()
 	switch {
 	case next.IsZero() && g.timer != nil:
@@ -184,23 +192,24 @@
 }
 
 func (g *Guard) tick() {
-	g.step(func(now time.Time, l *ledger.Ledger) { l.Tick(now) })
+	g.apply(func(now time.Time, l *ledger.Ledger) { l.Tick(now) })
 }
 
-func (g *Guard) noteIdle() {
+// closeDrainedIfIdle closes g.drained once the guard is draining and idle.
+func (g *Guard) closeDrainedIfIdle() {
 	if !g.ledger.Stats().Draining || !g.ledger.Idle() {
 		return
 	}
 	select {
-	case <-g.idle:
+	case <-g.drained:
 	default:
-		close(g.idle)
+		close(g.drained)
 	}
 }
 
-// handle feeds one frame from an entry to the ledger.
-func (g *Guard) handle(from identity.Incarnation, f *wire.Frame) {
-	g.stepLocked(func(now time.Time, l *ledger.Ledger) {
+// handleFrame processes one frame from an entry. g.mu is held.
+func (g *Guard) handleFrame(from identity.Incarnation, f *wire.Frame) {
+	g.applyLocked(func(now time.Time, l *ledger.Ledger) {
 		switch {
 		case f.Start != nil:
 			l.Start(now, from, f.Start)
@@ -213,19 +222,20 @@
 		case f.Collect != nil:
 			l.Collect(from, f.Collect)
 		case f.Config != nil:
-			g.takeConfig(from, f.Config)
+			g.applyConfig(from, f.Config)
 		case f.ConfigAck != nil:
-			g.noteRevision(from, f.ConfigAck.Revision)
-		case f.Welcome != nil: // tells of entries that joined since
-			g.learn(f.Welcome.Entries)
-		case f.Goodbye != nil: // the entry closes the link when it is done
+			g.updateEntryRevision(from, f.ConfigAck.Revision)
+		case f.Welcome != nil: // lists entries that joined since the handshake
+			g.addLearnedEntries(f.Welcome.Entries)
+		case f.Goodbye != nil: // no action: the entry closes the link itself when it has finished
 		default:
-			g.count.unknownFrames.Inc(1)
+			g.metrics.unknownFrames.Inc(1)
 		}
 	})
 }
 
-// finalRefusal tells whether a result promises that the task never runs here.
-func finalRefusal(r *wire.Result) bool {
+// isNotRun reports whether a result guarantees that the task has not run and
+// will never run on this guard's upstream.
+func isNotRun(r *wire.Result) bool {
 	return r.Ran == errkind.RanNo
 }
--- a/internal/guard/links.go
+++ b/internal/guard/links.go
@@ -13,81 +13,83 @@
 	"wigeontray/internal/wire"
 )
 
-// Timing and bounds of links.
+// Timeouts and limits of links.
 const (
 	dialTimeout    = 5 * time.Second
 	welcomeTimeout = 5 * time.Second
-	backoffMin     = 100 * time.Millisecond
-	backoffMax     = 5 * time.Second
-	// steadyAfter is how long a link must last before its loss counts as the
-	// first failure. An entry that welcomes a guard and then ends the link, as
-	// one with another fleet key may, would otherwise be dialed ten times a
-	// second by every guard.
-	steadyAfter = 10 * time.Second
-	// forgetAfter is how long an address that an entry told is dialed without
-	// success. Entries are replaced daily, and without a bound a guard would
-	// dial every entry that ever was.
-	forgetAfter  = 10 * time.Minute
-	maxAddresses = 64 // entries that a guard links to
+	minBackoff     = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// backoffResetAge is how long a link must last for its loss to reset the
+	// backoff. An entry that sends a Welcome and then closes the link, as one with
+	// another fleet key may, would otherwise be dialed ten times a second by every
+	// guard.
+	backoffResetAge = 10 * time.Second
+	// learnedAddressTimeout is how long an address received from an entry is dialed
+	// without success before it is dropped. Entries are replaced daily, and without
+	// a limit a guard would keep dialing every entry that ever existed.
+	learnedAddressTimeout = 10 * time.Minute
+	maxAddresses          = 64 // entry addresses that a guard dials
 )
 
-// address is one place where an entry is reached.
+// address is a network address of an entry.
 type address struct {
-	addr    string
-	learned bool // told by an entry, not by the settings
-	reached time.Time
+	addr        string
+	isLearned   bool // received from an entry, not set in Options
+	lastReached time.Time
 }
 
 // session is one established link.
 type session struct {
-	entry    identity.Incarnation
-	link     wire.Link
-	revision int64         // configuration in force at the entry, as far as known
-	replaced *session      // newer link of the same incarnation, if any
-	ended    chan struct{} // closed when the link is no longer read
+	entry          identity.Incarnation
+	link           wire.Link
+	configRevision int64         // newest revision that the entry reported or was sent
+	replacedBy     *session      // newer session with the same entry, if any
+	readDone       chan struct{} // closed when the link is no longer read
 }
 
-// addAddress begins to link to addr unless that is under way. g.mu is held.
-func (g *Guard) addAddress(addr string, learned bool) {
-	if g.addrs[addr] != nil || len(g.addrs) >= maxAddresses || g.ended {
+// addAddress starts linking to addr unless it is in g.addresses already. g.mu
+// is held.
+func (g *Guard) addAddress(addr string, isLearned bool) {
+	if g.addresses[addr] != nil || len(g.addresses) >= maxAddresses || g.closing {
 		return
 	}
-	a := &address{addr: addr, learned: learned, reached: time.Now()}
-	g.addrs[addr] = a
+	a := &address{addr: addr, isLearned: isLearned, lastReached: time.Now()}
+	g.addresses[addr] = a
 	ctx := g.ctx
-	g.work.Go(func() { g.keepLinked(ctx, a) })
-}
-
-// keepLinked holds a link to one address until ctx ends or the address is
-// given up.
-func (g *Guard) keepLinked(ctx context.Context, a *address) {
-	backoff := backoffMin
-	for ctx.Err() == nil && !g.closing() {
-		began := time.Now()
-		if s, err := g.connect(ctx, a); err == nil {
-			g.serve(ctx, s)
-			g.waitReplaced(ctx, s)
+	g.wg.Go(func() { g.maintainLink(ctx, a) })
+}
+
+// maintainLink keeps a link to one address until ctx is canceled, the guard
+// closes its links, or the address is dropped.
+func (g *Guard) maintainLink(ctx context.Context, a *address) {
+	backoff := minBackoff
+	for ctx.Err() == nil && !g.isClosing() {
+		startedAt := time.Now()
+		if s, err := g.openSession(ctx, a); err == nil {
+			g.serveSession(ctx, s)
+			g.waitForReplacements(ctx, s)
 		} else {
-			g.count.linkFailures.Inc(1)
-			if g.giveUp(a) {
+			g.metrics.linkFailures.Inc(1)
+			if g.dropIfUnreachable(a) {
 				return
 			}
 		}
-		if time.Since(began) > steadyAfter {
-			backoff = backoffMin
+		if time.Since(startedAt) > backoffResetAge {
+			backoff = minBackoff
 		}
-		pause.For(ctx, g.jitter(backoff))
-		backoff = min(2*backoff, backoffMax)
+		pause.For(ctx, g.jitteredDelay(backoff))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// waitReplaced waits until the newer link that replaced s has ended as well.
-// When two addresses lead to one entry, each new link ends the other; if both
-// sides redialed at once, the entry would lose and regain this guard for ever.
-func (g *Guard) waitReplaced(ctx context.Context, s *session) {
+// waitForReplacements waits until the session that replaced s, if any, and all
+// that replaced it in turn have ended. When two addresses lead to one entry, each
+// new link closes the other. If both were redialed at once, the entry would lose
+// and regain this guard endlessly.
+func (g *Guard) waitForReplacements(ctx context.Context, s *session) {
 	for s = g.replacement(s); s != nil; s = g.replacement(s) {
 		select {
-		case <-s.ended:
+		case <-s.readDone:
 		case <-ctx.Done():
 			return
 		}
@@ -97,53 +99,56 @@
 func (g *Guard) replacement(s *session) *session {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return s.replaced
+	return s.replacedBy
 }
 
-func (g *Guard) closing() bool {
+func (g *Guard) isClosing() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ended
+	return g.closing
 }
 
-// giveUp forgets a learned address that was not reached for a long time.
-func (g *Guard) giveUp(a *address) bool {
-	if !a.learned || time.Since(a.reached) < forgetAfter {
+// dropIfUnreachable removes a learned address that was not reached for
+// learnedAddressTimeout, and reports whether it did.
+func (g *Guard) dropIfUnreachable(a *address) bool {
+	if !a.isLearned || time.Since(a.lastReached) < learnedAddressTimeout {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.addrs, a.addr)
+	delete(g.addresses, a.addr)
 	return true
 }
 
-// jitter draws a time between half of d and d, so that the guards of a fleet do
-// not all redial a restarted entry at the same moment.
-func (g *Guard) jitter(d time.Duration) time.Duration {
+// jitteredDelay returns a random duration between d/2 and d, so that the guards of a
+// fleet do not all redial a restarted entry at the same moment.
+func (g *Guard) jitteredDelay(d time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return d/2 + time.Duration(g.rand.Int64N(int64(d/2)+1))
 }
 
-// connect dials an address and exchanges Hello and Welcome.
-func (g *Guard) connect(ctx context.Context, a *address) (*session, error) {
+// openSession dials an address, exchanges Hello and Welcome, and registers the
+// session.
+func (g *Guard) openSession(ctx context.Context, a *address) (*session, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	link, err := g.opt.Dial(dialCtx, a.addr)
 	if err != nil {
 		return nil, fmt.Errorf("dial entry %s: %w", a.addr, err)
 	}
-	welcome, err := g.greet(ctx, link)
+	welcome, err := g.handshake(ctx, link)
 	if err != nil {
 		link.Close("no welcome")
 		return nil, fmt.Errorf("entry %s: %w", a.addr, err)
 	}
-	a.reached = time.Now()
-	return g.adopt(link, welcome), nil
+	a.lastReached = time.Now()
+	return g.registerSession(link, welcome), nil
 }
 
-func (g *Guard) greet(ctx context.Context, link wire.Link) (*wire.Welcome, error) {
-	if err := link.Send(&wire.Frame{Hello: g.hello()}); err != nil {
+// handshake sends a Hello and waits for the entry's Welcome.
+func (g *Guard) handshake(ctx context.Context, link wire.Link) (*wire.Welcome, error) {
+	if err := link.Send(&wire.Frame{Hello: g.newHello()}); err != nil {
 		return nil, fmt.Errorf("send hello: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, welcomeTimeout)
@@ -153,49 +158,51 @@
 		return nil, fmt.Errorf("wait for welcome: %w", err)
 	}
 	if f.Welcome == nil || f.Welcome.Incarnation == "" {
-		return nil, errors.New("first frame is no welcome")
+		return nil, errors.New("first frame is not a valid welcome")
 	}
 	if f.Welcome.Version < wire.MinVersion {
-		return nil, fmt.Errorf("protocol version %d is older than %d", f.Welcome.Version, wire.MinVersion)
+		return nil, fmt.Errorf("protocol version %d is older than the minimum %d", f.Welcome.Version, wire.MinVersion)
 	}
 	return f.Welcome, nil
 }
 
-func (g *Guard) hello() *wire.Hello {
+func (g *Guard) newHello() *wire.Hello {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return &wire.Hello{
 		Version: wire.Version, MinVersion: wire.MinVersion, Incarnation: g.incarnation,
 		Service: g.opt.Service, Worker: g.opt.Worker, Rack: g.opt.Rack,
 		Domain: g.opt.Domain, Region: g.opt.Region, Slots: g.opt.Slots,
-		Accelerator: g.opt.Accelerator, MemoryMB: g.opt.MemoryMB, Revision: g.revision(), Load: g.ledger.Load(),
+		Accelerator: g.opt.Accelerator, MemoryMB: g.opt.MemoryMB, Revision: g.configRevision(), Load: g.ledger.Load(),
 		Software: g.opt.Software, Key: g.opt.Key,
 	}
 }
 
-// adopt makes a welcomed link the current one of its entry. An older link of
-// the same incarnation is ended and no longer read: a frame that it still holds
-// could be a Cancel or Reserve that the entry has since replaced.
-func (g *Guard) adopt(link wire.Link, w *wire.Welcome) *session {
-	s := &session{entry: w.Incarnation, link: link, revision: w.Revision, ended: make(chan struct{})}
+// registerSession makes a link that completed the handshake the current one of
+// its entry. An older link of the same incarnation is closed and no longer read:
+// a frame still unread on it could be a Cancel or Reserve that the entry has
+// since superseded.
+func (g *Guard) registerSession(link wire.Link, w *wire.Welcome) *session {
+	s := &session{entry: w.Incarnation, link: link, configRevision: w.Revision, readDone: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if old := g.links[s.entry]; old != nil {
-		old.replaced = s
+		old.replacedBy = s
 		old.link.Close("superseded")
-		g.count.superseded.Inc(1)
+		g.metrics.linksSuperseded.Inc(1)
 	}
 	g.links[s.entry] = s
-	g.count.linksOpened.Inc(1)
+	g.metrics.linksOpened.Inc(1)
 	g.opt.Logger.Info("linked", "entry", s.entry)
-	g.stepLocked(func(now time.Time, l *ledger.Ledger) { l.LinkUp(now, s.entry) })
-	g.learn(w.Entries)
-	g.offerConfig(s)
+	g.applyLocked(func(now time.Time, l *ledger.Ledger) { l.LinkUp(now, s.entry) })
+	g.addLearnedEntries(w.Entries)
+	g.scheduleConfigSend(s)
 	return s
 }
 
-// learn begins to link to entries that another entry told of.
-func (g *Guard) learn(entries []wire.EntryAddr) {
+// addLearnedEntries starts linking to entries that another entry announced. g.mu
+// is held.
+func (g *Guard) addLearnedEntries(entries []wire.EntryAddr) {
 	for _, e := range entries {
 		if e.Inner != "" && g.links[e.Incarnation] == nil {
 			g.addAddress(e.Inner, true)
@@ -203,12 +210,12 @@
 	}
 }
 
-// serve reads a link until it ends or is replaced.
-func (g *Guard) serve(ctx context.Context, s *session) {
-	defer close(s.ended)
+// serveSession reads frames from a link until it closes or is replaced.
+func (g *Guard) serveSession(ctx context.Context, s *session) {
+	defer close(s.readDone)
 	for {
 		f, err := s.link.Recv(ctx)
-		if err != nil || !g.receive(s, f) {
+		if err != nil || !g.handleIfCurrent(s, f) {
 			break
 		}
 	}
@@ -220,22 +227,24 @@
 	}
 	delete(g.links, s.entry)
 	g.opt.Logger.Info("link lost", "entry", s.entry)
-	g.stepLocked(func(now time.Time, l *ledger.Ledger) { l.LinkDown(now, s.entry) })
+	g.applyLocked(func(now time.Time, l *ledger.Ledger) { l.LinkDown(now, s.entry) })
 }
 
-// receive handles a frame if its link is still the current one of its entry.
-func (g *Guard) receive(s *session, f *wire.Frame) bool {
+// handleIfCurrent processes a frame if s is still the current session of its
+// entry, and reports whether it is.
+func (g *Guard) handleIfCurrent(s *session, f *wire.Frame) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.links[s.entry] != s {
 		return false
 	}
-	g.handle(s.entry, f)
+	g.handleFrame(s.entry, f)
 	return true
 }
 
-// socketDialer opens WebSocket links; tlsConfig nil means plain text.
-func socketDialer(tlsConfig *tls.Config) func(context.Context, string) (wire.Link, error) {
+// webSocketDialer returns a function that opens WebSocket links. Without a
+// tlsConfig the links are not encrypted.
+func webSocketDialer(tlsConfig *tls.Config) func(context.Context, string) (wire.Link, error) {
 	scheme := "ws"
 	if tlsConfig != nil {
 		scheme = "wss"
--- a/internal/guard/upstream_test.go
+++ b/internal/guard/upstream_test.go
@@ -20,20 +20,20 @@
 	"wigeontray/internal/wire"
 )
 
-// rawUpstream reads whole requests from TCP and answers the n-th, counted from
-// 0, with the bytes that script returns; after an empty or cut answer it closes
-// the connection.
+// rawUpstream reads complete requests from TCP connections. It answers request
+// n, counted from 0, with the bytes that respond returns, and then closes the
+// connection if respond says so.
 type rawUpstream struct {
 	net.Listener
-	script func(n int) (answer string, last bool)
-	mu     sync.Mutex
-	tasks  []string // TaskHeader of each request
+	respond func(n int) (response string, closeConn bool)
+	mu      sync.Mutex
+	tasks   []string // TaskHeader of each request
 }
 
-func newRawUpstream(t testing.TB, script func(int) (string, bool)) *rawUpstream {
+func newRawUpstream(t testing.TB, respond func(int) (string, bool)) *rawUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	u := &rawUpstream{Listener: l, script: script}
+	u := &rawUpstream{Listener: l, respond: respond}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for conn, err := l.Accept(); err == nil; conn, err = l.Accept() {
@@ -53,17 +53,17 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		u.mu.Lock()
-		answer, last := u.script(len(u.tasks))
+		response, closeConn := u.respond(len(u.tasks))
 		u.tasks = append(u.tasks, req.Header.Get(TaskHeader))
 		u.mu.Unlock()
-		_, _ = io.WriteString(conn, answer)
-		if last {
+		_, _ = io.WriteString(conn, response)
+		if closeConn {
 			return
 		}
 	}
 }
 
-func (u *rawUpstream) seen(task string) int {
+func (u *rawUpstream) requestCount(task string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return strings.Count(strings.Join(u.tasks, "\n")+"\n", task+"\n")
@@ -71,7 +71,7 @@
 
 func (u *rawUpstream) url() string { return "http://" + u.Addr().String() }
 
-// client is the guard's own client of the upstream.
+// client returns the guard's client for this upstream.
 func (u *rawUpstream) client(t testing.TB, change func(*Options)) *upstream {
 	opt := testOptions()
 	opt.Upstream = u.url()
@@ -83,63 +83,63 @@
 	return c
 }
 
-func runOf(key string) ledger.Run {
+func newRun(key string) ledger.Run {
 	return ledger.Run{Ref: wire.Ref{Member: "ayni", Key: key}, Body: []byte("{}"), Deadline: time.Now().Add(5 * time.Second)}
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
-// closesOnReuse answers the first request and keeps the connection; it reads
-// the second whole and closes. Later ones are answered.
-func closesOnReuse(n int) (string, bool) {
+// closeOnReuse answers the first request and keeps the connection open, closes
+// it after the second request without an answer, and answers all later requests.
+func closeOnReuse(n int) (string, bool) {
 	if n == 1 {
 		return "", true
 	}
-	return ok, false
+	return okResponse, false
 }
 
-// The upstream reads a booking on a connection that was used before, starts the
-// work and dies or restarts. net/http repeats such a request by itself if it
-// looks repeatable, and the passenger gets two escorts. The guard's client must
-// send it once and say that it may have run; the naive client, as a control,
-// sends it twice.
+// The upstream reads a request on a reused connection and then closes it, as when
+// it crashes or restarts while it runs the task. net/http resends such a request
+// by itself if it considers it replayable, and the task runs twice. The guard's
+// client must send it once and report that it may have run. A plain http.Client
+// serves as the control and sends it twice.
 func TestRequestIsNotResent(t *testing.T) {
-	u := newRawUpstream(t, closesOnReuse)
+	u := newRawUpstream(t, closeOnReuse)
 	c := u.client(t, nil)
-	qt.Assert(t, c.run(t.Context(), runOf("warm")).Kind, qt.Equals, errkind.None)
-	got := c.run(t.Context(), runOf("booking"))
-	qt.Assert(t, verdicts(got.Result), qt.DeepEquals, []string{"upstream_failed, ran unknown, 0"})
-	qt.Assert(t, u.seen("ayni/booking/0"), qt.Equals, 1)
+	qt.Assert(t, c.run(t.Context(), newRun("warm")).Kind, qt.Equals, errkind.None)
+	got := c.run(t.Context(), newRun("booking"))
+	qt.Assert(t, summaries(got.Result), qt.DeepEquals, []string{"upstream_failed, ran unknown, 0"})
+	qt.Assert(t, u.requestCount("ayni/booking/0"), qt.Equals, 1)
 
-	control := newRawUpstream(t, closesOnReuse)
-	naive := &http.Client{Transport: new(http.Transport)}
+	control := newRawUpstream(t, closeOnReuse)
+	plainClient := &http.Client{Transport: new(http.Transport)}
 	for _, key := range []string{"warm", "booking"} {
 		req, err := http.NewRequest(http.MethodPost, control.url(), bytes.NewReader([]byte("{}")))
 		qt.Assert(t, err, qt.IsNil)
 		req.Header.Set("Idempotency-Key", key)
 		req.Header.Set(TaskHeader, key)
-		resp, err := naive.Do(req)
+		resp, err := plainClient.Do(req)
 		qt.Assert(t, err, qt.IsNil)
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	naive.CloseIdleConnections()
-	qt.Assert(t, control.seen("booking"), qt.Equals, 2)
+	plainClient.CloseIdleConnections()
+	qt.Assert(t, control.requestCount("booking"), qt.Equals, 2)
 }
 
-// Upstreams die, refuse, cut their answers short and redirect. The caller reads
-// a whole answer or a failure, never half of one, and "not run" only if the
-// request provably never left.
+// Upstreams close the connection, return errors, truncate their responses and
+// redirect. The result must be a complete response or a failure, never a partial
+// response, and RanNo only if the request was provably never written.
 func TestUpstreamFailures(t *testing.T) {
 	for _, test := range []struct {
 		name, answer, detail string
 		want                 string
 	}{
 		{"closed", "", "EOF", "upstream_failed, ran unknown, 0"},
-		{"no HTTP", "what?\r\n\r\n", "malformed", "upstream_failed, ran unknown, 0"},
-		{"half a header", "HTTP/1.1 200 OK\r\nConte", "malformed", "upstream_failed, ran unknown, 0"},
+		{"not HTTP", "what?\r\n\r\n", "malformed", "upstream_failed, ran unknown, 0"},
+		{"partial header", "HTTP/1.1 200 OK\r\nConte", "malformed", "upstream_failed, ran unknown, 0"},
 		{"short", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{}", "EOF", "upstream_partial, ran yes, 0"},
-		{"cut chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", "EOF", "upstream_partial, ran yes, 0"},
+		{"truncated chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", "EOF", "upstream_partial, ran yes, 0"},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\n{}", "neither", "upstream_partial, ran yes, 0"},
 		{"error", "HTTP/1.1 503 Busy\r\nContent-Length: 3\r\n\r\nno\xff", "no?", "upstream_failed, ran yes, 503"},
 		{"redirect", "HTTP/1.1 307 Go\r\nLocation: /again\r\nContent-Length: 0\r\n\r\n", "", "upstream_failed, ran yes, 307"},
@@ -148,66 +148,70 @@
 		t.Run(test.name, func(t *testing.T) {
 			u := newRawUpstream(t, func(int) (string, bool) { return test.answer, true })
 			c := u.client(t, func(o *Options) { o.MaxAnswer = 8 })
-			got := c.run(t.Context(), runOf("booking"))
-			qt.Check(t, verdicts(got.Result), qt.DeepEquals, []string{test.want})
+			got := c.run(t.Context(), newRun("booking"))
+			qt.Check(t, summaries(got.Result), qt.DeepEquals, []string{test.want})
 			qt.Check(t, got.Detail, qt.Contains, test.detail)
 			qt.Check(t, utf8.ValidString(got.Detail) && got.Body == nil, qt.IsTrue)
-			qt.Check(t, u.seen("ayni/booking/0"), qt.Equals, 1)
+			qt.Check(t, u.requestCount("ayni/booking/0"), qt.Equals, 1)
 		})
 	}
 }
 
-// The upstream's process is gone and its port refuses. No byte could be sent,
-// so the guard says "not run" and the task runs elsewhere, inside its deadline.
+// The upstream's process has exited and its port refuses connections. As no byte
+// was sent, the guard must report RanNo, so that the entry can run the task
+// elsewhere before its deadline.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	u := newRawUpstream(t, nil)
 	c := u.client(t, nil)
 	_ = u.Close()
-	got := c.run(t.Context(), runOf("booking"))
-	qt.Assert(t, verdicts(got.Result), qt.DeepEquals, []string{"upstream_failed, ran no, 0"})
-	qt.Assert(t, got.unreachable, qt.IsTrue)
+	got := c.run(t.Context(), newRun("booking"))
+	qt.Assert(t, summaries(got.Result), qt.DeepEquals, []string{"upstream_failed, ran no, 0"})
+	qt.Assert(t, got.isUnreachable, qt.IsTrue)
 }
 
-// All connections hang and the next task waits for one until its deadline. It
-// was never written, so it is "not run"; the one that hangs may have run.
-func TestDeadlineTellsWrittenFromUnwritten(t *testing.T) {
-	read, hang := make(chan struct{}), make(chan struct{})
-	defer close(hang)
+// The only connection for tasks hangs, and a second task waits for it until its
+// deadline. The second was never written and must be reported as not run; the
+// first may have run.
+func TestDeadlineDistinguishesWrittenFromUnwritten(t *testing.T) {
+	requestRead, release := make(chan struct{}), make(chan struct{})
+	defer close(release)
 	u := newRawUpstream(t, func(n int) (string, bool) {
 		if n == 0 {
-			close(read)
+			close(requestRead)
 		}
-		<-hang
+		<-release
 		return "", true
 	})
 	c := u.client(t, func(o *Options) { o.Connections = 2 })
-	// Far beyond the other deadline: once it passes, the connection is free.
+	// Far later than the deadline of the waiting task, because the connection
+	// becomes free when this one expires.
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	written := make(chan runResult, 1)
-	go func() { written <- c.run(ctx, runOf("written")) }()
-	<-read
-	waiting := runOf("waiting")
+	written := make(chan taskResult, 1)
+	go func() { written <- c.run(ctx, newRun("written")) }()
+	<-requestRead
+	waiting := newRun("waiting")
 	waiting.Deadline = time.Now().Add(50 * time.Millisecond)
 	got := []wire.Result{c.run(t.Context(), waiting).Result, (<-written).Result}
-	qt.Assert(t, verdicts(got...), qt.DeepEquals, []string{
+	qt.Assert(t, summaries(got...), qt.DeepEquals, []string{
 		"deadline_expired, ran no, 0", "timed_out, ran unknown, 0",
 	})
 }
 
-// net/http gives up on a request while its writer is still about to write. If
-// the guard called that "not run", the bytes could leave a moment later and the
-// task would run here and elsewhere. Sealing must forbid them first.
+// net/http can return an error while its write loop is still about to write the
+// request. If the guard reported RanNo then, the bytes could be written a moment
+// later and the task would run both here and elsewhere. Sealing the connection
+// must prevent that write.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	a, b := net.Pipe()
 	_ = b.Close()
-	c := &provenConn{Conn: a}
-	qt.Assert(t, c.sealAt(c.position()), qt.IsTrue)
+	c := &trackedConn{Conn: a}
+	qt.Assert(t, c.sealIfUnwritten(c.offset()), qt.IsTrue)
 	_, err := c.Write([]byte("POST"))
 	qt.Assert(t, err, qt.ErrorIs, net.ErrClosed)
 
-	late := &provenConn{Conn: a}
-	at := late.position()
-	_, _ = late.Write([]byte("POST"))
-	qt.Assert(t, late.sealAt(at), qt.IsFalse)
+	written := &trackedConn{Conn: a}
+	before := written.offset()
+	_, _ = written.Write([]byte("POST"))
+	qt.Assert(t, written.sealIfUnwritten(before), qt.IsFalse)
 }
--- a/internal/tlsconf/generate.go
+++ b/internal/tlsconf/generate.go
@@ -18,7 +18,7 @@
 // Names of the files that GenerateFleet writes.
 const (
 	AuthorityCert = "ca.pem"
-	AuthorityKey  = "ca-key.pem" // needed only to issue more certificates; belongs on no VM of the fleet
+	AuthorityKey  = "ca-key.pem" // needed only to issue more certificates; must not be stored on a VM of the fleet
 	EntryCert     = "entry.pem"
 	EntryKey      = "entry-key.pem"
 	GuardCert     = "guard.pem"
@@ -26,90 +26,90 @@
 )
 
 const (
-	authorityLife = 5 * 365 * 24 * time.Hour
-	leafLife      = 365 * 24 * time.Hour
-	clockSkew     = time.Hour // a VM whose clock is behind must accept a new certificate
-	serialBits    = 127
-	certMode      = 0o644
-	keyMode       = 0o600
-	dirMode       = 0o755
+	caValidityPeriod   = 5 * 365 * 24 * time.Hour
+	leafValidityPeriod = 365 * 24 * time.Hour
+	maxClockSkew       = time.Hour // a VM whose clock is slow by up to this must accept a new certificate
+	serialBits         = 127
+	certMode           = 0o644
+	keyMode            = 0o600
+	dirMode            = 0o755
 )
 
-// issued is a certificate with its key.
-type issued struct {
+// issuedCert is a certificate with its private key.
+type issuedCert struct {
 	cert *x509.Certificate
 	der  []byte
 	key  *ecdsa.PrivateKey
 }
 
-// GenerateFleet makes an authority, a certificate for entries and one for
-// guards in dir. hosts are the names and IP numbers under which entries are
-// reached; guards are never dialled, so their certificate names none and
-// cannot serve as an entry's. Existing files are never overwritten.
+// GenerateFleet writes a CA, a certificate for entries and one for guards to dir,
+// each with its key. hosts are the host names and IP addresses of the entries.
+// Guards are never dialed, so their certificate contains no host and cannot be
+// used as an entry's. Existing files are never overwritten.
 func GenerateFleet(dir string, hosts []string, now time.Time) error {
 	if len(hosts) == 0 {
-		return fmt.Errorf("generate fleet: no host given for the entries' certificate")
+		return fmt.Errorf("generate fleet: no host name or IP address given for the entry certificate")
 	}
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return fmt.Errorf("generate fleet: %w", err)
 	}
-	authority, err := newAuthority(now)
+	ca, err := newCA(now)
 	if err != nil {
 		return err
 	}
-	entry, err := newLeaf(authority, entryTemplate(hosts), now)
+	entry, err := newLeaf(ca, entryTemplate(hosts), now)
 	if err != nil {
 		return err
 	}
-	guard, err := newLeaf(authority, guardTemplate(), now)
+	guard, err := newLeaf(ca, guardTemplate(), now)
 	if err != nil {
 		return err
 	}
-	return writeFleet(dir, authority, entry, guard)
+	return writeFleetFiles(dir, ca, entry, guard)
 }
 
-func writeFleet(dir string, authority, entry, guard *issued) error {
+func writeFleetFiles(dir string, ca, entry, guard *issuedCert) error {
 	files := []struct {
 		cert, key string
-		pair      *issued
+		pair      *issuedCert
 	}{
-		{AuthorityCert, AuthorityKey, authority},
+		{AuthorityCert, AuthorityKey, ca},
 		{EntryCert, EntryKey, entry},
 		{GuardCert, GuardKey, guard},
 	}
 	for _, f := range files {
-		if err := writePair(filepath.Join(dir, f.cert), filepath.Join(dir, f.key), f.pair); err != nil {
+		if err := writeCertAndKey(filepath.Join(dir, f.cert), filepath.Join(dir, f.key), f.pair); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func newAuthority(now time.Time) (*issued, error) {
-	t := &x509.Certificate{
+func newCA(now time.Time) (*issuedCert, error) {
+	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "wigeontray authority"},
-		NotAfter:              now.Add(authorityLife),
+		NotAfter:              now.Add(caValidityPeriod),
 		KeyUsage:              x509.KeyUsageCertSign,
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		MaxPathLenZero:        true,
 	}
-	return issue(t, nil, now)
+	return issueCert(template, nil, now)
 }
 
 func entryTemplate(hosts []string) *x509.Certificate {
-	t := &x509.Certificate{
+	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: "wigeontray entry"},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	for _, h := range hosts {
 		if ip := net.ParseIP(h); ip != nil {
-			t.IPAddresses = append(t.IPAddresses, ip)
+			template.IPAddresses = append(template.IPAddresses, ip)
 		} else {
-			t.DNSNames = append(t.DNSNames, h)
+			template.DNSNames = append(template.DNSNames, h)
 		}
 	}
-	return t
+	return template
 }
 
 func guardTemplate() *x509.Certificate {
@@ -119,27 +119,28 @@
 	}
 }
 
-func newLeaf(authority *issued, t *x509.Certificate, now time.Time) (*issued, error) {
-	t.NotAfter = now.Add(leafLife)
-	t.KeyUsage = x509.KeyUsageDigitalSignature
-	return issue(t, authority, now)
+func newLeaf(ca *issuedCert, template *x509.Certificate, now time.Time) (*issuedCert, error) {
+	template.NotAfter = now.Add(leafValidityPeriod)
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	return issueCert(template, ca, now)
 }
 
-// issue signs t with the parent, or with its own key when there is none.
-func issue(t *x509.Certificate, parent *issued, now time.Time) (*issued, error) {
+// issueCert generates a key and a certificate from template, signed by parent, or
+// self-signed if parent is nil.
+func issueCert(template *x509.Certificate, parent *issuedCert, now time.Time) (*issuedCert, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("generate key: %w", err)
 	}
-	if t.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits)); err != nil {
-		return nil, fmt.Errorf("draw serial number: %w", err)
+	if template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits)); err != nil {
+		return nil, fmt.Errorf("generate serial number: %w", err)
 	}
-	t.NotBefore = now.Add(-clockSkew)
-	signer, signerKey := t, key
+	template.NotBefore = now.Add(-maxClockSkew)
+	signer, signerKey := template, key
 	if parent != nil {
 		signer, signerKey = parent.cert, parent.key
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, signer, &key.PublicKey, signerKey)
+	der, err := x509.CreateCertificate(rand.Reader, template, signer, &key.PublicKey, signerKey)
 	if err != nil {
 		return nil, fmt.Errorf("sign certificate: %w", err)
 	}
@@ -147,28 +148,29 @@
 	if err != nil {
 		return nil, fmt.Errorf("parse certificate: %w", err)
 	}
-	return &issued{cert: cert, der: der, key: key}, nil
+	return &issuedCert{cert: cert, der: der, key: key}, nil
 }
 
-func writePair(certFile, keyFile string, p *issued) error {
-	keyDER, err := x509.MarshalPKCS8PrivateKey(p.key)
+func writeCertAndKey(certFile, keyFile string, issued *issuedCert) error {
+	keyDER, err := x509.MarshalPKCS8PrivateKey(issued.key)
 	if err != nil {
 		return fmt.Errorf("encode key: %w", err)
 	}
 	if err := writePEM(keyFile, "PRIVATE KEY", keyDER, keyMode); err != nil {
 		return err
 	}
-	return writePEM(certFile, "CERTIFICATE", p.der, certMode)
+	return writePEM(certFile, "CERTIFICATE", issued.der, certMode)
 }
 
-// writePEM creates file. It fails when file exists: overwriting an authority's
-// key would cut off every process that trusts the old one.
-func writePEM(file, kind string, der []byte, mode os.FileMode) error {
+// writePEM creates a PEM file with one block. It fails if the file exists:
+// overwriting the key of a CA would lock out every process that trusts the old
+// one.
+func writePEM(file, blockType string, der []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
-		return fmt.Errorf("write key file: %w", err)
+		return fmt.Errorf("create PEM file: %w", err)
 	}
-	if err := pem.Encode(f, &pem.Block{Type: kind, Bytes: der}); err != nil {
+	if err := pem.Encode(f, &pem.Block{Type: blockType, Bytes: der}); err != nil {
 		_ = f.Close() // the first error is the one to report
 		return fmt.Errorf("write %s: %w", file, err)
 	}
