--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -6,10 +6,10 @@
 	"wigeontray/internal/wire"
 )
 
-// configPatience is how long a peer's newer configuration is awaited from the
+// configStoreTimeout is how long a peer's newer configuration is awaited from the
 // store before the peer is asked for it: as a rule the store delivers it to
 // both, and the snapshot need not travel twice.
-const configPatience = time.Second
+const configStoreTimeout = time.Second
 
 // ConfigChanged tells the peers which revision is in force here.
 func (p *Peers) ConfigChanged() {
@@ -18,7 +18,7 @@
 
 // sendConfigIfNewer sends the snapshot to a peer that said it has an older one.
 func (p *Peers) sendConfigIfNewer(l *peerLink) {
-	if l.revision.Load() >= p.opt.Revision() {
+	if l.configRevision.Load() >= p.opt.Revision() {
 		return
 	}
 	if c := p.opt.Config(); c != nil {
@@ -26,19 +26,19 @@
 	}
 }
 
-// askConfig asks a peer for its newer configuration by naming the older one in
+// requestNewerConfig asks a peer for its newer configuration by naming the older one in
 // force here. The caller holds mu.
-func (p *Peers) askConfig(now time.Time) {
-	revision := p.opt.Revision()
+func (p *Peers) requestNewerConfig(now time.Time) {
+	configRevision := p.opt.Revision()
 	for _, l := range *p.links.Load() {
 		switch {
-		case l.revision.Load() <= revision:
-			l.behindMs = 0
-		case l.behindMs == 0:
-			l.behindMs = now.UnixMilli()
-		case now.UnixMilli()-l.behindMs >= configPatience.Milliseconds():
-			l.behindMs = 0
-			_ = l.link.Send(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: revision}})
+		case l.configRevision.Load() <= configRevision:
+			l.configBehindSinceMs = 0
+		case l.configBehindSinceMs == 0:
+			l.configBehindSinceMs = now.UnixMilli()
+		case now.UnixMilli()-l.configBehindSinceMs >= configStoreTimeout.Milliseconds():
+			l.configBehindSinceMs = 0
+			_ = l.link.Send(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: configRevision}})
 		}
 	}
 }
--- a/internal/peers/fake_test.go
+++ b/internal/peers/fake_test.go
@@ -21,8 +21,8 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-// way is one entry's way to the store, which can be cut.
-type way struct {
+// storeTransport is one entry's way to the store, which can be cut.
+type storeTransport struct {
 	http.RoundTripper
 	mu     sync.Mutex
 	ctx    context.Context
@@ -30,19 +30,19 @@
 }
 
 // RoundTrip fails while the way is cut, and when it is cut meanwhile.
-func (w *way) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w.mu.Lock()
-	cut := w.ctx
+	connected := w.ctx
 	w.mu.Unlock()
-	if cut.Err() != nil {
-		return nil, errCut
+	if connected.Err() != nil {
+		return nil, errUnreachable
 	}
 	ctx, cancel := context.WithCancel(r.Context())
-	context.AfterFunc(cut, cancel)
+	context.AfterFunc(connected, cancel)
 	return w.RoundTripper.RoundTrip(r.WithContext(ctx))
 }
 
-func (w *way) open(ctx context.Context) {
+func (w *storeTransport) connect(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ctx, w.cancel = context.WithCancel(ctx)
@@ -50,33 +50,33 @@
 
 // network holds the entries of one region.
 type network struct {
-	c       *qt.C
-	ctx     context.Context
-	store   *standin.Server
-	mu      sync.Mutex // guards entries against dials while one is started
-	entries map[identity.Incarnation]*entry
-	wg      sync.WaitGroup
-	cutPair atomic.Pointer[[2]*entry]
-	frames  atomic.Int64
-	bytes   atomic.Int64
+	c          *qt.C
+	ctx        context.Context
+	store      *standin.Server
+	mu         sync.Mutex // guards entries against dials while one is started
+	entries    map[identity.Incarnation]*entry
+	wg         sync.WaitGroup
+	partition  atomic.Pointer[[2]*entry]
+	frameCount atomic.Int64
+	byteCount  atomic.Int64
 }
 
 // entry is one Peers with what its hooks saw.
 type entry struct {
 	*Peers
-	cut    atomic.Bool // no link can be made
-	frozen atomic.Bool // sends nothing, though its links stay open
-	way    way
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	ready  []identity.Incarnation
-	gone   []identity.Incarnation
-	fences []identity.Incarnation // guards that were sent a fence
-	fenced bool
-	config int64
+	isIsolated     atomic.Bool // no link can be made
+	isFrozen       atomic.Bool // sends nothing, though its links stay open
+	storeTransport storeTransport
+	cancel         context.CancelFunc
+	mu             sync.Mutex
+	readyGuards    []identity.Incarnation
+	gonePeers      []identity.Incarnation
+	fencedGuards   []identity.Incarnation // guards that were sent a fence
+	wasFenced      bool
+	configRevision int64
 }
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
 func newNetwork(t *testing.T, ctx context.Context, names ...identity.Incarnation) *network {
 	n := &network{c: qt.New(t), ctx: ctx, store: standin.New(), entries: make(map[identity.Incarnation]*entry)}
@@ -90,27 +90,27 @@
 	e := &entry{}
 	ctx, cancel := context.WithCancel(n.ctx)
 	e.cancel = cancel
-	e.way.RoundTripper = &standin.Transport{Handler: n.store}
-	e.way.open(n.ctx)
+	e.storeTransport.RoundTripper = &standin.Transport{Handler: n.store}
+	e.storeTransport.connect(n.ctx)
 	e.Peers = New(Options{
 		Self:   wire.EntryAddr{Incarnation: name, Inner: string(name)},
 		Region: "lima", Seeds: seeds,
-		Store: store.NewEtcd(store.Options{Endpoints: []string{"http://store"}, Transport: &e.way}),
+		Store: store.NewEtcd(store.Options{Endpoints: []string{"http://store"}, Transport: &e.storeTransport}),
 		Dial:  func(ctx context.Context, to wire.EntryAddr) (wire.Link, error) { return n.dial(e, to) },
 		OnForward: func(_ context.Context, from identity.Incarnation, f *wire.Forward) *wire.Forwarded {
 			return &wire.Forwarded{Status: 200, Body: fmt.Appendf(nil, "%s for %s at %s", f.Key, from, name)}
 		},
 		ToGuard: func(g identity.Incarnation, f *wire.Frame) {
 			if f.Fence != nil {
-				e.note(func() { e.fences = append(e.fences, g) })
+				e.withLock(func() { e.fencedGuards = append(e.fencedGuards, g) })
 			}
 		},
-		OnGuardReady: func(g identity.Incarnation) { e.note(func() { e.ready = append(e.ready, g) }) },
-		OnGone:       func(p identity.Incarnation) { e.note(func() { e.gone = append(e.gone, p) }) },
-		OnFenced:     func() { e.note(func() { e.fenced = true }) },
+		OnGuardReady: func(g identity.Incarnation) { e.withLock(func() { e.readyGuards = append(e.readyGuards, g) }) },
+		OnGone:       func(p identity.Incarnation) { e.withLock(func() { e.gonePeers = append(e.gonePeers, p) }) },
+		OnFenced:     func() { e.withLock(func() { e.wasFenced = true }) },
 		Revision:     func() int64 { return e.revision() },
 		Config:       func() *wire.Config { return &wire.Config{Revision: e.revision()} },
-		OnConfig:     func(c *wire.Config) { e.note(func() { e.config = max(e.config, c.Revision) }) },
+		OnConfig:     func(c *wire.Config) { e.withLock(func() { e.configRevision = max(e.configRevision, c.Revision) }) },
 	})
 	n.mu.Lock()
 	n.entries[name] = e
@@ -119,39 +119,39 @@
 	return e
 }
 
-func (e *entry) note(f func()) { e.mu.Lock(); defer e.mu.Unlock(); f() }
+func (e *entry) withLock(f func()) { e.mu.Lock(); defer e.mu.Unlock(); f() }
 
-func (e *entry) revision() (r int64) { e.note(func() { r = e.config }); return r }
+func (e *entry) revision() (r int64) { e.withLock(func() { r = e.configRevision }); return r }
 
 func (n *network) dial(from *entry, to wire.EntryAddr) (wire.Link, error) {
 	n.mu.Lock()
 	target := n.entries[identity.Incarnation(to.Inner)]
 	n.mu.Unlock()
-	if target == nil || target.cut.Load() || from.cut.Load() || n.apart(from, target) {
-		return nil, errCut
+	if target == nil || target.isIsolated.Load() || from.isIsolated.Load() || n.arePartitioned(from, target) {
+		return nil, errUnreachable
 	}
 	a, b := wiretest.Pipe()
-	a.Drop = func(f *wire.Frame) bool { return n.tally(f) || from.frozen.Load() }
-	b.Drop = func(f *wire.Frame) bool { return n.tally(f) || target.frozen.Load() }
-	n.wg.Go(func() { target.Accept(n.ctx, lingering{b}) })
-	return lingering{a}, nil
+	a.Drop = func(f *wire.Frame) bool { return n.countFrame(f) || from.isFrozen.Load() }
+	b.Drop = func(f *wire.Frame) bool { return n.countFrame(f) || target.isFrozen.Load() }
+	n.wg.Go(func() { target.Accept(n.ctx, slowCloseLink{b}) })
+	return slowCloseLink{a}, nil
 }
 
-// lingering is a link whose Recv outlives Close, as that of a socket does while
+// slowCloseLink is a link whose Recv outlives Close, as that of a socket does while
 // the other end does not take part in the closing handshake.
-type lingering struct{ *wiretest.End }
+type slowCloseLink struct{ *wiretest.End }
 
 // Recv returns some seconds after the link has ended.
-func (l lingering) Recv(ctx context.Context) (*wire.Frame, error) {
+func (l slowCloseLink) Recv(ctx context.Context) (*wire.Frame, error) {
 	f, err := l.End.Recv(ctx)
 	if err != nil {
-		pause(ctx, 5*time.Second)
+		sleep(ctx, 5*time.Second)
 	}
 	return f, err
 }
 
-// calls counts what the entries asked of the store.
-func (n *network) calls() (sum int) {
+// storeCalls counts what the entries asked of the store.
+func (n *network) storeCalls() (sum int) {
 	for _, path := range []string{
 		etcdjson.PathRange, etcdjson.PathTxn, etcdjson.PathGrant, etcdjson.PathKeepAlive, etcdjson.PathWatch,
 	} {
@@ -160,48 +160,48 @@
 	return sum
 }
 
-// tally counts a frame and drops none.
-func (n *network) tally(f *wire.Frame) bool {
+// countFrame counts a frame and drops none.
+func (n *network) countFrame(f *wire.Frame) bool {
 	b, _ := wire.Encode(f)
-	n.frames.Add(1)
-	n.bytes.Add(int64(len(b)))
+	n.frameCount.Add(1)
+	n.byteCount.Add(int64(len(b)))
 	return false
 }
 
-// kill cuts an entry off from everything at once. To the others it is dead; it
+// isolate cuts an entry off from everything at once. To the others it is dead; it
 // goes on by itself, as a paused or cut-off process might later.
-func (n *network) kill(name identity.Incarnation) {
+func (n *network) isolate(name identity.Incarnation) {
 	e := n.entries[name]
-	e.cut.Store(true)
-	e.way.cancel()
+	e.isIsolated.Store(true)
+	e.storeTransport.cancel()
 	for _, l := range *e.links.Load() {
 		l.link.Close("cut")
 	}
 }
 
-// apart tells whether the cable between two entries is cut.
-func (n *network) apart(x, y *entry) bool {
-	pair := n.cutPair.Load()
+// arePartitioned tells whether the cable between two entries is cut.
+func (n *network) arePartitioned(x, y *entry) bool {
+	pair := n.partition.Load()
 	return pair != nil && (*pair == [2]*entry{x, y} || *pair == [2]*entry{y, x})
 }
 
-// cutCable breaks the links between two entries, which both keep all others.
-func (n *network) cutCable(x, y identity.Incarnation) {
-	n.cutPair.Store(&[2]*entry{n.entries[x], n.entries[y]})
+// cutLink breaks the links between two entries, which both keep all others.
+func (n *network) cutLink(x, y identity.Incarnation) {
+	n.partition.Store(&[2]*entry{n.entries[x], n.entries[y]})
 	(*n.entries[x].links.Load())[y].link.Close("cut")
 }
 
 // freeze stops an entry without closing its links.
 func (n *network) freeze(name identity.Incarnation) {
-	n.entries[name].frozen.Store(true)
-	n.entries[name].cut.Store(true)
-	n.entries[name].way.cancel()
+	n.entries[name].isFrozen.Store(true)
+	n.entries[name].isIsolated.Store(true)
+	n.entries[name].storeTransport.cancel()
 }
 
-// wake ends the cut.
-func (n *network) wake(name identity.Incarnation) {
-	n.entries[name].cut.Store(false)
-	n.entries[name].way.open(n.ctx)
+// reconnect ends the cut.
+func (n *network) reconnect(name identity.Incarnation) {
+	n.entries[name].isIsolated.Store(false)
+	n.entries[name].storeTransport.connect(n.ctx)
 }
 
 func (n *network) stop() {
@@ -228,10 +228,10 @@
 	return out
 }
 
-// startersBut leaves out entries that callers cannot reach.
-func (n *network) startersBut(lost []identity.Incarnation, count uint64) map[identity.Incarnation]int {
+// startersExcept leaves out entries that callers cannot reach.
+func (n *network) startersExcept(excluded []identity.Incarnation, count uint64) map[identity.Incarnation]int {
 	out := n.starters(count)
-	for _, name := range lost {
+	for _, name := range excluded {
 		delete(out, name)
 	}
 	return out
@@ -252,13 +252,13 @@
 	return parsed
 }
 
-// reportAll answers the fences of an entry for every guard that was fenced.
-func (e *entry) reportAll(gone identity.Incarnation) {
+// answerFences answers the fences of an entry for every guard that was fenced.
+func (e *entry) answerFences(gone identity.Incarnation) {
 	e.mu.Lock()
-	fences := e.fences
-	e.fences = nil
+	fencedGuards := e.fencedGuards
+	e.fencedGuards = nil
 	e.mu.Unlock()
-	for _, g := range fences {
+	for _, g := range fencedGuards {
 		e.GuardReport(g, &wire.FenceReport{Gone: gone})
 	}
 }
--- a/internal/peers/forward.go
+++ b/internal/peers/forward.go
@@ -19,8 +19,8 @@
 		p.opt.count("forward.not_linked")
 		return nil, errkind.New(errkind.HomeUnreachable, "%s: %w", to, errNotLinked).WithAfter(time.Second)
 	}
-	answer, sent := l.expect(f)
-	defer l.forget(sent.ID)
+	answer, sent := l.registerForward(f)
+	defer l.unregisterForward(sent.ID)
 	if err := l.link.Send(&wire.Frame{Forward: sent}); err != nil {
 		p.opt.count("forward.send_failed")
 		return nil, errkind.New(errkind.HomeUnreachable, "forward to %s: %w", to, err).WithAfter(time.Second)
@@ -39,13 +39,13 @@
 	}
 }
 
-// expect registers a copy of f under a new id.
-func (l *peerLink) expect(f *wire.Forward) (<-chan *wire.Forwarded, *wire.Forward) {
+// registerForward registers a copy of f under a new id.
+func (l *peerLink) registerForward(f *wire.Forward) (<-chan *wire.Forwarded, *wire.Forward) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.nextID++
+	l.lastForwardID++
 	sent := *f
-	sent.ID = l.nextID
+	sent.ID = l.lastForwardID
 	answer := make(chan *wire.Forwarded, 1)
 	if l.pending == nil {
 		answer <- nil // the link ended meanwhile
@@ -55,15 +55,15 @@
 	return answer, &sent
 }
 
-func (l *peerLink) forget(id uint64) {
+func (l *peerLink) unregisterForward(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.pending, id)
 }
 
-// resolve hands an answer to its request. One that is late or repeated finds no
+// deliverAnswer hands an answer to its request. One that is late or repeated finds no
 // request and is dropped.
-func (l *peerLink) resolve(r *wire.Forwarded) {
+func (l *peerLink) deliverAnswer(r *wire.Forwarded) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if answer := l.pending[r.ID]; answer != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// failPending ends all waiting requests after the link was lost.
-func (l *peerLink) failPending() {
+// failPendingForwards ends all waiting requests after the link was lost.
+func (l *peerLink) failPendingForwards() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, answer := range l.pending {
@@ -85,15 +85,15 @@
 // serveForward serves a peer's request in a goroutine of its own. The work goes
 // on if the link breaks: the owner keeps the answer for a resubmission.
 func (p *Peers) serveForward(ctx context.Context, l *peerLink, f *wire.Forward) {
-	if p.forwards.Add(1) > maxForwards {
-		p.forwards.Add(-1)
+	if p.activeForwards.Add(1) > maxConcurrentForwards {
+		p.activeForwards.Add(-1)
 		p.opt.count("forward.overloaded")
 		kind := errkind.Overloaded
 		_ = l.link.Send(&wire.Frame{Forwarded: &wire.Forwarded{ID: f.ID, Kind: kind, Status: kind.Answer().Status}})
 		return
 	}
 	go func() {
-		defer p.forwards.Add(-1)
+		defer p.activeForwards.Add(-1)
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration(f.LeftMs)*time.Millisecond)
 		defer cancel()
 		r := *p.opt.OnForward(ctx, l.addr.Incarnation, f)
--- a/internal/peers/guards.go
+++ b/internal/peers/guards.go
@@ -13,7 +13,7 @@
 // is at once unless a witness has to hear of it first. It must be called each
 // time the guard's link comes back.
 func (p *Peers) GuardUp(g identity.Incarnation) {
-	p.do(func(now time.Time) {
+	p.update(func(now time.Time) {
 		p.recovery.GuardUp(now, g)
 		p.announcer.GuardUp(g)
 	})
@@ -21,26 +21,26 @@
 
 // GuardDown notes a guard's lost link; it may come back.
 func (p *Peers) GuardDown(g identity.Incarnation) {
-	p.do(func(now time.Time) { p.recovery.GuardDown(now, g) })
+	p.update(func(now time.Time) { p.recovery.GuardDown(now, g) })
 }
 
 // GuardLost notes that this entry sends nothing more to a guard, and must be
 // called after that is so. If it comes back it needs a new OnGuardReady.
 func (p *Peers) GuardLost(g identity.Incarnation) {
-	p.do(func(now time.Time) {
+	p.update(func(now time.Time) {
 		p.recovery.GuardDown(now, g)
-		p.announcer.GuardLost(g, p.beyond())
+		p.announcer.GuardLost(g, p.admittedBeforeMs())
 	})
 }
 
 // GuardReport takes a guard's answer to a Fence.
 func (p *Peers) GuardReport(g identity.Incarnation, r *wire.FenceReport) {
-	p.do(func(now time.Time) { p.recovery.Report(now, g, r) })
+	p.update(func(now time.Time) { p.recovery.Report(now, g, r) })
 }
 
 // GuardCollected takes a guard's answer to a Collect.
 func (p *Peers) GuardCollected(g identity.Incarnation, c *wire.Collected) {
-	p.do(func(now time.Time) { p.recovery.Collected(now, g, c) })
+	p.update(func(now time.Time) { p.recovery.Collected(now, g, c) })
 }
 
 // Recover finds out what became of a job whose owner cannot be reached. It
@@ -53,12 +53,12 @@
 		return recovery.Finding{Job: j, Verdict: recovery.Later}
 	}
 	ch := make(chan recovery.Finding, 1)
-	p.do(func(now time.Time) {
+	p.update(func(now time.Time) {
 		deadline, ok := ctx.Deadline()
 		if !ok {
 			deadline = now.Add(storeTimeout)
 		}
-		p.waiting[j] = append(p.waiting[j], ch)
+		p.recoveryWaiters[j] = append(p.recoveryWaiters[j], ch)
 		p.recovery.Recover(now, j, deadline)
 	})
 	select {
--- a/internal/peers/hooks.go
+++ b/internal/peers/hooks.go
@@ -8,17 +8,17 @@
 // hookQueue calls hooks in order and outside of any lock, so that a hook may
 // call back into Peers.
 type hookQueue struct {
-	mu   sync.Mutex
-	todo []func()
-	wake chan struct{}
+	mu      sync.Mutex
+	pending []func()
+	notify  chan struct{}
 }
 
 func (q *hookQueue) add(f func()) {
 	q.mu.Lock()
-	q.todo = append(q.todo, f)
+	q.pending = append(q.pending, f)
 	q.mu.Unlock()
 	select {
-	case q.wake <- struct{}{}:
+	case q.notify <- struct{}{}:
 	default:
 	}
 }
@@ -26,8 +26,8 @@
 func (q *hookQueue) run(ctx context.Context) {
 	for {
 		select {
-		case <-q.wake:
-			for _, f := range q.take() {
+		case <-q.notify:
+			for _, f := range q.takeAll() {
 				f()
 			}
 		case <-ctx.Done():
@@ -36,10 +36,10 @@
 	}
 }
 
-func (q *hookQueue) take() []func() {
+func (q *hookQueue) takeAll() []func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	todo := q.todo
-	q.todo = nil
-	return todo
+	pending := q.pending
+	q.pending = nil
+	return pending
 }
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -17,15 +17,15 @@
 
 // peerLink is an open link to a peer.
 type peerLink struct {
-	addr     wire.EntryAddr
-	link     wire.Link
-	lastMs   atomic.Int64 // arrival of the last frame
-	revision atomic.Int64 // configuration in force at the peer, as far as known
-	behindMs int64        // since when the peer's configuration is newer; under Peers.mu
+	addr                wire.EntryAddr
+	link                wire.Link
+	lastReceivedMs      atomic.Int64 // arrival of the last frame
+	configRevision      atomic.Int64 // configuration in force at the peer, as far as known
+	configBehindSinceMs int64        // since when the peer's configuration is newer; under Peers.mu
 
-	mu      sync.Mutex // guards pending
-	nextID  uint64
-	pending map[uint64]chan *wire.Forwarded
+	mu            sync.Mutex // guards pending
+	lastForwardID uint64
+	pending       map[uint64]chan *wire.Forwarded
 }
 
 // Handler accepts links from peers; it is mounted at wire.PeerPath.
@@ -47,24 +47,24 @@
 		err = link.Send(&wire.Frame{PeerHello: p.hello()})
 	}
 	if err != nil {
-		p.refuse(link, err)
+		p.refuseLink(link, err)
 		return
 	}
-	p.serve(ctx, link, hello)
+	p.serveLink(ctx, link, hello)
 }
 
 // dial opens a link to a peer and serves it until it ends. The incarnation is
 // empty for an address that comes from the settings.
 func (p *Peers) dial(ctx context.Context, to wire.EntryAddr) {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	link, err := p.opt.Dial(dialing, to)
+	link, err := p.opt.Dial(dialCtx, to)
 	if err != nil {
 		p.opt.count("dial_failed")
 		return
 	}
 	if err := link.Send(&wire.Frame{PeerHello: p.hello()}); err != nil {
-		p.refuse(link, err)
+		p.refuseLink(link, err)
 		return
 	}
 	hello, err := p.receiveHello(ctx, link)
@@ -72,13 +72,13 @@
 		err = fmt.Errorf("%s answers at the address of %s", hello.Incarnation, to.Incarnation)
 	}
 	if err != nil {
-		p.refuse(link, err)
+		p.refuseLink(link, err)
 		return
 	}
-	p.serve(ctx, link, hello)
+	p.serveLink(ctx, link, hello)
 }
 
-func (p *Peers) refuse(link wire.Link, err error) {
+func (p *Peers) refuseLink(link wire.Link, err error) {
 	p.opt.count("hello_refused")
 	p.opt.Log.Warn("peer link refused", "err", err)
 	link.Close("refused")
@@ -94,11 +94,11 @@
 
 // Reasons to refuse a peer.
 var (
-	errNoHello     = errors.New("first frame is no hello")
-	errWrongKey    = errors.New("wrong fleet key")
-	errVersion     = errors.New("no common protocol version")
-	errWrongRegion = errors.New("peer of another region")
-	errSelf        = errors.New("peer has this entry's incarnation")
+	errNoHello         = errors.New("first frame is no hello")
+	errWrongKey        = errors.New("wrong fleet key")
+	errVersionMismatch = errors.New("no common protocol version")
+	errWrongRegion     = errors.New("peer of another region")
+	errOwnIncarnation  = errors.New("peer has this entry's incarnation")
 )
 
 // receiveHello reads and checks the first frame.
@@ -116,23 +116,23 @@
 	case subtle.ConstantTimeCompare([]byte(h.Key), []byte(p.opt.Key)) == 0:
 		return nil, errWrongKey
 	case h.Version < wire.MinVersion || h.MinVersion > wire.Version:
-		return nil, errVersion
+		return nil, errVersionMismatch
 	case h.Region != p.opt.Region:
 		return nil, errWrongRegion
 	case h.Incarnation == p.opt.Self.Incarnation:
-		return nil, errSelf
+		return nil, errOwnIncarnation
 	}
 	return h, nil
 }
 
-// serve keeps a greeted link as the peer's only one and handles its frames.
-func (p *Peers) serve(ctx context.Context, link wire.Link, h *wire.PeerHello) {
+// serveLink keeps a greeted link as the peer's only one and handles its frames.
+func (p *Peers) serveLink(ctx context.Context, link wire.Link, h *wire.PeerHello) {
 	l := &peerLink{
 		addr:    wire.EntryAddr{Incarnation: h.Incarnation, Inner: h.Inner, Domain: h.Domain},
 		link:    link,
 		pending: make(map[uint64]chan *wire.Forwarded),
 	}
-	l.revision.Store(h.Revision)
+	l.configRevision.Store(h.Revision)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() { // else Recv sits out the closing handshake, and nobody dials anew
@@ -142,32 +142,32 @@
 		case <-ctx.Done():
 		}
 	}()
-	p.up(l)
+	p.addLink(l)
 	for {
 		f, err := link.Recv(ctx)
 		if err != nil {
 			break
 		}
-		l.lastMs.Store(time.Now().UnixMilli())
-		p.handle(ctx, l, f)
+		l.lastReceivedMs.Store(time.Now().UnixMilli())
+		p.handleFrame(ctx, l, f)
 	}
-	p.down(l)
+	p.removeLink(l)
 }
 
-// up makes l the peer's link; an older one is closed.
-func (p *Peers) up(l *peerLink) {
+// addLink makes l the peer's link; an older one is closed.
+func (p *Peers) addLink(l *peerLink) {
 	inc := l.addr.Incarnation
-	l.lastMs.Store(time.Now().UnixMilli())
-	p.do(func(now time.Time) {
-		if p.stopped {
+	l.lastReceivedMs.Store(time.Now().UnixMilli())
+	p.update(func(now time.Time) {
+		if p.isStopped {
 			l.link.Close("stopping") // nobody else would end it any more
 			return
 		}
 		if old := p.replaceLink(inc, l); old != nil {
 			old.link.Close("replaced")
 		}
-		k := p.note(now, l.addr)
-		k.downSince = time.Time{}
+		state := p.ensureKnown(now, l.addr)
+		state.unlinkedSince = time.Time{}
 		p.opt.Log.Info("peer linked", "peer", inc)
 		p.recovery.Seen(now, inc)
 		p.machine.Trust(now, inc)
@@ -177,23 +177,23 @@
 	p.sendConfigIfNewer(l)
 }
 
-// down forgets l, unless a newer link has replaced it.
-func (p *Peers) down(l *peerLink) {
-	p.do(func(now time.Time) { p.drop(now, l) })
+// removeLink forgets l, unless a newer link has replaced it.
+func (p *Peers) removeLink(l *peerLink) {
+	p.update(func(now time.Time) { p.dropLink(now, l) })
 }
 
-// drop ends l and forgets it at once. It does not wait for the link to say that
+// dropLink ends l and forgets it at once. It does not wait for the link to say that
 // it has ended: the closing handshake with a frozen peer takes seconds, in which
 // requests would still be passed to it. The caller holds mu.
-func (p *Peers) drop(now time.Time, l *peerLink) {
+func (p *Peers) dropLink(now time.Time, l *peerLink) {
 	l.link.Close("ended")
-	l.failPending()
+	l.failPendingForwards()
 	inc := l.addr.Incarnation
 	if (*p.links.Load())[inc] != l {
 		return
 	}
 	p.replaceLink(inc, nil)
-	p.note(now, l.addr).downSince = now
+	p.ensureKnown(now, l.addr).unlinkedSince = now
 	p.opt.Log.Info("peer link lost", "peer", inc)
 	p.announcer.PeerDown(inc)
 }
@@ -212,31 +212,31 @@
 	return old
 }
 
-// handle takes one frame. Frames of a link that was replaced are dropped: an
+// handleFrame takes one frame. Frames of a link that was replaced are dropped: an
 // announcement of a guard that was overtaken by a later one would put the list
 // of guards wrong.
-func (p *Peers) handle(ctx context.Context, l *peerLink, f *wire.Frame) {
+func (p *Peers) handleFrame(ctx context.Context, l *peerLink, f *wire.Frame) {
 	switch {
 	case f.Forward != nil:
 		p.serveForward(ctx, l, f.Forward)
 	case f.Forwarded != nil:
-		l.resolve(f.Forwarded)
+		l.deliverAnswer(f.Forwarded)
 	case f.Config != nil:
-		l.revision.Store(max(l.revision.Load(), f.Config.Revision))
+		l.configRevision.Store(max(l.configRevision.Load(), f.Config.Revision))
 		p.hooks.add(func() { p.opt.OnConfig(f.Config) })
 	case f.ConfigAck != nil:
-		l.revision.Store(f.ConfigAck.Revision)
+		l.configRevision.Store(f.ConfigAck.Revision)
 		p.sendConfigIfNewer(l)
 	default:
-		p.do(func(now time.Time) {
+		p.update(func(now time.Time) {
 			if (*p.links.Load())[l.addr.Incarnation] == l {
-				p.handleLocked(now, l, f)
+				p.handleFrameLocked(now, l, f)
 			}
 		})
 	}
 }
 
-func (p *Peers) handleLocked(now time.Time, l *peerLink, f *wire.Frame) {
+func (p *Peers) handleFrameLocked(now time.Time, l *peerLink, f *wire.Frame) {
 	from := l.addr.Incarnation
 	p.recovery.Seen(now, from)
 	switch {
--- a/internal/peers/options.go
+++ b/internal/peers/options.go
@@ -25,31 +25,31 @@
 
 // Timing of links and store calls.
 const (
-	tickEvery        = 250 * time.Millisecond
-	dialEvery        = time.Second
+	tickInterval     = 250 * time.Millisecond
+	dialInterval     = time.Second
 	dialTimeout      = 3 * time.Second
 	helloTimeout     = 3 * time.Second
 	storeTimeout     = 5 * time.Second
-	storeRetry       = time.Second
+	storeRetryDelay  = time.Second
 	defaultLeaseTTL  = 6 * time.Second
 	keepAlivesPerTTL = 3
-	// suspectAfter is how long a link may be down before the peer is suspected.
-	suspectAfter = 2 * time.Second
-	// silentAfter is how long a member may send nothing. Members promise every
+	// suspectTimeout is how long a link may be down before the peer is suspected.
+	suspectTimeout = 2 * time.Second
+	// silenceTimeout is how long a member may send nothing. Members promise every
 	// second; a frozen one keeps its connection open and would stall all plain
 	// identities until the link's own ping gives up.
-	silentAfter = 4 * time.Second
-	// absentAfter is how long a lease must be missing before a suspected peer is
+	silenceTimeout = 4 * time.Second
+	// registrationLossTimeout is how long a lease must be missing before a suspected peer is
 	// declared gone; a store that lost leases gives its holders this time to
 	// come back.
-	absentAfter = 2 * time.Second
-	// ticketSkew is how far ahead of this entry's clock a ticket of its own may
+	registrationLossTimeout = 2 * time.Second
+	// maxTicketSkew is how far ahead of this entry's clock a ticket of its own may
 	// be born: none is, unless the caller made it up or the clock was set back.
-	ticketSkew = time.Second
-	// leaveSkew is how long after the beginning of a roster without it a leaving
+	maxTicketSkew = time.Second
+	// leaveMargin is how long after the beginning of a roster without it a leaving
 	// entry still serves what it owns, for callers whose clocks are behind.
-	leaveSkew   = time.Second
-	maxForwards = 20_000 // incoming requests under way
+	leaveMargin           = time.Second
+	maxConcurrentForwards = 20_000 // incoming requests under way
 )
 
 // Options configure a Peers. Self, Region, Store and OnForward are required.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -23,52 +23,52 @@
 
 	// links are read on the path of requests; they are replaced, never changed.
 	links atomic.Pointer[map[identity.Incarnation]*peerLink]
-	// latestMs is the greatest birth that MayStart ever allowed.
-	latestMs atomic.Int64
-	hooks    hookQueue
-	forwards atomic.Int64
+	// maxAllowedBirthMs is the greatest birth that MayStart ever allowed.
+	maxAllowedBirthMs atomic.Int64
+	hooks             hookQueue
+	activeForwards    atomic.Int64
 
-	mu        sync.Mutex // guards what follows
-	ctx       context.Context
-	machine   *roster.Machine
-	recovery  *recovery.Machine
-	announcer *recovery.Announcer
-	known     map[identity.Incarnation]*known
-	entries   map[identity.Incarnation]bool // registered in the store
-	listed    bool                          // entries has been read
-	waiting   map[recovery.Job][]chan recovery.Finding
-	seeds     map[string]time.Time // next dial of an address of the settings
-	judged    time.Time            // when peers were last judged
-	version   int64                // last roster version handed on
-	reading   bool
-	fenced    bool
-	stopped   bool // no goroutine may be added to wg any more
-	wg        sync.WaitGroup
+	mu                    sync.Mutex // guards what follows
+	ctx                   context.Context
+	machine               *roster.Machine
+	recovery              *recovery.Machine
+	announcer             *recovery.Announcer
+	peerState             map[identity.Incarnation]*peerState
+	registered            map[identity.Incarnation]bool // registered in the store
+	hasRegistrations      bool                          // entries has been read
+	recoveryWaiters       map[recovery.Job][]chan recovery.Finding
+	nextSeedDial          map[string]time.Time // next dial of an address of the settings
+	lastPeerCheck         time.Time            // when peers were last judged
+	lastPropagatedVersion int64                // last roster version handed on
+	isReadingRoster       bool
+	isFenced              bool
+	isStopped             bool // no goroutine may be added to wg any more
+	wg                    sync.WaitGroup
 }
 
-// known is what this entry keeps of another one.
-type known struct {
-	addr        wire.EntryAddr
-	downSince   time.Time // zero while linked
-	absentSince time.Time // zero while registered in the store
-	dialing     bool
-	nextDial    time.Time
+// peerState is what this entry keeps of another one.
+type peerState struct {
+	addr              wire.EntryAddr
+	unlinkedSince     time.Time // zero while linked
+	unregisteredSince time.Time // zero while registered in the store
+	isDialing         bool
+	nextDial          time.Time
 }
 
 // New returns a Peers that does nothing until Run.
 func New(opt Options) *Peers {
 	p := &Peers{
-		opt:       opt.withDefaults(),
-		ctx:       context.Background(),
-		machine:   roster.NewMachine(opt.Self, opt.Roster),
-		recovery:  recovery.NewMachine(opt.Self.Incarnation, opt.Recovery),
-		announcer: recovery.NewAnnouncer(),
-		known:     make(map[identity.Incarnation]*known),
-		seeds:     make(map[string]time.Time),
-		entries:   make(map[identity.Incarnation]bool),
-		waiting:   make(map[recovery.Job][]chan recovery.Finding),
+		opt:             opt.withDefaults(),
+		ctx:             context.Background(),
+		machine:         roster.NewMachine(opt.Self, opt.Roster),
+		recovery:        recovery.NewMachine(opt.Self.Incarnation, opt.Recovery),
+		announcer:       recovery.NewAnnouncer(),
+		peerState:       make(map[identity.Incarnation]*peerState),
+		nextSeedDial:    make(map[string]time.Time),
+		registered:      make(map[identity.Incarnation]bool),
+		recoveryWaiters: make(map[recovery.Job][]chan recovery.Finding),
 	}
-	p.hooks.wake = make(chan struct{}, 1)
+	p.hooks.notify = make(chan struct{}, 1)
 	p.links.Store(&map[identity.Incarnation]*peerLink{})
 	return p
 }
@@ -79,13 +79,13 @@
 	p.mu.Lock()
 	p.ctx = ctx
 	p.mu.Unlock()
-	for _, f := range []func(context.Context){p.hooks.run, p.register, p.followEntries, p.followRoster} {
+	for _, f := range []func(context.Context){p.hooks.run, p.keepRegistered, p.watchEntries, p.watchRoster} {
 		p.wg.Go(func() { f(ctx) })
 	}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		p.do(p.tick)
+		p.update(p.tick)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -98,7 +98,7 @@
 // stop ends the links and waits for all goroutines.
 func (p *Peers) stop() {
 	p.mu.Lock()
-	p.stopped = true
+	p.isStopped = true
 	p.mu.Unlock()
 	for _, l := range *p.links.Load() {
 		l.link.Close("stopping")
@@ -108,28 +108,28 @@
 
 // spawn runs f in a goroutine that Run waits for. The caller holds mu.
 func (p *Peers) spawn(f func(ctx context.Context)) {
-	if !p.stopped {
+	if !p.isStopped {
 		ctx := p.ctx // under mu: a link can be accepted just before Run sets it
 		p.wg.Go(func() { f(ctx) })
 	}
 }
 
-// do runs one input under the lock and carries out what follows from it.
-func (p *Peers) do(input func(now time.Time)) {
+// update runs one input under the lock and carries out what follows from it.
+func (p *Peers) update(change func(now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	input(now)
-	p.carryOut(now)
+	change(now)
+	p.runActions(now)
 }
 
 // tick does what is due. The caller holds mu.
 func (p *Peers) tick(now time.Time) {
-	p.judge(now)
-	p.dialMissing(now)
+	p.checkPeers(now)
+	p.dialUnlinked(now)
 	p.machine.Tick(now)
 	p.recovery.Tick(now)
-	p.askConfig(now)
+	p.requestNewerConfig(now)
 }
 
 // View gives the latest roster view, without a lock.
@@ -143,19 +143,19 @@
 	if err := p.machine.View().MayStart(member, key); err != nil {
 		return err
 	}
-	if key.Home != "" && key.BirthMs > time.Now().Add(ticketSkew).UnixMilli() {
+	if key.Home != "" && key.BirthMs > time.Now().Add(maxTicketSkew).UnixMilli() {
 		return errkind.New(errkind.BadRequest, "the ticket's birth lies in the future")
 	}
 	for {
-		latest := p.latestMs.Load()
-		if key.BirthMs <= latest || p.latestMs.CompareAndSwap(latest, key.BirthMs) {
+		maxMs := p.maxAllowedBirthMs.Load()
+		if key.BirthMs <= maxMs || p.maxAllowedBirthMs.CompareAndSwap(maxMs, key.BirthMs) {
 			return nil
 		}
 	}
 }
 
-// beyond is above every birth that MayStart allowed so far.
-func (p *Peers) beyond() int64 { return p.latestMs.Load() + 1 }
+// admittedBeforeMs is above every birth that MayStart allowed so far.
+func (p *Peers) admittedBeforeMs() int64 { return p.maxAllowedBirthMs.Load() + 1 }
 
 // Peer is one linked entry.
 type Peer struct {
@@ -180,9 +180,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := []wire.EntryAddr{p.opt.Self}
-	for _, inc := range slices.Sorted(maps.Keys(p.known)) {
-		if k := p.known[inc]; k.downSince.IsZero() || p.entries[inc] {
-			out = append(out, k.addr)
+	for _, inc := range slices.Sorted(maps.Keys(p.peerState)) {
+		if state := p.peerState[inc]; state.unlinkedSince.IsZero() || p.registered[inc] {
+			out = append(out, state.addr)
 		}
 	}
 	return out
@@ -193,10 +193,10 @@
 // when ctx ends first; the others then wait for its promises no longer, except
 // as docs/start-at-most-once.md says.
 func (p *Peers) Leave(ctx context.Context) error {
-	p.do(p.machine.Leave)
-	tick := time.NewTicker(tickEvery)
+	p.update(p.machine.Leave)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	for !p.left() {
+	for !p.hasLeft() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -206,19 +206,19 @@
 	return nil
 }
 
-func (p *Peers) left() bool {
+func (p *Peers) hasLeft() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.machine.Left(time.Now().Add(-leaveSkew))
+	return p.machine.HasLeft(time.Now().Add(-leaveMargin))
 }
 
-// carryOut executes all actions of the machines. The caller holds mu.
-func (p *Peers) carryOut(now time.Time) {
-	p.handOnVersions(now)
+// runActions executes all actions of the machines. The caller holds mu.
+func (p *Peers) runActions(now time.Time) {
+	p.propagateVersions(now)
 	last, _ := p.View().Last()
-	p.announcer.Grant(last.Version, last.Has, p.beyond())
+	p.announcer.Grant(last.Version, last.Has, p.admittedBeforeMs())
 	for _, a := range p.machine.Actions() {
-		p.carryOutRoster(a)
+		p.runRosterAction(a)
 	}
 	for _, a := range p.announcer.Actions() {
 		if a.Witness != nil {
@@ -228,22 +228,22 @@
 		}
 	}
 	for _, a := range p.recovery.Actions() {
-		p.carryOutRecovery(a)
+		p.runRecoveryAction(a)
 	}
 }
 
-// handOnVersions tells the other machines of new roster versions, each once and
+// propagateVersions tells the other machines of new roster versions, each once and
 // in order.
-func (p *Peers) handOnVersions(now time.Time) {
+func (p *Peers) propagateVersions(now time.Time) {
 	view := p.machine.View()
 	for _, v := range view.Versions() {
-		if v.Version <= p.version {
+		if v.Version <= p.lastPropagatedVersion {
 			continue
 		}
-		gap := p.version != 0 && v.Version != p.version+1
-		p.version = v.Version
+		hasGap := p.lastPropagatedVersion != 0 && v.Version != p.lastPropagatedVersion+1
+		p.lastPropagatedVersion = v.Version
 		p.opt.Log.Info("roster", "version", v.Version, "members", len(v.Members), "gone", v.Gone)
-		p.recovery.Roster(now, v.Message(), gap)
+		p.recovery.Roster(now, v.Message(), hasGap)
 		p.announcer.Roster(v.Version, v.Has, view.Fenced())
 		for _, inc := range v.Gone {
 			if inc != p.opt.Self.Incarnation {
@@ -251,14 +251,14 @@
 			}
 		}
 	}
-	if view.Fenced() && !p.fenced {
-		p.fenced = true
+	if view.Fenced() && !p.isFenced {
+		p.isFenced = true
 		p.opt.Log.Error("declared gone by a roster", "entry", p.opt.Self.Incarnation)
 		p.hooks.add(p.opt.OnFenced)
 	}
 }
 
-func (p *Peers) carryOutRoster(a roster.Action) {
+func (p *Peers) runRosterAction(a roster.Action) {
 	switch {
 	case a.Broadcast != nil:
 		p.broadcast(&wire.Frame{Promise: a.Broadcast})
@@ -274,14 +274,14 @@
 	case a.Join != nil:
 		p.sendTo(a.Join.To, &wire.Frame{Join: a.Join.Ask})
 	case a.Swap != nil:
-		p.spawn(func(ctx context.Context) { p.swap(ctx, a.Swap) })
-	case a.Read && !p.reading:
-		p.reading = true
+		p.spawn(func(ctx context.Context) { p.swapRoster(ctx, a.Swap) })
+	case a.Read && !p.isReadingRoster:
+		p.isReadingRoster = true
 		p.spawn(p.readRoster)
 	}
 }
 
-func (p *Peers) carryOutRecovery(a recovery.Action) {
+func (p *Peers) runRecoveryAction(a recovery.Action) {
 	switch {
 	case a.Fence != nil:
 		p.opt.ToGuard(a.Guard, &wire.Frame{Fence: a.Fence})
@@ -291,10 +291,10 @@
 		p.sendTo(a.Peer, &wire.Frame{Witnessed: a.Acknowledge})
 	case a.Finding != nil:
 		p.opt.count("recovered." + a.Finding.Verdict.String())
-		for _, ch := range p.waiting[a.Finding.Job] {
+		for _, ch := range p.recoveryWaiters[a.Finding.Job] {
 			ch <- *a.Finding // buffered, one finding each
 		}
-		delete(p.waiting, a.Finding.Job)
+		delete(p.recoveryWaiters, a.Finding.Job)
 	}
 }
 
--- a/internal/peers/registry.go
+++ b/internal/peers/registry.go
@@ -23,8 +23,8 @@
 // RosterKey is the store key of a region's roster.
 func RosterKey(region string) string { return store.RosterKey + "/" + region }
 
-// pause waits for d or until ctx ends; it tells whether to go on.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d or until ctx ends; it tells whether to go on.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -33,22 +33,22 @@
 	}
 }
 
-// register keeps this entry's key in the store under a lease. A lease that
+// keepRegistered keeps this entry's key in the store under a lease. A lease that
 // lapsed while the process was paused, or in an outage, is replaced by a new
 // one; whether the entry was declared gone meanwhile is for the roster to say.
-func (p *Peers) register(ctx context.Context) {
+func (p *Peers) keepRegistered(ctx context.Context) {
 	for {
 		lease, err := p.registerOnce(ctx)
 		if err == nil {
-			p.keepAlive(ctx, lease)
+			p.renewLease(ctx, lease)
 		} else {
 			p.opt.count("register_failed")
 		}
 		if ctx.Err() != nil {
-			p.unregister(lease)
+			p.revokeLease(lease)
 			return
 		}
-		if !pause(ctx, storeRetry) {
+		if !sleep(ctx, storeRetryDelay) {
 			return
 		}
 	}
@@ -84,12 +84,12 @@
 	return lease, nil
 }
 
-// keepAlive renews the lease until it is gone or ctx ends. Failures of the store
+// renewLease renews the lease until it is gone or ctx ends. Failures of the store
 // are waited out: the lease may still hold.
-func (p *Peers) keepAlive(ctx context.Context, lease store.LeaseID) {
-	for pause(ctx, p.opt.LeaseTTL/keepAlivesPerTTL) {
-		call, cancel := context.WithTimeout(ctx, storeTimeout)
-		err := p.opt.Store.KeepAlive(call, lease)
+func (p *Peers) renewLease(ctx context.Context, lease store.LeaseID) {
+	for sleep(ctx, p.opt.LeaseTTL/keepAlivesPerTTL) {
+		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+		err := p.opt.Store.KeepAlive(callCtx, lease)
 		cancel()
 		switch {
 		case errors.Is(err, store.ErrLeaseGone):
@@ -102,41 +102,41 @@
 	}
 }
 
-// unregister ends the lease on a stop, so that nobody has to wait for its end.
-func (p *Peers) unregister(lease store.LeaseID) {
+// revokeLease ends the lease on a stop, so that nobody has to wait for its end.
+func (p *Peers) revokeLease(lease store.LeaseID) {
 	if lease == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), storeRetry)
+	ctx, cancel := context.WithTimeout(context.Background(), storeRetryDelay)
 	defer cancel()
 	_ = p.opt.Store.Revoke(ctx, lease)
 }
 
-// follow reads all keys under prefix and then watches them, again and again;
+// watchPrefix reads all keys under prefix and then watches them, again and again;
 // set gets the whole content after each change.
-func (p *Peers) follow(ctx context.Context, prefix string, set func(kvs map[string]store.KV)) {
+func (p *Peers) watchPrefix(ctx context.Context, prefix string, onChange func(kvs map[string]store.KV)) {
 	for {
-		if err := p.followOnce(ctx, prefix, set); err != nil && ctx.Err() == nil {
+		if err := p.watchPrefixOnce(ctx, prefix, onChange); err != nil && ctx.Err() == nil {
 			p.opt.count("watch_failed")
 		}
-		if !pause(ctx, storeRetry) {
+		if !sleep(ctx, storeRetryDelay) {
 			return
 		}
 	}
 }
 
-func (p *Peers) followOnce(ctx context.Context, prefix string, set func(map[string]store.KV)) error {
-	call, cancelCall := context.WithTimeout(ctx, storeTimeout)
-	list, revision, err := p.opt.Store.Range(call, prefix)
+func (p *Peers) watchPrefixOnce(ctx context.Context, prefix string, onChange func(map[string]store.KV)) error {
+	callCtx, cancelCall := context.WithTimeout(ctx, storeTimeout)
+	initial, revision, err := p.opt.Store.Range(callCtx, prefix)
 	cancelCall()
 	if err != nil {
 		return fmt.Errorf("read %s: %w", prefix, err)
 	}
 	kvs := make(map[string]store.KV)
-	for _, kv := range list {
+	for _, kv := range initial {
 		kvs[kv.Key] = kv
 	}
-	set(kvs)
+	onChange(kvs)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	batches := make(chan store.Batch)
@@ -150,14 +150,14 @@
 				kvs[e.Key] = e.KV
 			}
 		}
-		set(kvs)
+		onChange(kvs)
 	}
 	return <-result
 }
 
-// followEntries keeps the list of registered entries.
-func (p *Peers) followEntries(ctx context.Context) {
-	p.follow(ctx, store.EntryPrefix, func(kvs map[string]store.KV) {
+// watchEntries keeps the list of registered entries.
+func (p *Peers) watchEntries(ctx context.Context) {
+	p.watchPrefix(ctx, store.EntryPrefix, func(kvs map[string]store.KV) {
 		var addrs []wire.EntryAddr
 		for _, key := range slices.Sorted(maps.Keys(kvs)) {
 			var r Registration
@@ -169,24 +169,24 @@
 				addrs = append(addrs, r.EntryAddr)
 			}
 		}
-		p.do(func(now time.Time) { p.setEntries(now, addrs) })
+		p.update(func(now time.Time) { p.setRegistered(now, addrs) })
 	})
 }
 
-// followRoster hands each new value of the roster to the machine.
-func (p *Peers) followRoster(ctx context.Context) {
+// watchRoster hands each new value of the roster to the machine.
+func (p *Peers) watchRoster(ctx context.Context) {
 	key := RosterKey(p.opt.Region)
-	p.follow(ctx, key, func(kvs map[string]store.KV) { p.storedRoster(kvs[key]) })
+	p.watchPrefix(ctx, key, func(kvs map[string]store.KV) { p.handleStoredRoster(kvs[key]) })
 }
 
 // readRoster reads the roster when the machine asks for it.
 func (p *Peers) readRoster(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	key := RosterKey(p.opt.Region)
-	kvs, _, err := p.opt.Store.Range(call, key)
+	kvs, _, err := p.opt.Store.Range(callCtx, key)
 	p.mu.Lock()
-	p.reading = false
+	p.isReadingRoster = false
 	p.mu.Unlock()
 	if err != nil {
 		p.opt.count("roster.read_failed")
@@ -194,14 +194,14 @@
 	}
 	i := slices.IndexFunc(kvs, func(kv store.KV) bool { return kv.Key == key })
 	if i < 0 {
-		p.storedRoster(store.KV{})
+		p.handleStoredRoster(store.KV{})
 		return
 	}
-	p.storedRoster(kvs[i])
+	p.handleStoredRoster(kvs[i])
 }
 
-func (p *Peers) storedRoster(kv store.KV) {
-	p.do(func(now time.Time) {
+func (p *Peers) handleStoredRoster(kv store.KV) {
+	p.update(func(now time.Time) {
 		if err := p.machine.Stored(now, kv.Value, kv.ModRevision); err != nil {
 			p.opt.count("roster.bad_value")
 			p.opt.Log.Error("roster in the store is not readable", "err", err)
@@ -209,12 +209,12 @@
 	})
 }
 
-// swap carries out a compare-and-swap of the roster. Every failure but a lost
+// swapRoster carries out a compare-and-swap of the roster. Every failure but a lost
 // comparison leaves the outcome unknown.
-func (p *Peers) swap(ctx context.Context, s *roster.Swap) {
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
+func (p *Peers) swapRoster(ctx context.Context, s *roster.Swap) {
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	revision, err := p.opt.Store.Put(call, RosterKey(p.opt.Region), s.Value, s.Expect, 0)
+	revision, err := p.opt.Store.Put(callCtx, RosterKey(p.opt.Region), s.Value, s.Expect, 0)
 	outcome := roster.OutcomeUnknown
 	switch {
 	case err == nil:
@@ -223,5 +223,5 @@
 		outcome = roster.OutcomeConflict
 	}
 	p.opt.count([...]string{"roster.swap_unknown", "roster.swap_done", "roster.swap_conflict"}[outcome])
-	p.do(func(now time.Time) { p.machine.Swapped(now, s.ID, outcome, revision) })
+	p.update(func(now time.Time) { p.machine.Swapped(now, s.ID, outcome, revision) })
 }
--- a/internal/roster/history.go
+++ b/internal/roster/history.go
@@ -65,7 +65,7 @@
 	return &wire.Roster{Version: v.Version, FromMs: v.FromMs, Members: v.Members, CeilingMs: v.CeilingMs, Gone: v.Gone}
 }
 
-func fromMessage(r *wire.Roster) Version {
+func versionFromMessage(r *wire.Roster) Version {
 	return Version{Version: r.Version, FromMs: r.FromMs, Members: r.Members, CeilingMs: r.CeilingMs, Gone: r.Gone}
 }
 
@@ -74,16 +74,16 @@
 	return slices.ContainsFunc(v.Members, func(m wire.EntryAddr) bool { return m.Incarnation == inc })
 }
 
-// trimmed drops versions that end at or before floorMs and all beyond
+// trimVersions drops versions that end at or before floorMs and all beyond
 // maxVersions. Births of a dropped version have no owner any more and are
 // refused as expired.
-func trimmed(vs []Version, floorMs int64) []Version {
+func trimVersions(versions []Version, cutoffMs int64) []Version {
 	first := 0
-	for first+1 < len(vs) && vs[first+1].FromMs <= floorMs {
+	for first+1 < len(versions) && versions[first+1].FromMs <= cutoffMs {
 		first++
 	}
-	if over := len(vs) - maxVersions; over > first {
-		first = over
+	if excess := len(versions) - maxVersions; excess > first {
+		first = excess
 	}
-	return vs[first:]
+	return versions[first:]
 }
--- a/internal/roster/machine.go
+++ b/internal/roster/machine.go
@@ -16,31 +16,31 @@
 	self wire.EntryAddr
 	opt  Options
 
-	versions []Version
-	revision int64     // ModRevision of the newest store value seen
-	stored   int64     // last version in that value
-	read     bool      // a store value, or its absence, has been seen
-	answered time.Time // when the store last answered
-
-	own     int64 // greatest promise made under the last version
-	current map[identity.Incarnation]int64
-	later   map[identity.Incarnation]wire.Promise // under versions not yet known
-
-	pending  *pendingSwap
-	swaps    uint64 // Swap actions so far
-	joiners  map[identity.Incarnation]wire.EntryAddr
-	suspects map[identity.Incarnation]time.Time // since when
-	gone     map[identity.Incarnation]bool      // proved gone, not yet in a roster
-	leaving  bool
-	stays    bool                          // has said that it will not resign under the last version
-	staying  map[identity.Incarnation]bool // others that have said so
-	fenced   bool
-
-	nextPromise time.Time
-	nextRead    time.Time
-	nextJoin    time.Time
-	joinTurn    int
-	changeSince time.Time // since when a change of the roster has been wanted
+	versions      []Version
+	revision      int64     // ModRevision of the newest store value seen
+	storedVersion int64     // last version in that value
+	hasReadStore  bool      // a store value, or its absence, has been seen
+	answered      time.Time // when the store last answered
+
+	ownPromiseMs   int64 // greatest promise made under the last version
+	promisesMs     map[identity.Incarnation]int64
+	futurePromises map[identity.Incarnation]wire.Promise // under versions not yet known
+
+	pending          *pendingSwap
+	lastSwapID       uint64 // Swap actions so far
+	joinRequests     map[identity.Incarnation]wire.EntryAddr
+	suspectedSince   map[identity.Incarnation]time.Time // since when
+	undeclaredGone   map[identity.Incarnation]bool      // proved gone, not yet in a roster
+	isLeaving        bool
+	hasPledgedToStay bool                          // has said that it will not resign under the last version
+	stayingPeers     map[identity.Incarnation]bool // others that have said so
+	isFenced         bool
+
+	nextPromise        time.Time
+	nextRead           time.Time
+	nextJoin           time.Time
+	joinAttempts       int
+	changePendingSince time.Time // since when a change of the roster has been wanted
 
 	actions []Action
 	view    atomic.Pointer[View]
@@ -50,25 +50,25 @@
 type pendingSwap struct {
 	swap     Swap
 	versions []Version
-	// capMs bounds this entry's promises until the swap is settled.
-	capMs    int64
-	inFlight bool
-	next     time.Time // when an unanswered swap is repeated
+	// promiseLimitMs bounds this entry's promises until the swap is settled.
+	promiseLimitMs int64
+	isInFlight     bool
+	nextAttempt    time.Time // when an unanswered swap is repeated
 }
 
 // NewMachine returns the machine of the entry self.
 func NewMachine(self wire.EntryAddr, opt Options) *Machine {
 	m := &Machine{
-		self:     self,
-		opt:      opt.withDefaults(),
-		current:  make(map[identity.Incarnation]int64),
-		later:    make(map[identity.Incarnation]wire.Promise),
-		joiners:  make(map[identity.Incarnation]wire.EntryAddr),
-		suspects: make(map[identity.Incarnation]time.Time),
-		gone:     make(map[identity.Incarnation]bool),
-		staying:  make(map[identity.Incarnation]bool),
+		self:           self,
+		opt:            opt.withDefaults(),
+		promisesMs:     make(map[identity.Incarnation]int64),
+		futurePromises: make(map[identity.Incarnation]wire.Promise),
+		joinRequests:   make(map[identity.Incarnation]wire.EntryAddr),
+		suspectedSince: make(map[identity.Incarnation]time.Time),
+		undeclaredGone: make(map[identity.Incarnation]bool),
+		stayingPeers:   make(map[identity.Incarnation]bool),
 	}
-	m.publish()
+	m.publishView()
 	return m
 }
 
@@ -88,12 +88,12 @@
 // may answer from the past.
 func (m *Machine) Stored(now time.Time, value []byte, revision int64) error {
 	m.answered = now
-	if m.read && revision <= m.revision {
+	if m.hasReadStore && revision <= m.revision {
 		m.Tick(now)
 		return nil
 	}
 	if revision == 0 {
-		m.read = true
+		m.hasReadStore = true
 		m.Tick(now)
 		return nil
 	}
@@ -101,34 +101,34 @@
 	if err != nil {
 		return err
 	}
-	m.read = true
-	m.adoptStored(now, h.Versions, revision)
+	m.hasReadStore = true
+	m.adoptStoredVersions(now, h.Versions, revision)
 	m.Tick(now)
 	return nil
 }
 
-// adoptStored takes versions that the store held at revision.
-func (m *Machine) adoptStored(now time.Time, versions []Version, revision int64) {
+// adoptStoredVersions takes versions that the store held at revision.
+func (m *Machine) adoptStoredVersions(now time.Time, versions []Version, revision int64) {
 	m.revision = revision
-	m.stored = versions[len(versions)-1].Version
-	m.settle()
+	m.storedVersion = versions[len(versions)-1].Version
+	m.dropSettledSwap()
 	first := versions[0].Version
 	if last, ok := m.last(); ok && last.Version < first-1 {
 		// This entry was cut off for longer than versions are kept. One of the
 		// lost versions may have declared it gone.
-		m.fenced = true
+		m.isFenced = true
 		m.versions = nil
 	}
 	for _, v := range versions {
-		m.learn(now, v)
+		m.mergeVersion(now, v)
 	}
 }
 
-// settle drops an unsettled swap once the key has moved past the revision that
+// dropSettledSwap drops an unsettled swap once the key has moved past the revision that
 // it expects. Reading the value back is not enough for that: a request that got
 // no answer may still take effect later. A higher revision, or a successor of
 // the version it wanted to follow, shows that it has won or can only lose.
-func (m *Machine) settle() {
+func (m *Machine) dropSettledSwap() {
 	if m.pending != nil && m.revision > m.pending.swap.Expect {
 		m.pending = nil
 	}
@@ -136,52 +136,52 @@
 
 // Learned takes a version from the peer from.
 func (m *Machine) Learned(now time.Time, r *wire.Roster) {
-	m.learn(now, fromMessage(r))
+	m.mergeVersion(now, versionFromMessage(r))
 	m.Tick(now)
 }
 
-// learn adopts v if it is the successor of the last version, or raises the last
+// mergeVersion adopts v if it is the successor of the last version, or raises the last
 // version's ceiling.
-func (m *Machine) learn(now time.Time, v Version) {
+func (m *Machine) mergeVersion(now time.Time, v Version) {
 	last, ok := m.last()
 	switch {
 	case !ok:
-		m.adopt(now, v)
+		m.adoptVersion(now, v)
 	case v.Version == last.Version+1 && v.FromMs >= last.FromMs:
-		m.adopt(now, v)
+		m.adoptVersion(now, v)
 	case v.Version == last.Version:
 		m.versions[len(m.versions)-1].CeilingMs = max(last.CeilingMs, v.CeilingMs)
 	case v.Version > last.Version+1:
 		// A gap: births between would be taken for the wrong version's.
-		m.wantRead(now)
+		m.requestRead(now)
 	}
 }
 
-func (m *Machine) adopt(now time.Time, v Version) {
-	if m.pending != nil && m.pending.capMs != noCap {
+func (m *Machine) adoptVersion(now time.Time, v Version) {
+	if m.pending != nil && m.pending.promiseLimitMs != noPromiseLimit {
 		m.pending = nil // v follows the version that the append expected to be last
 	}
-	floor := now.Add(-m.opt.Retention).UnixMilli()
-	m.versions = slices.Clone(trimmed(append(slices.Clone(m.versions), v), floor))
-	m.own, m.stays = 0, false
-	clear(m.staying)
-	clear(m.current)
-	for inc, p := range m.later {
+	cutoffMs := now.Add(-m.opt.Retention).UnixMilli()
+	m.versions = slices.Clone(trimVersions(append(slices.Clone(m.versions), v), cutoffMs))
+	m.ownPromiseMs, m.hasPledgedToStay = 0, false
+	clear(m.stayingPeers)
+	clear(m.promisesMs)
+	for inc, p := range m.futurePromises {
 		if p.Version == v.Version {
-			m.current[inc] = p.UntilMs
+			m.promisesMs[inc] = p.UntilMs
 		}
 		if p.Version <= v.Version {
-			delete(m.later, inc)
+			delete(m.futurePromises, inc)
 		}
 	}
 	for _, inc := range v.Gone {
-		delete(m.gone, inc)
-		m.fenced = m.fenced || inc == m.self.Incarnation
+		delete(m.undeclaredGone, inc)
+		m.isFenced = m.isFenced || inc == m.self.Incarnation
 	}
 	for _, e := range v.Members {
-		delete(m.joiners, e.Incarnation)
+		delete(m.joinRequests, e.Incarnation)
 	}
-	m.changeSince = time.Time{}
+	m.changePendingSince = time.Time{}
 	m.nextPromise = time.Time{}
 }
 
@@ -190,28 +190,28 @@
 	last, ok := m.last()
 	switch {
 	case !ok || p.Version > last.Version:
-		if old, seen := m.later[from]; !seen || newer(p, old) {
-			m.later[from] = p
+		if old, seen := m.futurePromises[from]; !seen || isNewer(p, old) {
+			m.futurePromises[from] = p
 		}
-		m.wantRead(now)
+		m.requestRead(now)
 	case p.Version < last.Version:
-		m.announceAfter(from, p.Version)
+		m.announceVersionsAfter(from, p.Version)
 	default:
-		m.current[from] = max(m.current[from], p.UntilMs)
-		m.hearLeaving(from, p)
+		m.promisesMs[from] = max(m.promisesMs[from], p.UntilMs)
+		m.handleLeaveIntent(from, p)
 	}
 	m.Tick(now)
 }
 
-func newer(p, old wire.Promise) bool {
+func isNewer(p, old wire.Promise) bool {
 	if p.Version != old.Version {
 		return p.Version > old.Version
 	}
 	return p.UntilMs > old.UntilMs
 }
 
-// announceAfter sends a peer the versions that follow the one it acts under.
-func (m *Machine) announceAfter(to identity.Incarnation, version int64) {
+// announceVersionsAfter sends a peer the versions that follow the one it acts under.
+func (m *Machine) announceVersionsAfter(to identity.Incarnation, version int64) {
 	var out []*wire.Roster
 	for _, v := range m.versions {
 		if v.Version > version {
@@ -226,15 +226,15 @@
 // Linked sends a newly linked peer what is known, so that an entry that was cut
 // off, or that cannot reach the store, catches up.
 func (m *Machine) Linked(now time.Time, peer identity.Incarnation) {
-	m.announceAfter(peer, math.MinInt64)
+	m.announceVersionsAfter(peer, math.MinInt64)
 	m.nextPromise = time.Time{}
 	m.Tick(now)
 }
 
 // JoinAsked takes a peer's wish to become a member.
 func (m *Machine) JoinAsked(now time.Time, j *wire.Join) {
-	if last, ok := m.last(); ok && !last.Has(j.Entry.Incarnation) && !m.DeclaredGone(j.Entry.Incarnation) {
-		m.joiners[j.Entry.Incarnation] = j.Entry
+	if last, ok := m.last(); ok && !last.Has(j.Entry.Incarnation) && !m.IsDeclaredGone(j.Entry.Incarnation) {
+		m.joinRequests[j.Entry.Incarnation] = j.Entry
 	}
 	m.Tick(now)
 }
@@ -242,31 +242,31 @@
 // Suspect notes that a peer does not answer. It is left out of the next roster
 // and may join again.
 func (m *Machine) Suspect(now time.Time, peer identity.Incarnation) {
-	if _, already := m.suspects[peer]; !already {
-		m.suspects[peer] = now
+	if _, already := m.suspectedSince[peer]; !already {
+		m.suspectedSince[peer] = now
 	}
-	delete(m.joiners, peer)
+	delete(m.joinRequests, peer)
 	m.Tick(now)
 }
 
 // Trust withdraws a suspicion.
 func (m *Machine) Trust(now time.Time, peer identity.Incarnation) {
-	delete(m.suspects, peer)
-	delete(m.gone, peer)
+	delete(m.suspectedSince, peer)
+	delete(m.undeclaredGone, peer)
 	m.Tick(now)
 }
 
 // Gone notes that a peer's lease has lapsed and its link is down. The next
 // roster declares it gone for good.
 func (m *Machine) Gone(now time.Time, peer identity.Incarnation) {
-	if !m.DeclaredGone(peer) {
-		m.gone[peer] = true
+	if !m.IsDeclaredGone(peer) {
+		m.undeclaredGone[peer] = true
 	}
 	m.Suspect(now, peer)
 }
 
-// DeclaredGone tells whether a version that is still kept declares peer gone.
-func (m *Machine) DeclaredGone(peer identity.Incarnation) bool {
+// IsDeclaredGone tells whether a version that is still kept declares peer gone.
+func (m *Machine) IsDeclaredGone(peer identity.Incarnation) bool {
 	for _, v := range m.versions {
 		if slices.Contains(v.Gone, peer) {
 			return true
@@ -279,13 +279,13 @@
 // promises, and asks to be left out. It keeps serving births that it owns until
 // a roster without it has begun; see Left.
 func (m *Machine) Leave(now time.Time) {
-	m.leaving = true
+	m.isLeaving = true
 	m.nextPromise = time.Time{}
 	m.Tick(now)
 }
 
-// Left tells whether a roster without this entry is in force at now.
-func (m *Machine) Left(now time.Time) bool {
+// HasLeft tells whether a roster without this entry is in force at now.
+func (m *Machine) HasLeft(now time.Time) bool {
 	last, ok := m.last()
 	return ok && !last.Has(m.self.Incarnation) && last.FromMs <= now.UnixMilli()
 }
@@ -294,48 +294,48 @@
 // effect of a write before its answer comes, and the next write may be on its
 // way by then. Taken for the answer to that one, it would have this entry adopt
 // a roster that the store does not hold.
-func (m *Machine) Swapped(now time.Time, id uint64, o Outcome, revision int64) {
+func (m *Machine) Swapped(now time.Time, id uint64, outcome Outcome, revision int64) {
 	p := m.pending
-	if p == nil || !p.inFlight || p.swap.ID != id {
+	if p == nil || !p.isInFlight || p.swap.ID != id {
 		return
 	}
-	p.inFlight = false
-	if o != OutcomeUnknown {
+	p.isInFlight = false
+	if outcome != OutcomeUnknown {
 		m.answered = now
 	}
-	switch o {
+	switch outcome {
 	case OutcomeDone:
-		m.adoptStored(now, p.versions, revision)
-		m.announceLast()
+		m.adoptStoredVersions(now, p.versions, revision)
+		m.announceLastVersion()
 	case OutcomeConflict:
 		// Something else was written, or an unanswered attempt of our own: the
 		// value says which. Until it is read, the promises stay capped.
-		p.next = now.Add(m.opt.Retry)
+		p.nextAttempt = now.Add(m.opt.Retry)
 		m.nextRead = time.Time{}
-		m.wantRead(now)
+		m.requestRead(now)
 	case OutcomeUnknown:
-		p.next = now.Add(m.opt.Retry)
+		p.nextAttempt = now.Add(m.opt.Retry)
 	}
 	m.Tick(now)
 }
 
-func (m *Machine) announceLast() {
+func (m *Machine) announceLastVersion() {
 	last := m.versions[len(m.versions)-1]
 	m.actions = append(m.actions, Action{Announce: &Announce{Versions: []*wire.Roster{last.Message()}}})
 }
 
 // Tick does what is due and publishes the view.
 func (m *Machine) Tick(now time.Time) {
-	if !m.read {
-		m.wantRead(now)
+	if !m.hasReadStore {
+		m.requestRead(now)
 	}
-	m.promise(now)
-	m.swap(now)
-	m.join(now)
-	m.publish()
+	m.renewPromise(now)
+	m.proposeWrite(now)
+	m.requestJoin(now)
+	m.publishView()
 }
 
-func (m *Machine) wantRead(now time.Time) {
+func (m *Machine) requestRead(now time.Time) {
 	if now.Before(m.nextRead) {
 		return
 	}
--- a/internal/roster/machine_test.go
+++ b/internal/roster/machine_test.go
@@ -32,26 +32,26 @@
 	return k
 }
 
-// bench drives machines against one store value, with the faults that a test
+// cluster drives machines against one store value, with the faults that a test
 // sets. It delivers actions at once.
-type bench struct {
-	c        *qt.C
-	now      time.Time
-	machines map[identity.Incarnation]*Machine
-	order    []identity.Incarnation
-	value    []byte
-	revision int64
-	down     map[identity.Incarnation]bool // processes that are dead or cut off
-	storeOff bool
-	loseSwap func(by identity.Incarnation) bool // effect, but no answer
-	writes   int
+type cluster struct {
+	c              *qt.C
+	now            time.Time
+	machines       map[identity.Incarnation]*Machine
+	order          []identity.Incarnation
+	value          []byte
+	revision       int64
+	unreachable    map[identity.Incarnation]bool // processes that are dead or cut off
+	isStoreDown    bool
+	loseSwapAnswer func(by identity.Incarnation) bool // effect, but no answer
+	writes         int
 }
 
-func newBench(t *testing.T) *bench {
-	return &bench{
+func newCluster(t *testing.T) *cluster {
+	return &cluster{
 		c: qt.New(t), now: epoch,
-		machines: make(map[identity.Incarnation]*Machine),
-		down:     make(map[identity.Incarnation]bool),
+		machines:    make(map[identity.Incarnation]*Machine),
+		unreachable: make(map[identity.Incarnation]bool),
 	}
 }
 
@@ -59,12 +59,12 @@
 	return wire.EntryAddr{Incarnation: inc, Inner: string(inc) + ":1"}
 }
 
-func (b *bench) add(inc identity.Incarnation) *Machine {
+func (b *cluster) add(inc identity.Incarnation) *Machine {
 	m := NewMachine(addr(inc), Options{})
 	b.machines[inc] = m
 	b.order = append(b.order, inc)
 	for _, other := range b.order {
-		if other != inc && !b.down[other] {
+		if other != inc && !b.unreachable[other] {
 			b.machines[other].Linked(b.now, inc)
 			m.Linked(b.now, other)
 		}
@@ -73,27 +73,27 @@
 }
 
 // run advances the clock in quarters of the period.
-func (b *bench) run(d time.Duration) {
+func (b *cluster) run(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(DefaultPeriod / 4) {
 		for _, inc := range b.order {
-			if !b.down[inc] {
+			if !b.unreachable[inc] {
 				b.machines[inc].Tick(b.now)
-				b.deliver(inc)
+				b.runActions(inc)
 			}
 		}
 	}
 }
 
-func (b *bench) deliver(from identity.Incarnation) {
+func (b *cluster) runActions(from identity.Incarnation) {
 	for _, a := range b.machines[from].Actions() {
 		switch {
 		case a.Broadcast != nil:
-			b.toAll(from, func(m *Machine) { m.Promise(b.now, from, *a.Broadcast) })
+			b.sendToAll(from, func(m *Machine) { m.Promise(b.now, from, *a.Broadcast) })
 		case a.Announce != nil:
 			b.announce(from, a.Announce)
-		case a.Join != nil && !b.down[a.Join.To]:
+		case a.Join != nil && !b.unreachable[a.Join.To]:
 			b.machines[a.Join.To].JoinAsked(b.now, a.Join.Ask)
-		case a.Read && !b.storeOff:
+		case a.Read && !b.isStoreDown:
 			b.c.Assert(b.machines[from].Stored(b.now, b.value, b.revision), qt.IsNil)
 		case a.Swap != nil:
 			b.swap(from, a.Swap)
@@ -101,38 +101,38 @@
 	}
 }
 
-func (b *bench) toAll(from identity.Incarnation, f func(*Machine)) {
+func (b *cluster) sendToAll(from identity.Incarnation, f func(*Machine)) {
 	for _, inc := range b.order {
-		if inc != from && !b.down[inc] {
+		if inc != from && !b.unreachable[inc] {
 			f(b.machines[inc])
 		}
 	}
 }
 
-func (b *bench) announce(from identity.Incarnation, a *Announce) {
+func (b *cluster) announce(from identity.Incarnation, a *Announce) {
 	send := func(m *Machine) {
 		for _, r := range a.Versions {
 			m.Learned(b.now, r)
 		}
 	}
 	if a.To == "" {
-		b.toAll(from, send)
-	} else if !b.down[a.To] {
+		b.sendToAll(from, send)
+	} else if !b.unreachable[a.To] {
 		send(b.machines[a.To])
 	}
 }
 
-func (b *bench) swap(from identity.Incarnation, s *Swap) {
+func (b *cluster) swap(from identity.Incarnation, s *Swap) {
 	m := b.machines[from]
 	switch {
-	case b.storeOff:
+	case b.isStoreDown:
 		m.Swapped(b.now, s.ID, OutcomeUnknown, 0)
 	case s.Expect != b.revision:
 		m.Swapped(b.now, s.ID, OutcomeConflict, 0)
 	default:
 		b.value, b.revision = s.Value, b.revision+1
 		b.writes++
-		if b.loseSwap != nil && b.loseSwap(from) {
+		if b.loseSwapAnswer != nil && b.loseSwapAnswer(from) {
 			m.Swapped(b.now, s.ID, OutcomeUnknown, 0)
 			return
 		}
@@ -140,9 +140,9 @@
 	}
 }
 
-// owners counts which entries may start n keys born at birth, and asserts that
+// countStarters counts which entries may start n keys born at birth, and asserts that
 // no two may start the same one.
-func (b *bench) owners(birth time.Time, n uint64) map[identity.Incarnation]int {
+func (b *cluster) countStarters(birth time.Time, n uint64) map[identity.Incarnation]int {
 	out := make(map[identity.Incarnation]int)
 	for i := range n {
 		key, starters := plainKey(birth, i), 0
@@ -164,8 +164,8 @@
 	return n
 }
 
-func threeEntries(t *testing.T) *bench {
-	b := newBench(t)
+func newThreeEntryCluster(t *testing.T) *cluster {
+	b := newCluster(t)
 	for i := range 3 {
 		b.add(identity.Incarnation(fmt.Sprintf("entry-%d", i)))
 		b.run(DefaultPeriod)
@@ -174,9 +174,9 @@
 	return b
 }
 
-func TestEveryKeyHasOneOwner(t *testing.T) {
-	b := threeEntries(t)
-	got := b.owners(b.now, 3000)
+func TestEveryKeyHasOneStarter(t *testing.T) {
+	b := newThreeEntryCluster(t)
+	got := b.countStarters(b.now, 3000)
 	b.c.Assert(total(got), qt.Equals, 3000)
 	for inc, n := range got {
 		b.c.Check(n > 850 && n < 1150, qt.IsTrue, qt.Commentf("%s owns %d", inc, n))
@@ -184,7 +184,7 @@
 }
 
 func TestMayStartAllocatesNothing(t *testing.T) {
-	b := threeEntries(t)
+	b := newThreeEntryCluster(t)
 	v, key := b.machines["entry-0"].View(), plainKey(b.now, 0)
 	for i := uint64(1); v.MayStart(member, key) != nil; i++ {
 		key = plainKey(b.now, i)
@@ -199,47 +199,47 @@
 // An entry dies. Its promises stop, so that after the horizon nobody may start
 // any plain identity, until a roster without it begins. Callers see refusals
 // with a time to come back for a few seconds, then service as before.
-func TestDeadMemberIsLeftOut(t *testing.T) {
-	b := threeEntries(t)
-	b.down["entry-1"] = true
+func TestCrashedMemberIsRemovedFromRoster(t *testing.T) {
+	b := newThreeEntryCluster(t)
+	b.unreachable["entry-1"] = true
 	b.run(DefaultHorizon + time.Second)
-	b.c.Assert(total(b.owners(b.now, 300)), qt.Equals, 0)
+	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 0)
 	b.machines["entry-0"].Gone(b.now, "entry-1")
 	b.machines["entry-2"].Gone(b.now, "entry-1")
 	b.run(2 * time.Second)
 	// What the dead entry owns until the new roster begins stays refused.
-	early := b.owners(b.now, 300)
-	b.c.Assert(total(early) > 150 && total(early) < 300, qt.IsTrue)
+	beforeNewRoster := b.countStarters(b.now, 300)
+	b.c.Assert(total(beforeNewRoster) > 150 && total(beforeNewRoster) < 300, qt.IsTrue)
 	b.run(DefaultHorizon)
-	got := b.owners(b.now, 300)
+	got := b.countStarters(b.now, 300)
 	b.c.Assert(total(got), qt.Equals, 300)
 	b.c.Assert(got["entry-1"], qt.Equals, 0)
-	b.c.Assert(b.machines["entry-0"].DeclaredGone("entry-1"), qt.IsTrue)
+	b.c.Assert(b.machines["entry-0"].IsDeclaredGone("entry-1"), qt.IsTrue)
 }
 
 // The store goes down while every entry lives. Nothing of a request needs the
 // store, so callers notice nothing for as long as the ceiling reaches.
-func TestStoreOutageIsNotNoticed(t *testing.T) {
-	b := threeEntries(t)
-	b.storeOff = true
+func TestStoreOutageIsToleratedUpToCeiling(t *testing.T) {
+	b := newThreeEntryCluster(t)
+	b.isStoreDown = true
 	b.run(DefaultLead - DefaultRenew - time.Minute)
-	b.c.Assert(total(b.owners(b.now, 300)), qt.Equals, 300)
+	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
 	b.run(2*DefaultRenew + time.Minute)
-	b.c.Assert(total(b.owners(b.now, 300)), qt.Equals, 0)
-	b.storeOff = false
+	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 0)
+	b.isStoreDown = false
 	b.run(10 * time.Second)
-	b.c.Assert(total(b.owners(b.now, 300)), qt.Equals, 300)
+	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
 }
 
 // The answer to an append is lost although it took effect, and reading the
 // store fails for a while. Until the truth is read the appender cannot know
 // which roster holds, so it promises nothing beyond the new one's beginning.
 func TestLostAnswerToAppendCapsPromises(t *testing.T) {
-	b := threeEntries(t)
-	b.loseSwap = func(identity.Incarnation) bool { b.storeOff = true; return true }
+	b := newThreeEntryCluster(t)
+	b.loseSwapAnswer = func(identity.Incarnation) bool { b.isStoreDown = true; return true }
 	b.add("entry-3")
 	b.run(2 * time.Second)
-	b.c.Assert(b.storeOff, qt.IsTrue)
+	b.c.Assert(b.isStoreDown, qt.IsTrue)
 	h, err := DecodeHistory(b.value)
 	b.c.Assert(err, qt.IsNil)
 	from := h.Versions[len(h.Versions)-1].FromMs
@@ -247,17 +247,17 @@
 	for _, inc := range b.order[:3] {
 		b.c.Assert(b.machines[inc].View().HorizonMs() <= from, qt.IsTrue)
 	}
-	b.storeOff, b.loseSwap = false, nil
+	b.isStoreDown, b.loseSwapAnswer = false, nil
 	b.run(5 * time.Second)
-	b.c.Assert(total(b.owners(b.now, 300)), qt.Equals, 300)
-	b.c.Assert(b.owners(b.now, 300)["entry-3"] > 0, qt.IsTrue)
+	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
+	b.c.Assert(b.countStarters(b.now, 300)["entry-3"] > 0, qt.IsTrue)
 }
 
 // An append gets no answer and its request stays in a queue. The value read back
 // is the old one, yet the request still takes effect later. An appender that
 // took the reading for the truth would go on promising beyond the beginning of
 // a roster that gives its births to somebody else.
-func TestReadingTheOldValueDoesNotSettleAnAppend(t *testing.T) {
+func TestStaleReadDoesNotSettleAppend(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine(addr("a"), Options{})
 	old, err := History{Versions: []Version{{
@@ -267,23 +267,23 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(m.Stored(epoch, old, 7), qt.IsNil)
 	m.Gone(epoch, "b")
-	capMs := m.pending.capMs
+	promiseLimitMs := m.pending.promiseLimitMs
 	m.Swapped(epoch.Add(time.Second), m.pending.swap.ID, OutcomeUnknown, 0)
 	c.Assert(m.Stored(epoch.Add(2*time.Second), old, 7), qt.IsNil)
 	m.Tick(epoch.Add(time.Minute))
-	c.Assert(m.own <= capMs, qt.IsTrue)
+	c.Assert(m.ownPromiseMs <= promiseLimitMs, qt.IsTrue)
 }
 
 // All entries of a region are lost at once and replaced. The old ones might only
 // be cut off from the store, so the new roster begins at the ceiling: plain
 // identities are refused until then, with a reason that is true, and tickets
 // are served at once.
-func TestNewFleetBeginsAtTheCeiling(t *testing.T) {
-	b := threeEntries(t)
+func TestReplacementFleetStartsAtCeiling(t *testing.T) {
+	b := newThreeEntryCluster(t)
 	old := b.machines["entry-0"].View()
 	ceiling, _ := old.Last()
 	for _, inc := range b.order {
-		b.down[inc] = true
+		b.unreachable[inc] = true
 	}
 	e := b.add("entry-9")
 	for _, inc := range b.order[:3] {
@@ -301,19 +301,19 @@
 // Every entry is stopped as planned and the fleet starts again. Since the last
 // one out closes the roster, the next fleet serves plain identities within
 // seconds and does not wait for the ceiling.
-func TestPlannedStopOfAllLetsTheNextFleetStart(t *testing.T) {
-	b := threeEntries(t)
+func TestPlannedStopOfAllEntriesUnblocksNextFleet(t *testing.T) {
+	b := newThreeEntryCluster(t)
 	for _, inc := range b.order {
 		b.machines[inc].Leave(b.now)
 	}
 	b.run(DefaultHorizon + 5*time.Second)
 	for _, inc := range b.order {
-		b.c.Assert(b.machines[inc].Left(b.now), qt.IsTrue, qt.Commentf("%s", inc))
-		b.down[inc] = true
+		b.c.Assert(b.machines[inc].HasLeft(b.now), qt.IsTrue, qt.Commentf("%s", inc))
+		b.unreachable[inc] = true
 	}
 	b.add("entry-9")
 	b.run(3 * time.Second)
-	b.c.Assert(b.owners(b.now, 100)["entry-9"], qt.Equals, 100)
+	b.c.Assert(b.countStarters(b.now, 100)["entry-9"], qt.Equals, 100)
 }
 
 // An operator stops one entry while the store is down. It cannot be taken off
@@ -321,13 +321,13 @@
 // That must hold for any of them, also the first in order.
 func TestPlannedStopDuringStoreOutage(t *testing.T) {
 	for _, leaver := range []identity.Incarnation{"entry-0", "entry-1", "entry-2"} {
-		b := threeEntries(t)
-		b.storeOff = true
+		b := newThreeEntryCluster(t)
+		b.isStoreDown = true
 		b.machines[leaver].Leave(b.now)
 		b.run(3 * time.Second)
-		b.down[leaver] = true
+		b.unreachable[leaver] = true
 		b.run(time.Minute)
-		got := b.owners(b.now, 300)
+		got := b.countStarters(b.now, 300)
 		delete(got, leaver)
 		b.c.Check(total(got) > 150, qt.IsTrue, qt.Commentf("%s", leaver))
 	}
@@ -336,10 +336,10 @@
 // All entries are stopped at about the same moment, and each hears late that the
 // others leave. One of them at least must not resign, or nobody could write the
 // closing roster.
-func TestNotAllResign(t *testing.T) {
+func TestNotAllEntriesResign(t *testing.T) {
 	for mask := range 8 {
-		b := threeEntries(t)
-		b.storeOff = true
+		b := newThreeEntryCluster(t)
+		b.isStoreDown = true
 		for round := range 2 {
 			for i, inc := range b.order {
 				if mask>>i&1 == round {
@@ -351,7 +351,7 @@
 		b.run(5 * time.Second)
 		resignations := 0
 		for _, inc := range b.order {
-			if b.machines[inc].own == resigned {
+			if b.machines[inc].ownPromiseMs == resignedPromiseMs {
 				resignations++
 			}
 		}
@@ -362,22 +362,22 @@
 // An entry is paused past its lease and wakes. The others have declared it gone.
 // What it may have thought before the pause must not let it start what was born
 // since.
-func TestPausedEntryWakesFenced(t *testing.T) {
-	b := threeEntries(t)
-	b.down["entry-1"] = true
+func TestPausedEntryIsFencedOnResume(t *testing.T) {
+	b := newThreeEntryCluster(t)
+	b.unreachable["entry-1"] = true
 	b.run(3 * time.Second)
 	b.machines["entry-0"].Gone(b.now, "entry-1")
 	b.machines["entry-2"].Gone(b.now, "entry-1")
 	b.run(10 * time.Second)
-	b.owners(b.now, 1000) // no key has two starters before it learns anything
-	b.down["entry-1"] = false
+	b.countStarters(b.now, 1000) // no key has two starters before it learns anything
+	b.unreachable["entry-1"] = false
 	b.run(2 * time.Second)
 	b.c.Assert(b.machines["entry-1"].View().Fenced(), qt.IsTrue)
-	b.owners(b.now, 1000)
+	b.countStarters(b.now, 1000)
 }
 
 // A store value that was damaged must not be obeyed.
-func TestDecodeHistoryRefuses(t *testing.T) {
+func TestDecodeHistoryRejectsDamagedValues(t *testing.T) {
 	for _, s := range []string{
 		``, `{}`, `{"versions":[{"version":1},{"version":3}]}`,
 		`{"versions":[{"version":1,"from_ms":5},{"version":2,"from_ms":4}]}`,
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -34,21 +34,21 @@
 
 // Default timing. See Options.
 const (
-	DefaultPeriod     = time.Second
-	DefaultHorizon    = 5 * time.Second
-	DefaultJoinLead   = 20 * time.Second
-	DefaultLead       = time.Hour
-	DefaultRenew      = 5 * time.Minute
-	DefaultRetry      = time.Second
-	DefaultTakeover   = 10 * time.Second
-	DefaultRankDelay  = 500 * time.Millisecond
-	DefaultRetention  = time.Hour
-	maxVersions       = 256
-	retryAfter        = time.Second
-	maxAhead          = time.Minute
-	resigned          = int64(math.MaxInt64)
-	noCap             = int64(math.MaxInt64)
-	joinAskMultiplier = 3 // retries of the store before another member is asked
+	DefaultPeriod       = time.Second
+	DefaultHorizon      = 5 * time.Second
+	DefaultJoinLead     = 20 * time.Second
+	DefaultLead         = time.Hour
+	DefaultRenew        = 5 * time.Minute
+	DefaultRetry        = time.Second
+	DefaultTakeover     = 10 * time.Second
+	DefaultRankDelay    = 500 * time.Millisecond
+	DefaultRetention    = time.Hour
+	maxVersions         = 256
+	retryAfter          = time.Second
+	maxEstimatedWait    = time.Minute
+	resignedPromiseMs   = int64(math.MaxInt64)
+	noPromiseLimit      = int64(math.MaxInt64)
+	joinRetryMultiplier = 3 // retries of the store before another member is asked
 )
 
 // Options are the timing of a machine; zero fields take the defaults.
--- a/internal/roster/view.go
+++ b/internal/roster/view.go
@@ -13,11 +13,11 @@
 // through an atomic pointer. Every permission in a view is for good: a view
 // read before a pause stays true after it.
 type View struct {
-	self      identity.Incarnation
-	versions  []Version
-	seeds     [][]uint64 // rendezvous seeds of the members, by version
-	horizonMs int64      // births below it may start under the last version
-	fenced    bool
+	self         identity.Incarnation
+	versions     []Version
+	memberHashes [][]uint64 // rendezvous seeds of the members, by version
+	horizonMs    int64      // births below it may start under the last version
+	isFenced     bool
 }
 
 // Last gives the newest version; ok is false while none is known.
@@ -36,7 +36,7 @@
 
 // Fenced tells that a roster declared this entry gone: it may start nothing
 // more, and its process must go on under a new incarnation.
-func (v *View) Fenced() bool { return v.fenced }
+func (v *View) Fenced() bool { return v.isFenced }
 
 // IsMember tells whether this entry belongs to the last version.
 func (v *View) IsMember() bool {
@@ -52,7 +52,7 @@
 	if key.Home != "" {
 		return key.Home, 0, true
 	}
-	i := v.find(key.BirthMs)
+	i := v.versionIndex(key.BirthMs)
 	if i < 0 || len(v.versions[i].Members) == 0 {
 		return "", 0, false
 	}
@@ -75,8 +75,8 @@
 	return owner, version < last.Version || owner == v.self && key.BirthMs < v.horizonMs
 }
 
-// find gives the index of the version whose interval holds birthMs, or -1.
-func (v *View) find(birthMs int64) int {
+// versionIndex gives the index of the version whose interval holds birthMs, or -1.
+func (v *View) versionIndex(birthMs int64) int {
 	for i := len(v.versions) - 1; i >= 0; i-- {
 		if v.versions[i].FromMs <= birthMs {
 			return i
@@ -88,10 +88,10 @@
 // owner ranks the members of version i by rendezvous hashing.
 func (v *View) owner(i int, member string, key identity.Key) identity.Incarnation {
 	h := keyHash(member, key)
-	best, score := 0, uint64(0)
-	for j, seed := range v.seeds[i] {
-		if s := mix(h ^ seed); j == 0 || s > score {
-			best, score = j, s
+	best, bestScore := 0, uint64(0)
+	for j, memberHash := range v.memberHashes[i] {
+		if score := splitMix64(h ^ memberHash); j == 0 || score > bestScore {
+			best, bestScore = j, score
 		}
 	}
 	return v.versions[i].Members[best].Incarnation
@@ -106,26 +106,26 @@
 // but not below the least promise of the members (see Machine).
 func (v *View) MayStart(member string, key identity.Key) *errkind.Error {
 	switch {
-	case v.fenced:
+	case v.isFenced:
 		return errkind.New(errkind.Fenced, "%s was declared gone", v.self)
 	case key.Home != "":
 		return v.mayStartTicket(key)
 	case len(v.versions) == 0:
 		return errkind.New(errkind.HomeUnreachable, "no roster is known yet").WithAfter(retryAfter)
 	}
-	i := v.find(key.BirthMs)
+	i := v.versionIndex(key.BirthMs)
 	switch {
 	case i < 0:
 		return errkind.New(errkind.IdentityExpired, "born before the oldest roster that is kept")
 	case len(v.versions[i].Members) == 0:
-		return v.unowned(i)
+		return v.refuseWithoutMembers(i)
 	}
 	if owner := v.owner(i, member, key); owner != v.self {
 		return errkind.New(errkind.HomeUnreachable, "owned by %s", owner).WithAfter(retryAfter)
 	}
 	if i == len(v.versions)-1 && key.BirthMs >= v.horizonMs {
 		return errkind.New(errkind.HomeUnreachable, "born beyond what all entries of the roster have promised").
-			WithAfter(v.wait(key.BirthMs))
+			WithAfter(v.estimatedWait(key.BirthMs))
 	}
 	return nil
 }
@@ -137,23 +137,23 @@
 	return errkind.New(errkind.HomeUnreachable, "owned by %s", key.Home).WithAfter(retryAfter)
 }
 
-// unowned refuses a birth in a version without members. A closed one says for
+// refuseWithoutMembers refuses a birth in a version without members. A closed one says for
 // good that nobody may start it; the last one may yet be followed.
-func (v *View) unowned(i int) *errkind.Error {
+func (v *View) refuseWithoutMembers(i int) *errkind.Error {
 	if i < len(v.versions)-1 {
 		return errkind.New(errkind.NotRun, "born while no entry was in service")
 	}
 	return errkind.New(errkind.HomeUnreachable, "no entry is in the roster").WithAfter(retryAfter)
 }
 
-// wait estimates when the horizon will have passed birthMs, as it moves with
+// estimatedWait estimates when the horizon will have passed birthMs, as it moves with
 // the clock.
-func (v *View) wait(birthMs int64) time.Duration {
-	ahead := birthMs - v.horizonMs
-	if v.horizonMs <= 0 || ahead > maxAhead.Milliseconds() {
+func (v *View) estimatedWait(birthMs int64) time.Duration {
+	aheadMs := birthMs - v.horizonMs
+	if v.horizonMs <= 0 || aheadMs > maxEstimatedWait.Milliseconds() {
 		return retryAfter
 	}
-	return max(time.Duration(ahead)*time.Millisecond, retryAfter)
+	return max(time.Duration(aheadMs)*time.Millisecond, retryAfter)
 }
 
 // FNV-1a parameters for 64 bits.
@@ -180,8 +180,8 @@
 	return h
 }
 
-// mix is the finalizer of SplitMix64; it spreads nearby hashes apart.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of SplitMix64; it spreads nearby hashes apart.
+func splitMix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -189,10 +189,10 @@
 	return x ^ x>>31
 }
 
-func seedsOf(v Version) []uint64 {
-	seeds := make([]uint64, len(v.Members))
+func hashMembers(v Version) []uint64 {
+	hashes := make([]uint64, len(v.Members))
 	for i, m := range v.Members {
-		seeds[i] = mix(fnvString(fnvOffset, string(m.Incarnation)))
+		hashes[i] = splitMix64(fnvString(fnvOffset, string(m.Incarnation)))
 	}
-	return seeds
+	return hashes
 }
