--- a/internal/roster/append.go
+++ b/internal/roster/append.go
@@ -10,8 +10,9 @@
 	"wigeontray/internal/wire"
 )
 
-// proposeWrite sends what this entry wants written: the repetition of an unsettled swap,
-// else a new one.
+// proposeWrite requests the next write to the store: it repeats an unsettled
+// compare-and-swap, or else starts a new one if the roster or its ceiling must
+// change.
 func (m *Machine) proposeWrite(now time.Time) {
 	if m.pending != nil {
 		m.resendSwap(now)
@@ -26,7 +27,7 @@
 		return
 	}
 	if m.storedVersion != last.Version {
-		m.requestRead(now) // a peer knew of a version before the store was read
+		m.requestRead(now) // a peer announced a version that this entry has not read from the store
 		return
 	}
 	if last.Has(m.self.Incarnation) {
@@ -36,9 +37,9 @@
 	}
 }
 
-// resendSwap sends the same bytes again. They expect the same revision, so that at
-// most one of all attempts takes effect, and its beginning is the one that the
-// promises are capped by.
+// resendSwap sends the pending compare-and-swap under a new ID. All attempts carry
+// the same bytes and expect the same revision, so at most one of them takes effect,
+// and the promises are limited by the same beginning.
 func (m *Machine) resendSwap(now time.Time) {
 	if m.pending.isInFlight || now.Before(m.pending.nextAttempt) {
 		return
@@ -49,13 +50,13 @@
 	m.actions = append(m.actions, Action{Swap: &sent})
 }
 
-// startSwap sends a swap that replaces the history by versions. promiseLimitMs bounds the
-// promises until it is settled.
+// startSwap sends a compare-and-swap that replaces the history by versions. Until it
+// is settled, this entry promises nothing beyond promiseLimitMs.
 func (m *Machine) startSwap(now time.Time, versions []Version, promiseLimitMs int64) {
 	versions = trimVersions(versions, now.Add(-m.opt.Retention).UnixMilli())
 	value, err := History{Versions: versions}.Encode()
 	if err != nil {
-		return // a history that was decoded or built here encodes
+		return // cannot happen: a decoded or locally built history can be encoded
 	}
 	m.pending = &pendingSwap{
 		swap:           Swap{Expect: m.revision, Value: value},
@@ -65,10 +66,10 @@
 	m.resendSwap(now)
 }
 
-// appendVersion writes next behind the known versions, if the store answered
-// just now. An append that gets no answer caps the promises until the store is
-// back; begun during an outage, it would turn the wish to add or drop a member
-// into refusals for every plain identity.
+// appendVersion appends next to the known versions if the store answered within the
+// last Options.Retry. An append without an answer limits the promises until the store
+// recovers; started during an outage, it would turn the mere wish to add or remove a
+// member into refusals of all plain identities.
 func (m *Machine) appendVersion(now time.Time, next Version) {
 	if now.Sub(m.answered) >= m.opt.Retry {
 		m.requestRead(now)
@@ -77,8 +78,9 @@
 	m.startSwap(now, append(slices.Clone(m.versions), next), next.FromMs)
 }
 
-// appendInitialVersion writes the first roster of all. It begins now: births before it
-// have no owner, in case an earlier history was lost with the store's data.
+// appendInitialVersion writes the first version of the history. It begins now, so
+// earlier births have no owner, in case an earlier history was lost with the store's
+// data.
 func (m *Machine) appendInitialVersion(now time.Time) {
 	if m.revision != 0 || m.isLeaving {
 		return
@@ -88,10 +90,11 @@
 	})
 }
 
+// newCeilingMs returns the ceiling to write at now, in Unix milliseconds.
 func (m *Machine) newCeilingMs(now time.Time) int64 { return now.Add(m.opt.Lead).UnixMilli() }
 
-// proposeAsMember appends a roster when the members should change, else raises the
-// ceiling when it is due.
+// proposeAsMember appends a version if the members should change, or else raises the
+// ceiling if that is due. A resigned entry does neither.
 func (m *Machine) proposeAsMember(now time.Time, last Version) {
 	if m.ownPromiseMs == resignedPromiseMs {
 		return
@@ -112,7 +115,8 @@
 }
 
 // successor builds the version after last. It begins at this entry's greatest promise
-// or later; a roster that only adds members can wait, and begins JoinLead ahead.
+// or later. A version that only adds members is not urgent and begins JoinLead ahead
+// of now.
 func (m *Machine) successor(now time.Time, last Version, members []wire.EntryAddr, gone []identity.Incarnation) Version {
 	fromMs := max(m.ownPromiseMs, last.FromMs)
 	if len(gone) == 0 && containsAll(members, last.Members) {
@@ -125,7 +129,8 @@
 	return v
 }
 
-// nextMembers lists the members of the next roster, sorted.
+// nextMembers returns the members of the next version, sorted: the members of last
+// and the entries that asked to join, without suspected, resigned and leaving ones.
 func (m *Machine) nextMembers(last Version) []wire.EntryAddr {
 	members := maps.Clone(m.joinRequests)
 	for _, e := range last.Members {
@@ -143,16 +148,19 @@
 	})
 }
 
+// sortedGone returns the entries that the next version declares gone.
 func (m *Machine) sortedGone() []identity.Incarnation {
 	return slices.Sorted(maps.Keys(m.undeclaredGone))
 }
 
+// rankDelay returns the delay after which this member writes a change, by its rank
+// among the unsuspected members of last.
 func (m *Machine) rankDelay(last Version) time.Duration {
 	rank := slices.Index(m.unsuspectedMembers(last.Members), m.self.Incarnation)
 	return time.Duration(max(rank, 0)) * m.opt.RankDelay
 }
 
-// raiseCeiling extends the time for which members may promise without the store.
+// raiseCeiling extends the time up to which members may promise without the store.
 func (m *Machine) raiseCeiling(now time.Time, last Version) {
 	due := time.UnixMilli(last.CeilingMs).Add(m.opt.Renew - m.opt.Lead).Add(m.rankDelay(last))
 	if now.Before(due) || m.isLeaving {
@@ -163,11 +171,11 @@
 	m.startSwap(now, versions, noPromiseLimit)
 }
 
-// proposeAsNonMember appends a roster when the last one has no members, or when all
-// of them have been gone for some time. The members may be alive and cut off
-// from the store, so the roster begins at the ceiling, which no promise of
-// theirs exceeds. Beginning it by this entry's clock would start a task twice
-// whenever "gone" was a mistake.
+// proposeAsNonMember appends a version if the last one has no members, or if all of
+// them have been gone for Takeover. The members may be running and only cut off from
+// the store, so the new version begins at the ceiling, which none of their promises
+// exceeds. If it began at this entry's clock, a task would start twice whenever the
+// members were declared gone by mistake.
 func (m *Machine) proposeAsNonMember(now time.Time, last Version) {
 	if m.isLeaving || !m.areAllMembersGone(now, last) {
 		return
@@ -181,7 +189,8 @@
 	})
 }
 
-// areAllMembersGone tells whether every member of last has been gone for Takeover.
+// areAllMembersGone reports whether every member of last is gone and has been
+// suspected for Takeover.
 func (m *Machine) areAllMembersGone(now time.Time, last Version) bool {
 	for _, e := range last.Members {
 		since, isSuspected := m.suspectedSince[e.Incarnation]
@@ -195,7 +204,7 @@
 
 func haveSameMembers(a, b []wire.EntryAddr) bool { return containsAll(a, b) && containsAll(b, a) }
 
-// containsAll tells whether every entry of part is in whole.
+// containsAll reports whether every entry of subset is in entries.
 func containsAll(entries, subset []wire.EntryAddr) bool {
 	for _, e := range subset {
 		if !slices.ContainsFunc(entries, func(w wire.EntryAddr) bool { return w.Incarnation == e.Incarnation }) {
--- a/internal/roster/exhaustive_test.go
+++ b/internal/roster/exhaustive_test.go
@@ -17,16 +17,17 @@
 	"wigeontray/internal/wire"
 )
 
-// The bound of the exhaustive search. Every sequence of searchDepth moves
-// from the start is covered; equal states are visited once per remaining depth.
+// Bounds of the searches. The exhaustive search covers every sequence of searchDepth
+// transitions from a start; a state is visited again only with a greater remaining
+// depth.
 const (
 	searchDepth      = 4
 	randomWalkSeeds  = 1000
 	randomWalkLength = 80
 	clockSkew        = 1500 * time.Millisecond
 	tickInterval     = time.Second
-	birthCount       = 40 // one key each half second from the epoch on
-	keysPerBirth     = 2  // keys with different owners for each birth
+	birthCount       = 40 // one birth every half second, starting at epoch
+	keysPerBirth     = 2  // with different owners
 )
 
 var worldOptions = Options{
@@ -35,32 +36,32 @@
 	Takeover: time.Second, RankDelay: time.Millisecond, Retention: time.Hour,
 }
 
-// mutation is the way in which a world breaks the rule on purpose.
+// mutation is a deliberate violation of the rules that the search must detect.
 type mutation uint8
 
 const (
 	noMutation                 mutation = iota
-	horizonFromOwnPromise               // the horizon counts this entry's own promise alone
-	noPromiseLimitWhilePending          // an unanswered append does not cap the promises
-	clockInsteadOfBirth                 // the owner's clock is compared in place of the birth
-	takeoverAtClock                     // an outsider's roster begins now and not at the ceiling
-	answerOfAnySwap                     // an answer is taken for that to the write on its way
+	horizonFromOwnPromise               // the horizon ignores the promises of other members
+	noPromiseLimitWhilePending          // an unanswered append does not limit the promises
+	clockInsteadOfBirth                 // the horizon is compared with the owner's clock and not with the birth
+	takeoverAtClock                     // a non-member's version begins at its clock and not at the ceiling
+	answerOfAnySwap                     // an answer is attributed to the pending swap whatever its ID
 )
 
-// world is two members, a and b, an outsider c, and the store. A permission is
-// recorded at the moment at which a machine first gives it, since a process may
-// act on it at any later time, however long it was paused.
+// world consists of the members a and b, the non-member c, and the store. A
+// permission is recorded when a machine first gives it, since a process may act on it
+// at any later time, however long it was paused.
 type world struct {
 	mutation     mutation
 	now          time.Time
 	machines     [3]*Machine
 	crashed      [3]bool
-	isClockAhead [3]bool // the entry's clock runs ahead by skew
+	isClockAhead [3]bool // the entry's clock is ahead by clockSkew
 	storeHistory []storeValue
-	requests     []swapRequest // compare-and-swaps on their way
-	answers      []swapAnswer  // and their answers
-	starterOf    [birthCount * keysPerBirth]int8
-	checkedViews [3]*View // permissions change with the view only
+	requests     []swapRequest                   // compare-and-swaps in flight
+	answers      []swapAnswer                    // answers in flight
+	starterOf    [birthCount * keysPerBirth]int8 // entry index plus 1, by key; 0 for none
+	checkedViews [3]*View                        // views already checked; permissions change only with the view
 }
 
 type storeValue struct {
@@ -71,7 +72,7 @@
 type swapRequest struct {
 	from     int
 	swap     Swap
-	answered bool // the sender already gave up on it
+	answered bool // the sender timed out and has received OutcomeUnknown
 }
 
 type swapAnswer struct {
@@ -121,10 +122,14 @@
 
 func cloneMachine(m *Machine) *Machine {
 	c := &Machine{
-		self: m.self, opt: m.opt, versions: slices.Clone(m.versions), revision: m.revision, storedVersion: m.storedVersion,
-		hasReadStore: m.hasReadStore, answered: m.answered, ownPromiseMs: m.ownPromiseMs, promisesMs: maps.Clone(m.promisesMs), futurePromises: maps.Clone(m.futurePromises),
-		lastSwapID: m.lastSwapID, joinRequests: maps.Clone(m.joinRequests), suspectedSince: maps.Clone(m.suspectedSince), undeclaredGone: maps.Clone(m.undeclaredGone),
-		isLeaving: m.isLeaving, hasPledgedToStay: m.hasPledgedToStay, stayingPeers: maps.Clone(m.stayingPeers), isFenced: m.isFenced, nextPromise: m.nextPromise, nextRead: m.nextRead,
+		self: m.self, opt: m.opt, versions: slices.Clone(m.versions), revision: m.revision,
+		storedVersion: m.storedVersion, hasReadStore: m.hasReadStore, answered: m.answered,
+		ownPromiseMs: m.ownPromiseMs, promisesMs: maps.Clone(m.promisesMs),
+		futurePromises: maps.Clone(m.futurePromises), lastSwapID: m.lastSwapID,
+		joinRequests: maps.Clone(m.joinRequests), suspectedSince: maps.Clone(m.suspectedSince),
+		undeclaredGone: maps.Clone(m.undeclaredGone), isLeaving: m.isLeaving,
+		hasPledgedToStay: m.hasPledgedToStay, stayingPeers: maps.Clone(m.stayingPeers),
+		isFenced: m.isFenced, nextPromise: m.nextPromise, nextRead: m.nextRead,
 		nextJoin: m.nextJoin, joinAttempts: m.joinAttempts, changePendingSince: m.changePendingSince,
 	}
 	if m.pending != nil {
@@ -135,14 +140,17 @@
 	return c
 }
 
-// fingerprint tells states apart. Times are taken relative to the epoch.
+// fingerprint returns a text that differs between different states. Times are
+// relative to epoch.
 func (w *world) fingerprint() string {
 	var s strings.Builder
 	fmt.Fprint(&s, w.now.Sub(epoch), w.crashed, w.isClockAhead, w.starterOf)
 	for _, m := range w.machines {
-		fmt.Fprint(&s, "|", m.revision, m.storedVersion, m.ownPromiseMs, m.promisesMs, m.futurePromises, m.joinRequests, m.suspectedSince, m.undeclaredGone,
-			m.isFenced, m.isLeaving, m.hasPledgedToStay, m.stayingPeers, m.nextPromise.Sub(epoch), m.nextRead.Sub(epoch), m.nextJoin.Sub(epoch), m.joinAttempts,
-			m.changePendingSince.Sub(epoch), m.answered.Sub(epoch), len(m.versions))
+		fmt.Fprint(&s, "|", m.revision, m.storedVersion, m.ownPromiseMs, m.promisesMs, m.futurePromises,
+			m.joinRequests, m.suspectedSince, m.undeclaredGone, m.isFenced, m.isLeaving,
+			m.hasPledgedToStay, m.stayingPeers, m.nextPromise.Sub(epoch), m.nextRead.Sub(epoch),
+			m.nextJoin.Sub(epoch), m.joinAttempts, m.changePendingSince.Sub(epoch),
+			m.answered.Sub(epoch), len(m.versions))
 		if v, ok := m.last(); ok {
 			fmt.Fprint(&s, v.Version, v.FromMs, v.CeilingMs, len(v.Members), v.Gone)
 		}
@@ -159,7 +167,7 @@
 	return s.String()
 }
 
-// clock is what entry i takes for the time.
+// clock returns the time on entry i's clock.
 func (w *world) clock(i int) time.Time {
 	if w.isClockAhead[i] {
 		return w.now.Add(clockSkew)
@@ -167,7 +175,8 @@
 	return w.now
 }
 
-// runActions carries out the actions of machine i; its messages are lost or arrive.
+// runActions executes the actions of machine i. Its messages are delivered at once or
+// dropped.
 func (w *world) runActions(i int, dropMessages bool) {
 	m := w.machines[i]
 	for _, a := range m.Actions() {
@@ -190,7 +199,7 @@
 			o.Promise(w.clock(j), entryNames[i], p)
 		}
 		if j != i && w.mutation == horizonFromOwnPromise {
-			w.machines[i].promisesMs[entryNames[j]] = p.UntilMs // as if all had promised the same
+			w.machines[i].promisesMs[entryNames[j]] = p.UntilMs // as if every member had made the same promise
 		}
 	}
 }
@@ -225,7 +234,8 @@
 	}
 }
 
-// readStore gives entry i the store's value, or the one before it.
+// readStore passes the store's current value, or the previous one if stale, to entry
+// i.
 func (w *world) readStore(i int, stale bool) {
 	v := w.storeHistory[len(w.storeHistory)-1]
 	if stale && len(w.storeHistory) > 1 {
@@ -234,14 +244,14 @@
 	_ = w.machines[i].Stored(w.clock(i), v.value, v.revision)
 }
 
-// tick lets a second pass and runs one entry.
+// tick advances the time by tickInterval and calls Tick on entry i.
 func (w *world) tick(i int, dropMessages bool) {
 	w.now = w.now.Add(tickInterval)
 	w.machines[i].Tick(w.clock(i))
 	w.runActions(i, dropMessages)
 }
 
-// executeSwap carries out the oldest request at the store; its answer may be lost.
+// executeSwap executes the oldest request at the store. Its answer may be lost.
 func (w *world) executeSwap(dropAnswer bool) {
 	r := w.requests[0]
 	w.requests = w.requests[1:]
@@ -259,7 +269,7 @@
 	}
 }
 
-// deliverAnswer delivers the oldest answer of the store.
+// deliverAnswer delivers the store's oldest answer.
 func (w *world) deliverAnswer() {
 	a := w.answers[0]
 	w.answers = w.answers[1:]
@@ -272,7 +282,7 @@
 	}
 }
 
-// timeOutSwap lets the sender of the oldest request time out while it is on its way.
+// timeOutSwap makes the sender of the oldest request time out while it is in flight.
 func (w *world) timeOutSwap() {
 	r := w.requests[0]
 	r.answered = true
@@ -282,7 +292,7 @@
 	}
 }
 
-// transitions lists what can happen next.
+// transitions returns all transitions that are possible in this state.
 func (w *world) transitions() (out []func(*world)) {
 	for i := range w.machines {
 		if !w.crashed[i] {
@@ -324,7 +334,8 @@
 	return out
 }
 
-// checkSingleStarter records who may start what, and reports a key with two starters.
+// checkSingleStarter records which entries may start which keys, and returns an error
+// if a key has two starters.
 func (w *world) checkSingleStarter() error {
 	for i, m := range w.machines {
 		v := m.View()
@@ -352,16 +363,16 @@
 	}
 	v := m.View()
 	if owner, _, ok := v.Owner(member, key); !ok || owner != m.self.Incarnation {
-		return false // as MayStart would say, without making an error
+		return false // MayStart would refuse as well, but allocates an error
 	}
 	err := v.MayStart(member, key)
 	return err == nil || err.Kind == errkind.None
 }
 
-// search visits every state within depth moves.
+// search visits every state within a number of transitions.
 type search struct {
 	hashSeed     maphash.Seed
-	visitedDepth map[uint64]int8 // greatest remaining depth with which it was visited
+	visitedDepth map[uint64]int8 // state hash to greatest remaining depth at a visit
 	states       int
 }
 
@@ -387,27 +398,27 @@
 	return nil
 }
 
-// searchStarts lead to the moments at which a rule is most easily broken; the
-// exhaustive search begins anew behind each.
+// searchStarts lists transitions that lead to states in which a violation of the
+// rules is most likely. The exhaustive search runs once from each.
 var searchStarts = map[string][]func(*world){
 	"start": nil,
 	"append in flight": {
 		func(w *world) { w.tick(0, false) }, func(w *world) { w.tick(1, false) },
 		func(w *world) { w.readStore(0, false); w.machines[0].Gone(w.now, "b"); w.runActions(0, true) },
 	},
-	"appended, answer lost": {
+	"append executed, answer lost": {
 		func(w *world) { w.tick(0, false) }, func(w *world) { w.tick(1, false) },
 		func(w *world) { w.readStore(0, false); w.machines[0].Gone(w.now, "b"); w.runActions(0, true) },
 		func(w *world) { w.executeSwap(true); w.deliverAnswer() },
 	},
-	"outsider believes both gone": {
+	"non-member considers both members gone": {
 		func(w *world) { w.tick(0, false) }, func(w *world) { w.tick(1, false) },
 		func(w *world) { w.machines[2].Gone(w.now, "a"); w.machines[2].Gone(w.now, "b") },
 		func(w *world) { w.tick(2, true) }, func(w *world) { w.readStore(2, false); w.runActions(2, true) },
 	},
 }
 
-// apply makes one move and drops the messages that answer it.
+// apply performs a transition and drops the messages that result from it.
 func (w *world) apply(transition func(*world)) error {
 	transition(w)
 	for i := range w.machines {
@@ -430,7 +441,7 @@
 	return s.states, err
 }
 
-// randomWalk makes random moves; the seed tells which.
+// randomWalk performs random transitions, determined by seed.
 func randomWalk(t *testing.T, mut mutation, seed uint64, transitions int) error {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	w := newWorld(t, mut)
@@ -443,10 +454,10 @@
 	return nil
 }
 
-// Entries are paused, die, are taken for dead while they live, lose messages,
-// and their writes to the store are slow, late or take effect without an answer,
-// in every order up to the depth. If two of them could start the same identity,
-// a caller who submits twice would get two escorts.
+// No two entries may start the same key, or a caller who submits twice would get two
+// escorts. Entries pause, crash, are wrongly considered gone and lose messages; their
+// writes to the store are slow or late, or take effect without an answer. All
+// sequences up to searchDepth are covered.
 func TestExhaustiveSearchFindsNoKeyWithTwoStarters(t *testing.T) {
 	for start := range searchStarts {
 		t.Run(start, func(t *testing.T) {
@@ -458,20 +469,22 @@
 	}
 }
 
-// The same as above, in long random orders.
+// The same in long random sequences.
 func TestRandomWalksFindNoKeyWithTwoStarters(t *testing.T) {
 	for seed := range uint64(randomWalkSeeds) {
 		qt.Assert(t, randomWalk(t, noMutation, seed, randomWalkLength), qt.IsNil, qt.Commentf("seed %d", seed))
 	}
 }
 
-// The random search must be able to find a broken rule, or its silence means
+// The random walk must detect each deliberate violation; otherwise its passing proves
 // nothing.
 func TestRandomWalksDetectMutations(t *testing.T) {
 	for mut, name := range map[mutation]string{
-		horizonFromOwnPromise: "own promise only", noPromiseLimitWhilePending: "appender goes on promising",
-		clockInsteadOfBirth: "clock in place of birth", takeoverAtClock: "outsider begins by its clock",
-		answerOfAnySwap: "answer taken for another write's",
+		horizonFromOwnPromise:      "horizon from own promise only",
+		noPromiseLimitWhilePending: "no promise limit while an append is pending",
+		clockInsteadOfBirth:        "clock compared instead of birth",
+		takeoverAtClock:            "non-member begins at its clock",
+		answerOfAnySwap:            "answer attributed to another swap",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -481,7 +494,7 @@
 					return
 				}
 			}
-			t.Errorf("not found with %d seeds", randomWalkSeeds)
+			t.Errorf("violation not found with %d seeds", randomWalkSeeds)
 		})
 	}
 }
--- a/internal/roster/machine.go
+++ b/internal/roster/machine.go
@@ -10,53 +10,54 @@
 	"wigeontray/internal/wire"
 )
 
-// Machine is one entry's part in the roster. now never runs backwards between
-// calls by more than the clock itself does; safety does not depend on it.
+// Machine is the roster state of one entry. The now passed to its methods may run
+// backwards only as far as the system clock does; safety does not depend on it.
 type Machine struct {
 	self wire.EntryAddr
 	opt  Options
 
 	versions      []Version
-	revision      int64     // ModRevision of the newest store value seen
-	storedVersion int64     // last version in that value
-	hasReadStore  bool      // a store value, or its absence, has been seen
-	answered      time.Time // when the store last answered
+	revision      int64     // ModRevision of the newest value read from the store
+	storedVersion int64     // number of the last version in that value
+	hasReadStore  bool      // the store's value, or that there is none, has been read
+	answered      time.Time // time of the store's last answer
 
-	ownPromiseMs   int64 // greatest promise made under the last version
+	// Promises under the last version, in Unix milliseconds.
+	ownPromiseMs   int64 // greatest promise made by this entry
 	promisesMs     map[identity.Incarnation]int64
-	futurePromises map[identity.Incarnation]wire.Promise // under versions not yet known
+	futurePromises map[identity.Incarnation]wire.Promise // under versions that this entry does not have yet
 
 	pending          *pendingSwap
-	lastSwapID       uint64 // Swap actions so far
+	lastSwapID       uint64 // ID of the last Swap action
 	joinRequests     map[identity.Incarnation]wire.EntryAddr
-	suspectedSince   map[identity.Incarnation]time.Time // since when
-	undeclaredGone   map[identity.Incarnation]bool      // proved gone, not yet in a roster
+	suspectedSince   map[identity.Incarnation]time.Time
+	undeclaredGone   map[identity.Incarnation]bool // gone, but not yet declared gone by a version
 	isLeaving        bool
-	hasPledgedToStay bool                          // has said that it will not resign under the last version
-	stayingPeers     map[identity.Incarnation]bool // others that have said so
+	hasPledgedToStay bool                          // announced that it will not resign under the last version
+	stayingPeers     map[identity.Incarnation]bool // peers that announced the same
 	isFenced         bool
 
 	nextPromise        time.Time
 	nextRead           time.Time
 	nextJoin           time.Time
 	joinAttempts       int
-	changePendingSince time.Time // since when a change of the roster has been wanted
+	changePendingSince time.Time // zero if the last version needs no change
 
 	actions []Action
 	view    atomic.Pointer[View]
 }
 
-// pendingSwap is a compare-and-swap whose outcome is not settled.
+// pendingSwap is a compare-and-swap that is not settled: it may still take effect.
 type pendingSwap struct {
 	swap     Swap
 	versions []Version
-	// promiseLimitMs bounds this entry's promises until the swap is settled.
+	// promiseLimitMs limits this entry's promises until the swap is settled.
 	promiseLimitMs int64
 	isInFlight     bool
-	nextAttempt    time.Time // when an unanswered swap is repeated
+	nextAttempt    time.Time // earliest time of the next attempt if no answer arrives
 }
 
-// NewMachine returns the machine of the entry self.
+// NewMachine returns the Machine of the entry self.
 func NewMachine(self wire.EntryAddr, opt Options) *Machine {
 	m := &Machine{
 		self:           self,
@@ -72,20 +73,20 @@
 	return m
 }
 
-// View gives the latest picture. It may be called from any goroutine.
+// View returns the latest snapshot. It may be called from any goroutine.
 func (m *Machine) View() *View { return m.view.Load() }
 
-// Actions returns the actions since the last call. The slice is valid until the
-// next call of any method.
+// Actions returns and clears the pending actions. The slice is valid until the next
+// call of any method.
 func (m *Machine) Actions() []Action {
 	out := m.actions
 	m.actions = nil
 	return out
 }
 
-// Stored takes the store's value as read or watched; an absent key has revision
-// 0 and no value. A value older than one seen before is passed over: the store
-// may answer from the past.
+// Stored processes the store's value as read or watched; an absent key has revision 0
+// and no value. A value no newer than one seen before is ignored, since the store may
+// return stale data. It returns the error of DecodeHistory.
 func (m *Machine) Stored(now time.Time, value []byte, revision int64) error {
 	m.answered = now
 	if m.hasReadStore && revision <= m.revision {
@@ -107,15 +108,15 @@
 	return nil
 }
 
-// adoptStoredVersions takes versions that the store held at revision.
+// adoptStoredVersions merges the versions that the store held at revision.
 func (m *Machine) adoptStoredVersions(now time.Time, versions []Version, revision int64) {
 	m.revision = revision
 	m.storedVersion = versions[len(versions)-1].Version
 	m.dropSettledSwap()
 	first := versions[0].Version
 	if last, ok := m.last(); ok && last.Version < first-1 {
-		// This entry was cut off for longer than versions are kept. One of the
-		// lost versions may have declared it gone.
+		// This entry was cut off for longer than versions are retained. One of the
+		// versions that it missed may have declared it gone.
 		m.isFenced = true
 		m.versions = nil
 	}
@@ -124,24 +125,24 @@
 	}
 }
 
-// dropSettledSwap drops an unsettled swap once the key has moved past the revision that
-// it expects. Reading the value back is not enough for that: a request that got
-// no answer may still take effect later. A higher revision, or a successor of
-// the version it wanted to follow, shows that it has won or can only lose.
+// dropSettledSwap clears the pending swap once the key has moved past the revision
+// that the swap expects. Reading the old value back is not sufficient: an unanswered
+// request may still take effect later. A higher revision, or a successor of the
+// version that it was to follow, shows that it has either succeeded or can only fail.
 func (m *Machine) dropSettledSwap() {
 	if m.pending != nil && m.revision > m.pending.swap.Expect {
 		m.pending = nil
 	}
 }
 
-// Learned takes a version from the peer from.
+// Learned processes a version received from a peer.
 func (m *Machine) Learned(now time.Time, r *wire.Roster) {
 	m.mergeVersion(now, versionFromMessage(r))
 	m.Tick(now)
 }
 
-// mergeVersion adopts v if it is the successor of the last version, or raises the last
-// version's ceiling.
+// mergeVersion adopts v if it is the successor of the last version, or raises the
+// ceiling of the last version.
 func (m *Machine) mergeVersion(now time.Time, v Version) {
 	last, ok := m.last()
 	switch {
@@ -152,14 +153,16 @@
 	case v.Version == last.Version:
 		m.versions[len(m.versions)-1].CeilingMs = max(last.CeilingMs, v.CeilingMs)
 	case v.Version > last.Version+1:
-		// A gap: births between would be taken for the wrong version's.
+		// Versions are missing: births of a missing version would be attributed to
+		// another one.
 		m.requestRead(now)
 	}
 }
 
+// adoptVersion makes v the last version and resets all state that depends on it.
 func (m *Machine) adoptVersion(now time.Time, v Version) {
 	if m.pending != nil && m.pending.promiseLimitMs != noPromiseLimit {
-		m.pending = nil // v follows the version that the append expected to be last
+		m.pending = nil // v succeeds the version that the append was to follow, which settles the append
 	}
 	cutoffMs := now.Add(-m.opt.Retention).UnixMilli()
 	m.versions = slices.Clone(trimVersions(append(slices.Clone(m.versions), v), cutoffMs))
@@ -185,7 +188,7 @@
 	m.nextPromise = time.Time{}
 }
 
-// Promise takes the promise of the peer from.
+// Promise processes the promise p of the peer from.
 func (m *Machine) Promise(now time.Time, from identity.Incarnation, p wire.Promise) {
 	last, ok := m.last()
 	switch {
@@ -203,6 +206,7 @@
 	m.Tick(now)
 }
 
+// isNewer reports whether p supersedes old.
 func isNewer(p, old wire.Promise) bool {
 	if p.Version != old.Version {
 		return p.Version > old.Version
@@ -210,7 +214,7 @@
 	return p.UntilMs > old.UntilMs
 }
 
-// announceVersionsAfter sends a peer the versions that follow the one it acts under.
+// announceVersionsAfter sends a peer all versions after the given one.
 func (m *Machine) announceVersionsAfter(to identity.Incarnation, version int64) {
 	var out []*wire.Roster
 	for _, v := range m.versions {
@@ -223,15 +227,15 @@
 	}
 }
 
-// Linked sends a newly linked peer what is known, so that an entry that was cut
-// off, or that cannot reach the store, catches up.
+// Linked sends the known versions to a newly linked peer, so that an entry that was
+// cut off, or that cannot reach the store, catches up.
 func (m *Machine) Linked(now time.Time, peer identity.Incarnation) {
 	m.announceVersionsAfter(peer, math.MinInt64)
 	m.nextPromise = time.Time{}
 	m.Tick(now)
 }
 
-// JoinAsked takes a peer's wish to become a member.
+// JoinAsked processes a peer's request to become a member.
 func (m *Machine) JoinAsked(now time.Time, j *wire.Join) {
 	if last, ok := m.last(); ok && !last.Has(j.Entry.Incarnation) && !m.IsDeclaredGone(j.Entry.Incarnation) {
 		m.joinRequests[j.Entry.Incarnation] = j.Entry
@@ -239,8 +243,8 @@
 	m.Tick(now)
 }
 
-// Suspect notes that a peer does not answer. It is left out of the next roster
-// and may join again.
+// Suspect records that a peer does not respond. The next version leaves it out, but
+// it may join again.
 func (m *Machine) Suspect(now time.Time, peer identity.Incarnation) {
 	if _, already := m.suspectedSince[peer]; !already {
 		m.suspectedSince[peer] = now
@@ -249,15 +253,15 @@
 	m.Tick(now)
 }
 
-// Trust withdraws a suspicion.
+// Trust clears a suspicion, and a Gone that no version has declared yet.
 func (m *Machine) Trust(now time.Time, peer identity.Incarnation) {
 	delete(m.suspectedSince, peer)
 	delete(m.undeclaredGone, peer)
 	m.Tick(now)
 }
 
-// Gone notes that a peer's lease has lapsed and its link is down. The next
-// roster declares it gone for good.
+// Gone records that a peer's lease has expired and its link is down. The next version
+// declares it gone for good.
 func (m *Machine) Gone(now time.Time, peer identity.Incarnation) {
 	if !m.IsDeclaredGone(peer) {
 		m.undeclaredGone[peer] = true
@@ -265,7 +269,7 @@
 	m.Suspect(now, peer)
 }
 
-// IsDeclaredGone tells whether a version that is still kept declares peer gone.
+// IsDeclaredGone reports whether a retained version declares peer gone.
 func (m *Machine) IsDeclaredGone(peer identity.Incarnation) bool {
 	for _, v := range m.versions {
 		if slices.Contains(v.Gone, peer) {
@@ -275,25 +279,25 @@
 	return false
 }
 
-// Leave begins a planned stop: this entry resigns, so that nobody waits for its
-// promises, and asks to be left out. It keeps serving births that it owns until
-// a roster without it has begun; see Left.
+// Leave starts a planned stop: this entry resigns, so that no peer waits for its
+// promises, and leaves the roster. It serves births that it owns until a version
+// without it has begun; see HasLeft.
 func (m *Machine) Leave(now time.Time) {
 	m.isLeaving = true
 	m.nextPromise = time.Time{}
 	m.Tick(now)
 }
 
-// HasLeft tells whether a roster without this entry is in force at now.
+// HasLeft reports whether a version without this entry is in force at now.
 func (m *Machine) HasLeft(now time.Time) bool {
 	last, ok := m.last()
 	return ok && !last.Has(m.self.Incarnation) && last.FromMs <= now.UnixMilli()
 }
 
-// Swapped takes the outcome of the Swap action id. The watch often shows the
-// effect of a write before its answer comes, and the next write may be on its
-// way by then. Taken for the answer to that one, it would have this entry adopt
-// a roster that the store does not hold.
+// Swapped processes the outcome of the Swap action id. A watch often delivers the
+// effect of a write before the write's own answer arrives, and by then the next write
+// may be in flight. If the late answer were attributed to that write, this entry
+// would adopt a roster that the store does not hold.
 func (m *Machine) Swapped(now time.Time, id uint64, outcome Outcome, revision int64) {
 	p := m.pending
 	if p == nil || !p.isInFlight || p.swap.ID != id {
@@ -308,8 +312,9 @@
 		m.adoptStoredVersions(now, p.versions, revision)
 		m.announceLastVersion()
 	case OutcomeConflict:
-		// Something else was written, or an unanswered attempt of our own: the
-		// value says which. Until it is read, the promises stay capped.
+		// Either another value was written or an unanswered attempt of this entry has
+		// succeeded; the stored value tells which. The promises stay limited until it
+		// is read.
 		p.nextAttempt = now.Add(m.opt.Retry)
 		m.nextRead = time.Time{}
 		m.requestRead(now)
@@ -319,12 +324,13 @@
 	m.Tick(now)
 }
 
+// announceLastVersion sends the last version to all linked entries.
 func (m *Machine) announceLastVersion() {
 	last := m.versions[len(m.versions)-1]
 	m.actions = append(m.actions, Action{Announce: &Announce{Versions: []*wire.Roster{last.Message()}}})
 }
 
-// Tick does what is due and publishes the view.
+// Tick performs all operations that are due and publishes the view.
 func (m *Machine) Tick(now time.Time) {
 	if !m.hasReadStore {
 		m.requestRead(now)
@@ -335,6 +341,7 @@
 	m.publishView()
 }
 
+// requestRead requests a read of the store, at most once per Options.Retry.
 func (m *Machine) requestRead(now time.Time) {
 	if now.Before(m.nextRead) {
 		return
@@ -343,7 +350,7 @@
 	m.actions = append(m.actions, Action{Read: true})
 }
 
-// last gives the newest version.
+// last returns the newest version. ok is false if no version is known.
 func (m *Machine) last() (Version, bool) {
 	if len(m.versions) == 0 {
 		return Version{}, false
--- a/internal/roster/machine_test.go
+++ b/internal/roster/machine_test.go
@@ -17,7 +17,8 @@
 
 var epoch = time.UnixMilli(1_790_000_000_000)
 
-// plainKey makes a plain identity born at the given time; n tells keys apart.
+// plainKey returns a plain identity with the given birth. Different n give different
+// keys.
 func plainKey(birth time.Time, n uint64) identity.Key {
 	k := identity.NewTicket("x", birth)
 	for i := range 8 {
@@ -32,8 +33,8 @@
 	return k
 }
 
-// cluster drives machines against one store value, with the faults that a test
-// sets. It delivers actions at once.
+// cluster runs machines against one store value, with the faults that a test sets.
+// Actions are executed at once.
 type cluster struct {
 	c              *qt.C
 	now            time.Time
@@ -41,9 +42,9 @@
 	order          []identity.Incarnation
 	value          []byte
 	revision       int64
-	unreachable    map[identity.Incarnation]bool // processes that are dead or cut off
+	unreachable    map[identity.Incarnation]bool // crashed or cut off from everything
 	isStoreDown    bool
-	loseSwapAnswer func(by identity.Incarnation) bool // effect, but no answer
+	loseSwapAnswer func(by identity.Incarnation) bool // the write takes effect, but its answer is lost
 	writes         int
 }
 
@@ -72,7 +73,7 @@
 	return m
 }
 
-// run advances the clock in quarters of the period.
+// run advances the clock by d in steps of a quarter of DefaultPeriod.
 func (b *cluster) run(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(DefaultPeriod / 4) {
 		for _, inc := range b.order {
@@ -140,8 +141,8 @@
 	}
 }
 
-// countStarters counts which entries may start n keys born at birth, and asserts that
-// no two may start the same one.
+// countStarters returns how many of n keys with the given birth each entry may start,
+// and asserts that no key has two starters.
 func (b *cluster) countStarters(birth time.Time, n uint64) map[identity.Incarnation]int {
 	out := make(map[identity.Incarnation]int)
 	for i := range n {
@@ -196,9 +197,9 @@
 	b.c.Assert(n, qt.Equals, 0.0)
 }
 
-// An entry dies. Its promises stop, so that after the horizon nobody may start
-// any plain identity, until a roster without it begins. Callers see refusals
-// with a time to come back for a few seconds, then service as before.
+// After a member crashes, its promises stop, so once the horizon is used up no plain
+// identity may start until a roster without that member begins. Callers see refusals
+// with a Retry-After for a few seconds, and then normal service.
 func TestCrashedMemberIsRemovedFromRoster(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	b.unreachable["entry-1"] = true
@@ -207,7 +208,7 @@
 	b.machines["entry-0"].Gone(b.now, "entry-1")
 	b.machines["entry-2"].Gone(b.now, "entry-1")
 	b.run(2 * time.Second)
-	// What the dead entry owns until the new roster begins stays refused.
+	// Births before the new roster that the crashed entry owns stay refused.
 	beforeNewRoster := b.countStarters(b.now, 300)
 	b.c.Assert(total(beforeNewRoster) > 150 && total(beforeNewRoster) < 300, qt.IsTrue)
 	b.run(DefaultHorizon)
@@ -217,8 +218,8 @@
 	b.c.Assert(b.machines["entry-0"].IsDeclaredGone("entry-1"), qt.IsTrue)
 }
 
-// The store goes down while every entry lives. Nothing of a request needs the
-// store, so callers notice nothing for as long as the ceiling reaches.
+// While the store is down and all entries run, requests must be served up to the
+// ceiling: no step of a request needs the store.
 func TestStoreOutageIsToleratedUpToCeiling(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	b.isStoreDown = true
@@ -231,9 +232,9 @@
 	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
 }
 
-// The answer to an append is lost although it took effect, and reading the
-// store fails for a while. Until the truth is read the appender cannot know
-// which roster holds, so it promises nothing beyond the new one's beginning.
+// An append takes effect but its answer is lost, and reads of the store fail for a
+// while. Until the appender has read the store it cannot tell which roster is in
+// force, so it must promise nothing beyond the beginning of the new one.
 func TestLostAnswerToAppendCapsPromises(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	b.loseSwapAnswer = func(identity.Incarnation) bool { b.isStoreDown = true; return true }
@@ -253,10 +254,10 @@
 	b.c.Assert(b.countStarters(b.now, 300)["entry-3"] > 0, qt.IsTrue)
 }
 
-// An append gets no answer and its request stays in a queue. The value read back
-// is the old one, yet the request still takes effect later. An appender that
-// took the reading for the truth would go on promising beyond the beginning of
-// a roster that gives its births to somebody else.
+// An append gets no answer while its request stays queued; a read returns the old
+// value, and the append takes effect afterwards. An appender that took the read as
+// proof of failure would promise beyond the beginning of a roster that gives its
+// births to another entry.
 func TestStaleReadDoesNotSettleAppend(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine(addr("a"), Options{})
@@ -274,10 +275,9 @@
 	c.Assert(m.ownPromiseMs <= promiseLimitMs, qt.IsTrue)
 }
 
-// All entries of a region are lost at once and replaced. The old ones might only
-// be cut off from the store, so the new roster begins at the ceiling: plain
-// identities are refused until then, with a reason that is true, and tickets
-// are served at once.
+// All entries of a region are lost at once and replaced. The old ones may only be cut
+// off from the store, so the new roster must begin at the ceiling. Until then plain
+// identities are refused with a truthful reason, and tickets are served at once.
 func TestReplacementFleetStartsAtCeiling(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	old := b.machines["entry-0"].View()
@@ -298,9 +298,9 @@
 	b.c.Assert(e.View().MayStart(member, identity.NewTicket("entry-9", b.now)) == nil, qt.IsTrue)
 }
 
-// Every entry is stopped as planned and the fleet starts again. Since the last
-// one out closes the roster, the next fleet serves plain identities within
-// seconds and does not wait for the ceiling.
+// After a planned stop of all entries, the next fleet must serve plain identities
+// within seconds and not wait for the ceiling, since the last entry to leave closes
+// the roster.
 func TestPlannedStopOfAllEntriesUnblocksNextFleet(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	for _, inc := range b.order {
@@ -316,9 +316,9 @@
 	b.c.Assert(b.countStarters(b.now, 100)["entry-9"], qt.Equals, 100)
 }
 
-// An operator stops one entry while the store is down. It cannot be taken off
-// the roster, but its resignation lets the others go on promising without it.
-// That must hold for any of them, also the first in order.
+// One entry stops as planned while the store is down. It cannot be removed from the
+// roster, but its resignation must let the others continue to promise. This must hold
+// for each entry, including the first in order.
 func TestPlannedStopDuringStoreOutage(t *testing.T) {
 	for _, leaver := range []identity.Incarnation{"entry-0", "entry-1", "entry-2"} {
 		b := newThreeEntryCluster(t)
@@ -333,9 +333,8 @@
 	}
 }
 
-// All entries are stopped at about the same moment, and each hears late that the
-// others leave. One of them at least must not resign, or nobody could write the
-// closing roster.
+// All entries stop at about the same time, and each learns late that the others are
+// leaving. At least one must not resign, or none could write the closing roster.
 func TestNotAllEntriesResign(t *testing.T) {
 	for mask := range 8 {
 		b := newThreeEntryCluster(t)
@@ -359,9 +358,8 @@
 	}
 }
 
-// An entry is paused past its lease and wakes. The others have declared it gone.
-// What it may have thought before the pause must not let it start what was born
-// since.
+// An entry pauses for longer than its lease while the others declare it gone. Its
+// outdated state must not let it start births that came after the pause.
 func TestPausedEntryIsFencedOnResume(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	b.unreachable["entry-1"] = true
@@ -369,14 +367,14 @@
 	b.machines["entry-0"].Gone(b.now, "entry-1")
 	b.machines["entry-2"].Gone(b.now, "entry-1")
 	b.run(10 * time.Second)
-	b.countStarters(b.now, 1000) // no key has two starters before it learns anything
+	b.countStarters(b.now, 1000) // no key may have two starters while the paused entry is still uninformed
 	b.unreachable["entry-1"] = false
 	b.run(2 * time.Second)
 	b.c.Assert(b.machines["entry-1"].View().Fenced(), qt.IsTrue)
 	b.countStarters(b.now, 1000)
 }
 
-// A store value that was damaged must not be obeyed.
+// A damaged store value must be rejected.
 func TestDecodeHistoryRejectsDamagedValues(t *testing.T) {
 	for _, s := range []string{
 		``, `{}`, `{"versions":[{"version":1},{"version":3}]}`,
@@ -387,8 +385,8 @@
 	}
 }
 
-// Anything may lie under the store's key after a slip of an operator. It must
-// neither stop the process nor be obeyed in part.
+// An operator's mistake may leave any value under the store's key. It must neither
+// crash the process nor be applied in part.
 func FuzzDecodeHistory(f *testing.F) {
 	f.Add([]byte(`{"versions":[{"version":1,"from_ms":5,"members":[{"incarnation":"a"}],"ceiling_ms":9}]}`))
 	f.Add([]byte(`{"versions":[{"version":9223372036854775807},{"version":-9223372036854775808}]}`))
--- a/internal/roster/promise.go
+++ b/internal/roster/promise.go
@@ -8,7 +8,7 @@
 	"wigeontray/internal/wire"
 )
 
-// renewPromise repeats and extends this entry's promise when it is due.
+// renewPromise extends and broadcasts this entry's promise when it is due.
 func (m *Machine) renewPromise(now time.Time) {
 	last, ok := m.last()
 	if !ok || m.isFenced || now.Before(m.nextPromise) || !last.Has(m.self.Incarnation) {
@@ -26,8 +26,9 @@
 	}})
 }
 
-// handleLeaveIntent answers an entry that would resign by promising to stay, and notes
-// who has promised so.
+// handleLeaveIntent processes the leave flags of a peer's promise. If the peer
+// intends to resign, this entry pledges to stay; if the peer has pledged to stay,
+// that is recorded.
 func (m *Machine) handleLeaveIntent(from identity.Incarnation, p wire.Promise) {
 	if p.Stays && !m.stayingPeers[from] {
 		m.stayingPeers[from] = true
@@ -39,8 +40,9 @@
 	}
 }
 
-// maxPromiseMs is how far this entry may promise: beyond the ceiling an outsider may
-// append, and beyond the beginning of an unsettled append lies another owner.
+// maxPromiseMs returns the limit of this entry's promise: from the ceiling on, an
+// entry outside the roster may append, and from the beginning of an unsettled append
+// on, births may have another owner.
 func (m *Machine) maxPromiseMs(now time.Time, last Version) int64 {
 	untilMs := min(now.Add(m.opt.Horizon).UnixMilli(), last.CeilingMs)
 	if m.pending != nil {
@@ -49,12 +51,12 @@
 	return untilMs
 }
 
-// canResign tells whether this entry can promise never to append again: it is
-// leaving, nothing of its own is unsettled, and another entry of the roster will
-// not resign. If all stopped at once and all resigned, nobody could write the
-// last roster, and the next entries would refuse plain identities up to the
-// ceiling. So the first in order does not resign, unless another one has said
-// that it stays; and one that has said so does not.
+// canResign reports whether this entry can promise never to append again: it is
+// leaving, none of its appends is unsettled, and another member will not resign. If
+// all members stopped at once and all resigned, none could write the closing roster,
+// and the next entries would refuse plain identities up to the ceiling. The first
+// member in order therefore does not resign unless another one has pledged to stay,
+// and a member that has pledged to stay does not resign.
 func (m *Machine) canResign(last Version) bool {
 	if !m.isLeaving || m.hasPledgedToStay || m.pending != nil && m.pending.promiseLimitMs != noPromiseLimit {
 		return false
@@ -66,7 +68,7 @@
 	return slices.ContainsFunc(unsuspected, func(inc identity.Incarnation) bool { return m.stayingPeers[inc] })
 }
 
-// computeHorizonMs is the least of the members' promises and the ceiling.
+// computeHorizonMs returns the least of the members' promises and the ceiling.
 func (m *Machine) computeHorizonMs() int64 {
 	last, ok := m.last()
 	if !ok || !last.Has(m.self.Incarnation) {
@@ -79,6 +81,7 @@
 	return h
 }
 
+// publishView stores a new View if its contents have changed.
 func (m *Machine) publishView() {
 	old := m.view.Load()
 	h := m.computeHorizonMs()
@@ -97,13 +100,15 @@
 	m.view.Store(v)
 }
 
+// equalVersions compares version numbers and ceilings; the other fields are
+// immutable.
 func equalVersions(a, b []Version) bool {
 	return slices.EqualFunc(a, b, func(x, y Version) bool {
 		return x.Version == y.Version && x.CeilingMs == y.CeilingMs
 	})
 }
 
-// requestJoin asks a member to add this entry, each time another one.
+// requestJoin asks a member to add this entry, and another member on each retry.
 func (m *Machine) requestJoin(now time.Time) {
 	last, ok := m.last()
 	if !ok || m.isLeaving || m.isFenced || len(last.Members) == 0 || last.Has(m.self.Incarnation) || now.Before(m.nextJoin) {
@@ -111,7 +116,7 @@
 	}
 	candidates := m.unsuspectedMembers(last.Members)
 	if len(candidates) < len(last.Members) {
-		return // a member that this entry cannot reach would never hear its promises
+		return // an unreachable member would never receive this entry's promises
 	}
 	m.nextJoin = now.Add(joinRetryMultiplier * m.opt.Retry)
 	m.joinAttempts++
@@ -119,7 +124,7 @@
 	m.actions = append(m.actions, Action{Join: &Join{To: candidates[m.joinAttempts%len(candidates)], Ask: request}})
 }
 
-// unsuspectedMembers lists the members that are not suspected, sorted.
+// unsuspectedMembers returns the members that are not suspected, sorted.
 func (m *Machine) unsuspectedMembers(members []wire.EntryAddr) []identity.Incarnation {
 	var out []identity.Incarnation
 	for _, e := range members {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,25 +1,27 @@
-// Package roster decides which entry may start a plain identity. It owns the
-// history of rosters that lies under one key of the platform's store, the
-// promises between entries that extend the last roster in time, and the rules
-// for appending to the history. docs/start-at-most-once.md has the argument.
+// Package roster decides which entry may start a job with a plain identity. It
+// maintains the history of rosters stored under one key of the platform's store, the
+// promises with which members extend the last roster in time, and the rules for
+// appending to the history. docs/start-at-most-once.md contains the safety argument.
 //
-// It is a state machine under an explicit clock: no goroutine, socket or lock.
-// Package peers feeds it what happens and carries out the actions it returns.
-// Only the published View may be read from other goroutines.
+// Machine is deterministic: it receives the time as a parameter and has no
+// goroutines, sockets or locks. Package peers feeds it events and executes the
+// actions that it returns. Only the published View may be read from other goroutines.
 //
-// The Members of a roster are entries; an argument called member is the member
-// of the consortium that an identity belongs to.
+// The Members of a roster are entries. A parameter named member is instead the
+// consortium member that an identity belongs to.
 //
-// The rules, each between numbers and none between clocks:
+// The rules compare numbers in messages and never clocks:
 //
 //   - A birth belongs to the last version whose FromMs is not above it.
-//   - In a closed version (one that has a successor) its owner may start it.
-//   - In the last version its owner may start it below the least of the members'
-//     promises and the ceiling.
-//   - A member's promise under a version says that no roster which this member
-//     appends next begins below it. While an append is unsettled, the member
-//     promises nothing beyond that append's beginning.
-//   - An entry outside the roster appends only from the ceiling on.
+//   - In a closed version, which is one that has a successor, the owner of a birth may
+//     start it.
+//   - In the last version, the owner may start births below the horizon: the least of
+//     the members' promises and the ceiling.
+//   - A member's promise under a version states that a roster which this member appends
+//     next does not begin below the promised time. While an append is unsettled, the
+//     member promises nothing beyond that append's beginning.
+//   - An entry outside the roster appends only versions that begin at the ceiling or
+//     later.
 //
 // The package may import errkind, identity and wire.
 package roster
@@ -32,7 +34,7 @@
 	"wigeontray/internal/wire"
 )
 
-// Default timing. See Options.
+// Defaults of Options, and internal limits.
 const (
 	DefaultPeriod       = time.Second
 	DefaultHorizon      = 5 * time.Second
@@ -46,37 +48,38 @@
 	maxVersions         = 256
 	retryAfter          = time.Second
 	maxEstimatedWait    = time.Minute
-	resignedPromiseMs   = int64(math.MaxInt64)
-	noPromiseLimit      = int64(math.MaxInt64)
-	joinRetryMultiplier = 3 // retries of the store before another member is asked
+	resignedPromiseMs   = int64(math.MaxInt64) // a promise never to append again
+	noPromiseLimit      = int64(math.MaxInt64) // of a swap that only raises the ceiling
+	joinRetryMultiplier = 3                    // in units of Options.Retry: delay before another member is asked
 )
 
-// Options are the timing of a machine; zero fields take the defaults.
+// Options sets the timing of a Machine. Zero and negative fields take their defaults.
 type Options struct {
-	// Period is how often a member repeats its promise.
+	// Period is the interval at which a member repeats its promise.
 	Period time.Duration
-	// Horizon is how far ahead of its clock a member promises. A plain identity
-	// born by a caller's clock that runs further ahead has to wait. After the
-	// death of a member it takes up to Horizon until a roster without it begins.
+	// Horizon is how far ahead of its own clock a member promises. A plain identity
+	// born further ahead, by a caller whose clock is fast, has to wait. After a
+	// member fails, it takes up to Horizon until a roster without it begins.
 	Horizon time.Duration
-	// JoinLead is how far ahead a roster begins that only adds members. If the
-	// store goes down before it answered, the appender can promise up to that
-	// beginning and no further, so a long lead bridges a short outage.
+	// JoinLead is how far ahead of now a roster begins that only adds members. If the
+	// store fails before it answers the append, the appender can promise up to that
+	// beginning and no further, so a long lead bridges a short store outage.
 	JoinLead time.Duration
-	// Lead is how far ahead the ceiling is written. Plain identities are served
-	// through a store outage of Lead minus Renew at least; after the loss of all
-	// entries at once, they are refused for Lead at most.
+	// Lead is how far ahead of now the ceiling is written. Plain identities are
+	// served through a store outage of at least Lead minus Renew; after the loss of
+	// all entries at once, they are refused for at most Lead.
 	Lead time.Duration
-	// Renew is how old a ceiling may get before a member raises it.
+	// Renew is the age at which a member raises the ceiling. It is limited to Lead/2.
 	Renew time.Duration
-	// Retry is the pause after a store call that failed.
+	// Retry is the delay after a failed store call.
 	Retry time.Duration
-	// Takeover is how long all members must be suspected before an entry that is
-	// not one of them appends a roster.
+	// Takeover is how long all members must have been suspected before an entry
+	// outside the roster appends a version.
 	Takeover time.Duration
-	// RankDelay keeps the members from all writing the same change at once.
+	// RankDelay is the delay per rank among the members, so that they do not all
+	// write the same change at once.
 	RankDelay time.Duration
-	// Retention is how long versions are kept after their end.
+	// Retention is how long a version is kept after its successor has begun.
 	Retention time.Duration
 }
 
@@ -94,47 +97,47 @@
 			*d.field = d.value
 		}
 	}
-	o.Renew = min(o.Renew, o.Lead/2) // or a short ceiling would run out before it is raised
+	o.Renew = min(o.Renew, o.Lead/2) // a ceiling with a short lead would otherwise expire before it is raised
 	return o
 }
 
-// Action is one thing that the owner of a Machine must do. Exactly one field is
-// set. Actions are carried out in order.
+// Action is one operation that the owner of a Machine must execute. Exactly one field
+// is set. Actions must be executed in order.
 type Action struct {
-	Broadcast *wire.Promise // to every entry that is linked
+	Broadcast *wire.Promise // sent to every linked entry
 	Swap      *Swap
 	Announce  *Announce
 	Join      *Join
-	Read      bool // read the store's value and hand it to Stored
+	Read      bool // read the store's value and pass it to Machine.Stored
 }
 
-// Swap asks for a compare-and-swap of the store's value. Its outcome goes to
-// Swapped, under the same ID.
+// Swap requests a compare-and-swap of the store's value. The outcome is passed to
+// Machine.Swapped with the same ID.
 type Swap struct {
 	ID     uint64
-	Expect int64 // the key's ModRevision, 0 for no key
+	Expect int64 // ModRevision that the key must have; 0 if it must not exist
 	Value  []byte
 }
 
-// Announce sends versions, oldest first.
+// Announce sends versions to peers, oldest first.
 type Announce struct {
-	To       identity.Incarnation // empty for all
+	To       identity.Incarnation // empty for all linked entries
 	Versions []*wire.Roster
 }
 
-// Join asks the member To to add this entry.
+// Join asks the member To to add this entry to the roster.
 type Join struct {
 	To  identity.Incarnation
 	Ask *wire.Join
 }
 
-// Outcome is what is known of a compare-and-swap.
+// Outcome is the result of a compare-and-swap as far as the caller can tell.
 type Outcome uint8
 
 // Outcomes of a Swap.
 const (
-	// OutcomeUnknown: no answer came. The write may have taken effect, or may
-	// yet take effect while its request lies in some queue.
+	// OutcomeUnknown means that no answer arrived. The write may have taken effect,
+	// or may still take effect later while its request is queued.
 	OutcomeUnknown Outcome = iota
 	OutcomeDone
 	OutcomeConflict
--- a/internal/roster/view.go
+++ b/internal/roster/view.go
@@ -8,19 +8,19 @@
 	"wigeontray/internal/identity"
 )
 
-// View is an immutable picture of what one entry may start. The machine
-// publishes a new one whenever something changes; requests read the latest
-// through an atomic pointer. Every permission in a view is for good: a view
-// read before a pause stays true after it.
+// View is an immutable snapshot of what one entry may start. The Machine publishes a
+// new View whenever something changes, and request handlers load the latest one
+// through an atomic pointer. A permission given by a View is never withdrawn, so a
+// View that was loaded before the process was paused remains valid afterwards.
 type View struct {
 	self         identity.Incarnation
 	versions     []Version
-	memberHashes [][]uint64 // rendezvous seeds of the members, by version
-	horizonMs    int64      // births below it may start under the last version
+	memberHashes [][]uint64 // rendezvous hashes of the members, parallel to versions
+	horizonMs    int64      // members of the last version may start births below it
 	isFenced     bool
 }
 
-// Last gives the newest version; ok is false while none is known.
+// Last returns the newest version. ok is false if no version is known.
 func (v *View) Last() (last Version, ok bool) {
 	if len(v.versions) == 0 {
 		return Version{}, false
@@ -28,26 +28,29 @@
 	return v.versions[len(v.versions)-1], true
 }
 
-// Versions gives the known versions, oldest first. They must not be changed.
+// Versions returns the known versions, oldest first. The caller must not modify them.
 func (v *View) Versions() []Version { return v.versions }
 
-// HorizonMs is the birth below which members of the last version may start.
+// HorizonMs returns the birth, in Unix milliseconds, below which members of the last
+// version may start.
 func (v *View) HorizonMs() int64 { return v.horizonMs }
 
-// Fenced tells that a roster declared this entry gone: it may start nothing
-// more, and its process must go on under a new incarnation.
+// Fenced reports whether a roster declared this entry gone, or may have done so in a
+// version that it missed. A fenced entry starts nothing more, and its process must
+// restart under a new incarnation.
 func (v *View) Fenced() bool { return v.isFenced }
 
-// IsMember tells whether this entry belongs to the last version.
+// IsMember reports whether this entry belongs to the last version.
 func (v *View) IsMember() bool {
 	last, ok := v.Last()
 	return ok && last.Has(v.self)
 }
 
-// Owner finds the only entry that may ever start key for member, and the roster
-// version that says so (0 for a ticket). ok is false when no version that is
-// known here covers the birth, or the one that does has no members. Near the end
-// of the last version the answer may change with a later one; MayStart does not.
+// Owner returns the only entry that may ever start key for member, and the roster
+// version that determines it (0 for a ticket). ok is false if no known version covers
+// the birth, or if the version that covers it has no members. Near the end of the
+// last version, a later version may change the answer; the answer of MayStart does
+// not change.
 func (v *View) Owner(member string, key identity.Key) (owner identity.Incarnation, version int64, ok bool) {
 	if key.Home != "" {
 		return key.Home, 0, true
@@ -59,13 +62,13 @@
 	return v.owner(i, member, key), v.versions[i].Version, true
 }
 
-// FinalOwner is Owner where no later roster can change the answer: for a ticket,
-// in a closed version, and for this entry's own births below the horizon.
+// FinalOwner returns the owner if no later roster can change it: for a ticket, in a
+// closed version, and for this entry's own births below the horizon.
 //
-// Near the end of the last version a key's owner may be declared gone by a
-// roster that begins below the birth and gives it to somebody else. Whoever took
-// the first owner for final would prove "not run" about a key that the second
-// one starts.
+// Near the end of the last version, a roster that begins below the birth may declare
+// the key's owner gone and assign the key to another entry. A caller that took the
+// first owner as final would prove "not run" about a key that the second owner
+// starts.
 func (v *View) FinalOwner(member string, key identity.Key) (owner identity.Incarnation, ok bool) {
 	owner, version, ok := v.Owner(member, key)
 	if !ok || key.Home != "" {
@@ -75,7 +78,7 @@
 	return owner, version < last.Version || owner == v.self && key.BirthMs < v.horizonMs
 }
 
-// versionIndex gives the index of the version whose interval holds birthMs, or -1.
+// versionIndex returns the index of the version that covers birthMs, or -1.
 func (v *View) versionIndex(birthMs int64) int {
 	for i := len(v.versions) - 1; i >= 0; i-- {
 		if v.versions[i].FromMs <= birthMs {
@@ -85,7 +88,7 @@
 	return -1
 }
 
-// owner ranks the members of version i by rendezvous hashing.
+// owner selects a member of version i by rendezvous hashing.
 func (v *View) owner(i int, member string, key identity.Key) identity.Incarnation {
 	h := keyHash(member, key)
 	best, bestScore := 0, uint64(0)
@@ -97,13 +100,13 @@
 	return v.versions[i].Members[best].Incarnation
 }
 
-// MayStart tells whether this entry may start key for member: nil when it may,
-// for good. The refusals are true: nothing was started by asking.
+// MayStart returns nil if this entry may start key for member. That permission is
+// permanent. Any other result means that the call itself started nothing.
 //
-// Two entries that both think they own a birth would run a task twice; the user
-// would see two escorts for one passenger. Within a closed interval the owner is
-// fixed by the history. In the last, open one a later version may still begin,
-// but not below the least promise of the members (see Machine).
+// Two entries that both considered themselves owner of a birth would run a task
+// twice: the user would see two escorts for one passenger. In a closed version the
+// history fixes the owner. In the last version a successor may still begin, but not
+// below the least promise of the members (see Machine).
 func (v *View) MayStart(member string, key identity.Key) *errkind.Error {
 	switch {
 	case v.isFenced:
@@ -130,6 +133,7 @@
 	return nil
 }
 
+// mayStartTicket permits a ticket only at the entry that it names as its home.
 func (v *View) mayStartTicket(key identity.Key) *errkind.Error {
 	if key.Home == v.self {
 		return nil
@@ -137,8 +141,9 @@
 	return errkind.New(errkind.HomeUnreachable, "owned by %s", key.Home).WithAfter(retryAfter)
 }
 
-// refuseWithoutMembers refuses a birth in a version without members. A closed one says for
-// good that nobody may start it; the last one may yet be followed.
+// refuseWithoutMembers returns the error for a birth in version i, which has no
+// members. In a closed version nobody may ever start it; the last version may still
+// get a successor.
 func (v *View) refuseWithoutMembers(i int) *errkind.Error {
 	if i < len(v.versions)-1 {
 		return errkind.New(errkind.NotRun, "born while no entry was in service")
@@ -146,8 +151,8 @@
 	return errkind.New(errkind.HomeUnreachable, "no entry is in the roster").WithAfter(retryAfter)
 }
 
-// estimatedWait estimates when the horizon will have passed birthMs, as it moves with
-// the clock.
+// estimatedWait estimates how long it takes until the horizon, which advances with
+// the clock, passes birthMs.
 func (v *View) estimatedWait(birthMs int64) time.Duration {
 	aheadMs := birthMs - v.horizonMs
 	if v.horizonMs <= 0 || aheadMs > maxEstimatedWait.Milliseconds() {
@@ -156,17 +161,17 @@
 	return max(time.Duration(aheadMs)*time.Millisecond, retryAfter)
 }
 
-// FNV-1a parameters for 64 bits.
+// Parameters of 64-bit FNV-1a.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// keyHash must give the same number in every process and every version of the
-// software: two entries that hash differently would both own a key.
+// keyHash hashes an identity. The result must be the same in every process and every
+// release: two entries with different hashes would both own the same key.
 func keyHash(member string, key identity.Key) uint64 {
 	h := fnvString(fnvOffset, member)
-	h = (h ^ math.MaxUint8) * fnvPrime // separator
+	h = (h ^ math.MaxUint8) * fnvPrime // separates member from UUID
 	for _, b := range key.UUID {
 		h = (h ^ uint64(b)) * fnvPrime
 	}
@@ -180,7 +185,8 @@
 	return h
 }
 
-// splitMix64 is the finalizer of SplitMix64; it spreads nearby hashes apart.
+// splitMix64 is the finalizer of the SplitMix64 generator. It spreads similar hashes
+// over the whole range.
 func splitMix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -189,6 +195,7 @@
 	return x ^ x>>31
 }
 
+// hashMembers returns one rendezvous hash per member of v.
 func hashMembers(v Version) []uint64 {
 	hashes := make([]uint64, len(v.Members))
 	for i, m := range v.Members {
