--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -6,17 +6,18 @@
 	"wigeontray/internal/wire"
 )
 
-// configStoreTimeout is how long a peer's newer configuration is awaited from the
-// store before the peer is asked for it: as a rule the store delivers it to
-// both, and the snapshot need not travel twice.
+// configStoreTimeout is how long this entry waits for the store to deliver a
+// configuration that a peer already has, before it requests it from the peer. The
+// store normally delivers it to both, and then the snapshot need not be sent again.
 const configStoreTimeout = time.Second
 
-// ConfigChanged tells the peers which revision is in force here.
+// ConfigChanged sends the configuration revision in force here to all peers.
 func (p *Peers) ConfigChanged() {
 	p.broadcast(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: p.opt.Revision()}})
 }
 
-// sendConfigIfNewer sends the snapshot to a peer that said it has an older one.
+// sendConfigIfNewer sends the configuration snapshot to a peer that reported an older
+// revision.
 func (p *Peers) sendConfigIfNewer(l *peerLink) {
 	if l.configRevision.Load() >= p.opt.Revision() {
 		return
@@ -26,8 +27,8 @@
 	}
 }
 
-// requestNewerConfig asks a peer for its newer configuration by naming the older one in
-// force here. The caller holds mu.
+// requestNewerConfig requests newer configurations from peers by sending them the
+// older revision in force here; see sendConfigIfNewer. The caller holds mu.
 func (p *Peers) requestNewerConfig(now time.Time) {
 	configRevision := p.opt.Revision()
 	for _, l := range *p.links.Load() {
--- a/internal/peers/fake_test.go
+++ b/internal/peers/fake_test.go
@@ -21,15 +21,17 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-// storeTransport is one entry's way to the store, which can be cut.
+// storeTransport is one entry's connection to the store. The entry can be
+// disconnected.
 type storeTransport struct {
 	http.RoundTripper
 	mu     sync.Mutex
-	ctx    context.Context
+	ctx    context.Context // canceled when the entry is disconnected
 	cancel context.CancelFunc
 }
 
-// RoundTrip fails while the way is cut, and when it is cut meanwhile.
+// RoundTrip fails while the entry is disconnected, or if it is disconnected before
+// the response arrives.
 func (w *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w.mu.Lock()
 	connected := w.ctx
@@ -48,12 +50,12 @@
 	w.ctx, w.cancel = context.WithCancel(ctx)
 }
 
-// network holds the entries of one region.
+// network connects the entries of one region.
 type network struct {
 	c          *qt.C
 	ctx        context.Context
 	store      *standin.Server
-	mu         sync.Mutex // guards entries against dials while one is started
+	mu         sync.Mutex // guards entries, which dials read while start adds one
 	entries    map[identity.Incarnation]*entry
 	wg         sync.WaitGroup
 	partition  atomic.Pointer[[2]*entry]
@@ -61,17 +63,17 @@
 	byteCount  atomic.Int64
 }
 
-// entry is one Peers with what its hooks saw.
+// entry is a Peers with a record of the calls of its hooks.
 type entry struct {
 	*Peers
-	isIsolated     atomic.Bool // no link can be made
-	isFrozen       atomic.Bool // sends nothing, though its links stay open
+	isIsolated     atomic.Bool // no link can be opened
+	isFrozen       atomic.Bool // sends nothing, but its links stay open
 	storeTransport storeTransport
 	cancel         context.CancelFunc
 	mu             sync.Mutex
 	readyGuards    []identity.Incarnation
 	gonePeers      []identity.Incarnation
-	fencedGuards   []identity.Incarnation // guards that were sent a fence
+	fencedGuards   []identity.Incarnation // guards that were sent a Fence
 	wasFenced      bool
 	configRevision int64
 }
@@ -137,11 +139,11 @@
 	return slowCloseLink{a}, nil
 }
 
-// slowCloseLink is a link whose Recv outlives Close, as that of a socket does while
-// the other end does not take part in the closing handshake.
+// slowCloseLink is a link whose Recv continues after Close, like that of a socket
+// while the peer does not take part in the closing handshake.
 type slowCloseLink struct{ *wiretest.End }
 
-// Recv returns some seconds after the link has ended.
+// Recv returns an error only 5 s after the link has ended, or when ctx ends.
 func (l slowCloseLink) Recv(ctx context.Context) (*wire.Frame, error) {
 	f, err := l.End.Recv(ctx)
 	if err != nil {
@@ -150,7 +152,7 @@
 	return f, err
 }
 
-// storeCalls counts what the entries asked of the store.
+// storeCalls returns the number of calls that the entries made to the store.
 func (n *network) storeCalls() (sum int) {
 	for _, path := range []string{
 		etcdjson.PathRange, etcdjson.PathTxn, etcdjson.PathGrant, etcdjson.PathKeepAlive, etcdjson.PathWatch,
@@ -160,7 +162,7 @@
 	return sum
 }
 
-// countFrame counts a frame and drops none.
+// countFrame counts a frame and its encoded bytes. It drops none.
 func (n *network) countFrame(f *wire.Frame) bool {
 	b, _ := wire.Encode(f)
 	n.frameCount.Add(1)
@@ -168,8 +170,9 @@
 	return false
 }
 
-// isolate cuts an entry off from everything at once. To the others it is dead; it
-// goes on by itself, as a paused or cut-off process might later.
+// isolate disconnects an entry from its peers and the store at once. The others
+// cannot tell it from a killed one, but it continues to run, like a paused or
+// partitioned process that returns later.
 func (n *network) isolate(name identity.Incarnation) {
 	e := n.entries[name]
 	e.isIsolated.Store(true)
@@ -179,26 +182,27 @@
 	}
 }
 
-// arePartitioned tells whether the cable between two entries is cut.
+// arePartitioned reports whether the connection between two entries is cut.
 func (n *network) arePartitioned(x, y *entry) bool {
 	pair := n.partition.Load()
 	return pair != nil && (*pair == [2]*entry{x, y} || *pair == [2]*entry{y, x})
 }
 
-// cutLink breaks the links between two entries, which both keep all others.
+// cutLink breaks the connection between two entries. Both keep all their other links.
 func (n *network) cutLink(x, y identity.Incarnation) {
 	n.partition.Store(&[2]*entry{n.entries[x], n.entries[y]})
 	(*n.entries[x].links.Load())[y].link.Close("cut")
 }
 
-// freeze stops an entry without closing its links.
+// freeze stops an entry from sending and cuts it off from the store and from new links,
+// without closing its links.
 func (n *network) freeze(name identity.Incarnation) {
 	n.entries[name].isFrozen.Store(true)
 	n.entries[name].isIsolated.Store(true)
 	n.entries[name].storeTransport.cancel()
 }
 
-// reconnect ends the cut.
+// reconnect ends an isolation.
 func (n *network) reconnect(name identity.Incarnation) {
 	n.entries[name].isIsolated.Store(false)
 	n.entries[name].storeTransport.connect(n.ctx)
@@ -212,7 +216,8 @@
 	n.store.Close()
 }
 
-// starters counts which entries may start n keys that are born now.
+// starters returns how many of count keys that are born now each entry may start, and
+// asserts that no key has two starters.
 func (n *network) starters(count uint64) map[identity.Incarnation]int {
 	out := make(map[identity.Incarnation]int)
 	for i := range count {
@@ -228,7 +233,7 @@
 	return out
 }
 
-// startersExcept leaves out entries that callers cannot reach.
+// startersExcept is starters without the entries that callers cannot reach.
 func (n *network) startersExcept(excluded []identity.Incarnation, count uint64) map[identity.Incarnation]int {
 	out := n.starters(count)
 	for _, name := range excluded {
@@ -252,7 +257,8 @@
 	return parsed
 }
 
-// answerFences answers the fences of an entry for every guard that was fenced.
+// answerFences reports, for every guard that was sent a Fence, that it started none
+// of gone's jobs.
 func (e *entry) answerFences(gone identity.Incarnation) {
 	e.mu.Lock()
 	fencedGuards := e.fencedGuards
--- a/internal/peers/forward.go
+++ b/internal/peers/forward.go
@@ -9,10 +9,10 @@
 	"wigeontray/internal/wire"
 )
 
-// Forward passes a request to the entry that owns its identity and waits for the
-// answer. It sets f.ID. The error is of the closed list: HomeUnreachable when
-// the link is missing or breaks, TimedOut when ctx ends first. The owner may have
-// started the request in both cases.
+// Forward sends a request to the entry that owns its identity and waits for the
+// answer. It sends a copy of f with a new ID. The error is an errkind error:
+// HomeUnreachable if there is no link or the link breaks, TimedOut if ctx ends first.
+// In both cases the owner may have started the request.
 func (p *Peers) Forward(ctx context.Context, to identity.Incarnation, f *wire.Forward) (*wire.Forwarded, error) {
 	l := (*p.links.Load())[to]
 	if l == nil {
@@ -39,7 +39,8 @@
 	}
 }
 
-// registerForward registers a copy of f under a new id.
+// registerForward registers a copy of f under a new ID. It returns the channel that
+// receives the answer, or nil if the link is lost.
 func (l *peerLink) registerForward(f *wire.Forward) (<-chan *wire.Forwarded, *wire.Forward) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,21 +49,22 @@
 	sent.ID = l.lastForwardID
 	answer := make(chan *wire.Forwarded, 1)
 	if l.pending == nil {
-		answer <- nil // the link ended meanwhile
+		answer <- nil // the link has ended in the meantime
 	} else {
 		l.pending[sent.ID] = answer
 	}
 	return answer, &sent
 }
 
+// unregisterForward removes a request whose caller no longer waits.
 func (l *peerLink) unregisterForward(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.pending, id)
 }
 
-// deliverAnswer hands an answer to its request. One that is late or repeated finds no
-// request and is dropped.
+// deliverAnswer passes an answer to the waiting request. A late or repeated answer
+// has no waiting request and is dropped.
 func (l *peerLink) deliverAnswer(r *wire.Forwarded) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +74,7 @@
 	}
 }
 
-// failPendingForwards ends all waiting requests after the link was lost.
+// failPendingForwards fails all waiting requests after the link was lost.
 func (l *peerLink) failPendingForwards() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,8 +84,8 @@
 	l.pending = nil
 }
 
-// serveForward serves a peer's request in a goroutine of its own. The work goes
-// on if the link breaks: the owner keeps the answer for a resubmission.
+// serveForward serves a peer's request in a new goroutine. The work continues if the
+// link breaks: this entry, as the owner, keeps the answer for a resubmission.
 func (p *Peers) serveForward(ctx context.Context, l *peerLink, f *wire.Forward) {
 	if p.activeForwards.Add(1) > maxConcurrentForwards {
 		p.activeForwards.Add(-1)
--- a/internal/peers/guards.go
+++ b/internal/peers/guards.go
@@ -9,9 +9,9 @@
 	"wigeontray/internal/wire"
 )
 
-// GuardUp notes a linked guard. It may be used once OnGuardReady names it, which
-// is at once unless a witness has to hear of it first. It must be called each
-// time the guard's link comes back.
+// GuardUp records that a guard is linked. It may be used once OnGuardReady names it:
+// immediately, unless a witness must acknowledge it first. GuardUp must be called
+// each time the guard's link is re-established.
 func (p *Peers) GuardUp(g identity.Incarnation) {
 	p.update(func(now time.Time) {
 		p.recovery.GuardUp(now, g)
@@ -19,13 +19,13 @@
 	})
 }
 
-// GuardDown notes a guard's lost link; it may come back.
+// GuardDown records that a guard's link was lost. The guard may reconnect.
 func (p *Peers) GuardDown(g identity.Incarnation) {
 	p.update(func(now time.Time) { p.recovery.GuardDown(now, g) })
 }
 
-// GuardLost notes that this entry sends nothing more to a guard, and must be
-// called after that is so. If it comes back it needs a new OnGuardReady.
+// GuardLost records that this entry sends nothing more to a guard, and must be called
+// only after that holds. If the guard reconnects, it needs another OnGuardReady.
 func (p *Peers) GuardLost(g identity.Incarnation) {
 	p.update(func(now time.Time) {
 		p.recovery.GuardDown(now, g)
@@ -33,19 +33,19 @@
 	})
 }
 
-// GuardReport takes a guard's answer to a Fence.
+// GuardReport processes a guard's answer to a Fence.
 func (p *Peers) GuardReport(g identity.Incarnation, r *wire.FenceReport) {
 	p.update(func(now time.Time) { p.recovery.Report(now, g, r) })
 }
 
-// GuardCollected takes a guard's answer to a Collect.
+// GuardCollected processes a guard's answer to a Collect.
 func (p *Peers) GuardCollected(g identity.Incarnation, c *wire.Collected) {
 	p.update(func(now time.Time) { p.recovery.Collected(now, g, c) })
 }
 
-// Recover finds out what became of a job whose owner cannot be reached. It
-// returns at ctx's deadline at the latest. The verdict is Later while it is not
-// final who owns the key.
+// Recover determines the outcome of a job whose owner cannot be reached. It returns
+// at ctx's deadline at the latest. The verdict is Later as long as the owner of the
+// key is not final, and when ctx ends first.
 func (p *Peers) Recover(ctx context.Context, member string, key identity.Key) recovery.Finding {
 	owner, final := p.View().FinalOwner(member, key)
 	j := recovery.Job{Member: member, Key: key.Text, BirthMs: key.BirthMs, Home: owner}
--- a/internal/peers/hooks.go
+++ b/internal/peers/hooks.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// hookQueue calls hooks in order and outside of any lock, so that a hook may
-// call back into Peers.
+// hookQueue calls hooks in order and without holding a lock, so that a hook may call
+// back into Peers.
 type hookQueue struct {
 	mu      sync.Mutex
 	pending []func()
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -19,16 +19,17 @@
 type peerLink struct {
 	addr                wire.EntryAddr
 	link                wire.Link
-	lastReceivedMs      atomic.Int64 // arrival of the last frame
-	configRevision      atomic.Int64 // configuration in force at the peer, as far as known
-	configBehindSinceMs int64        // since when the peer's configuration is newer; under Peers.mu
+	lastReceivedMs      atomic.Int64 // Unix milliseconds at which the last frame arrived
+	configRevision      atomic.Int64 // last known configuration revision in force at the peer
+	configBehindSinceMs int64        // 0 unless the peer's configuration is newer; guarded by Peers.mu
 
-	mu            sync.Mutex // guards pending
+	mu            sync.Mutex // guards the fields below
 	lastForwardID uint64
-	pending       map[uint64]chan *wire.Forwarded
+	pending       map[uint64]chan *wire.Forwarded // by Forward.ID; nil once the link is lost
 }
 
-// Handler accepts links from peers; it is mounted at wire.PeerPath.
+// Handler returns the handler that accepts links from peers. It is mounted at
+// wire.PeerPath.
 func (p *Peers) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		link, err := wire.Accept(w, r, p.opt.Traffic)
@@ -40,7 +41,8 @@
 	})
 }
 
-// Accept serves a link that a peer opened, until it ends.
+// Accept performs the hello exchange on a link that a peer opened, and serves the
+// link until it ends.
 func (p *Peers) Accept(ctx context.Context, link wire.Link) {
 	hello, err := p.receiveHello(ctx, link)
 	if err == nil {
@@ -53,8 +55,8 @@
 	p.serveLink(ctx, link, hello)
 }
 
-// dial opens a link to a peer and serves it until it ends. The incarnation is
-// empty for an address that comes from the settings.
+// dial opens a link to a peer and serves it until it ends. The incarnation of an
+// address from the settings is empty.
 func (p *Peers) dial(ctx context.Context, to wire.EntryAddr) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -69,7 +71,7 @@
 	}
 	hello, err := p.receiveHello(ctx, link)
 	if err == nil && to.Incarnation != "" && hello.Incarnation != to.Incarnation {
-		err = fmt.Errorf("%s answers at the address of %s", hello.Incarnation, to.Incarnation)
+		err = fmt.Errorf("entry %s answered at the address of entry %s", hello.Incarnation, to.Incarnation)
 	}
 	if err != nil {
 		p.refuseLink(link, err)
@@ -78,12 +80,14 @@
 	p.serveLink(ctx, link, hello)
 }
 
+// refuseLink closes a link on which the hello exchange failed with err.
 func (p *Peers) refuseLink(link wire.Link, err error) {
 	p.opt.count("hello_refused")
 	p.opt.Log.Warn("peer link refused", "err", err)
 	link.Close("refused")
 }
 
+// hello returns this entry's hello.
 func (p *Peers) hello() *wire.PeerHello {
 	return &wire.PeerHello{
 		Version: wire.Version, MinVersion: wire.MinVersion,
@@ -92,16 +96,16 @@
 	}
 }
 
-// Reasons to refuse a peer.
+// Errors for which a hello is refused.
 var (
-	errNoHello         = errors.New("first frame is no hello")
+	errNoHello         = errors.New("first frame is not a hello")
 	errWrongKey        = errors.New("wrong fleet key")
 	errVersionMismatch = errors.New("no common protocol version")
-	errWrongRegion     = errors.New("peer of another region")
-	errOwnIncarnation  = errors.New("peer has this entry's incarnation")
+	errWrongRegion     = errors.New("peer belongs to another region")
+	errOwnIncarnation  = errors.New("peer uses this entry's incarnation")
 )
 
-// receiveHello reads and checks the first frame.
+// receiveHello receives the first frame and validates it.
 func (p *Peers) receiveHello(ctx context.Context, link wire.Link) (*wire.PeerHello, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -125,7 +129,8 @@
 	return h, nil
 }
 
-// serveLink keeps a greeted link as the peer's only one and handles its frames.
+// serveLink makes a link the only one to its peer after the hello exchange, and
+// handles its frames until it ends.
 func (p *Peers) serveLink(ctx context.Context, link wire.Link, h *wire.PeerHello) {
 	l := &peerLink{
 		addr:    wire.EntryAddr{Incarnation: h.Incarnation, Inner: h.Inner, Domain: h.Domain},
@@ -135,7 +140,7 @@
 	l.configRevision.Store(h.Revision)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() { // else Recv sits out the closing handshake, and nobody dials anew
+	go func() { // Recv would otherwise wait for the closing handshake, which delays the next dial
 		select {
 		case <-link.Done():
 			cancel()
@@ -154,13 +159,13 @@
 	p.removeLink(l)
 }
 
-// addLink makes l the peer's link; an older one is closed.
+// addLink makes l the link to its peer and closes a previous one.
 func (p *Peers) addLink(l *peerLink) {
 	inc := l.addr.Incarnation
 	l.lastReceivedMs.Store(time.Now().UnixMilli())
 	p.update(func(now time.Time) {
 		if p.isStopped {
-			l.link.Close("stopping") // nobody else would end it any more
+			l.link.Close("stopping") // stop has already run and would not close it
 			return
 		}
 		if old := p.replaceLink(inc, l); old != nil {
@@ -177,14 +182,14 @@
 	p.sendConfigIfNewer(l)
 }
 
-// removeLink forgets l, unless a newer link has replaced it.
+// removeLink closes and removes l unless a newer link has replaced it.
 func (p *Peers) removeLink(l *peerLink) {
 	p.update(func(now time.Time) { p.dropLink(now, l) })
 }
 
-// dropLink ends l and forgets it at once. It does not wait for the link to say that
-// it has ended: the closing handshake with a frozen peer takes seconds, in which
-// requests would still be passed to it. The caller holds mu.
+// dropLink closes l and removes it at once. It does not wait until the link reports
+// its end: the closing handshake with a frozen peer takes seconds, during which
+// requests would still be forwarded to it. The caller holds mu.
 func (p *Peers) dropLink(now time.Time, l *peerLink) {
 	l.link.Close("ended")
 	l.failPendingForwards()
@@ -198,8 +203,8 @@
 	p.announcer.PeerDown(inc)
 }
 
-// replaceLink publishes a new table with l for inc, or without inc when l is
-// nil, and returns the link that was there. The caller holds mu.
+// replaceLink publishes a new link table with l for inc, or without inc if l is nil,
+// and returns the previous link. The caller holds mu.
 func (p *Peers) replaceLink(inc identity.Incarnation, l *peerLink) *peerLink {
 	links := maps.Clone(*p.links.Load())
 	old := links[inc]
@@ -212,9 +217,9 @@
 	return old
 }
 
-// handleFrame takes one frame. Frames of a link that was replaced are dropped: an
-// announcement of a guard that was overtaken by a later one would put the list
-// of guards wrong.
+// handleFrame handles one frame. Roster and recovery frames of a link that was
+// replaced are dropped: a guard announcement that arrives after a later one would
+// corrupt the list of guards.
 func (p *Peers) handleFrame(ctx context.Context, l *peerLink, f *wire.Frame) {
 	switch {
 	case f.Forward != nil:
@@ -236,6 +241,8 @@
 	}
 }
 
+// handleFrameLocked handles a frame for the roster or recovery machine. The caller
+// holds mu.
 func (p *Peers) handleFrameLocked(now time.Time, l *peerLink, f *wire.Frame) {
 	from := l.addr.Incarnation
 	p.recovery.Seen(now, from)
@@ -253,8 +260,9 @@
 	case *f == (wire.Frame{}):
 		p.opt.count("unknown_frame")
 	default:
-		// Of a guard, or in another entry's name. Obeyed nowhere; a process that
-		// sends it is no entry of ours, whatever key it holds.
+		// A frame that only guards send, or a Join in another entry's name. It is
+		// ignored: a process that sends it is not an entry, even if it has the fleet
+		// key.
 		p.opt.count("refused_frame")
 		l.link.Close("a frame that no entry sends")
 	}
--- a/internal/peers/options.go
+++ b/internal/peers/options.go
@@ -1,8 +1,8 @@
-// Package peers is the process part of what entries do together: links between
-// entries, this entry's registration in the store, the roster and its promises,
-// forwarding of requests to their owner, and recovery from entries that are
-// gone. The decisions are those of packages roster and recovery; this package
-// owns the goroutines, connections and store calls around them.
+// Package peers connects the entries of a region. It maintains the links between them,
+// this entry's registration in the store, and the roster with its promises; it forwards
+// requests to their owner and determines the outcome of jobs whose owner is gone.
+// Packages roster and recovery make the decisions; this package owns the goroutines,
+// connections and store calls.
 //
 // The package may import errkind, identity, recovery, roster, store and wire.
 package peers
@@ -23,7 +23,7 @@
 	"wigeontray/internal/wire"
 )
 
-// Timing of links and store calls.
+// Limits and timing of links and store calls.
 const (
 	tickInterval     = 250 * time.Millisecond
 	dialInterval     = time.Second
@@ -33,57 +33,61 @@
 	storeRetryDelay  = time.Second
 	defaultLeaseTTL  = 6 * time.Second
 	keepAlivesPerTTL = 3
-	// suspectTimeout is how long a link may be down before the peer is suspected.
+	// suspectTimeout is how long a link may be down before its peer is suspected.
 	suspectTimeout = 2 * time.Second
-	// silenceTimeout is how long a member may send nothing. Members promise every
-	// second; a frozen one keeps its connection open and would stall all plain
-	// identities until the link's own ping gives up.
+	// silenceTimeout is how long a member may send no frame. Members promise every
+	// second; a frozen one keeps its connection open and would block all plain
+	// identities until the link's own ping times out.
 	silenceTimeout = 4 * time.Second
-	// registrationLossTimeout is how long a lease must be missing before a suspected peer is
-	// declared gone; a store that lost leases gives its holders this time to
-	// come back.
+	// registrationLossTimeout is how long the registration of a suspected peer must
+	// be missing before the peer is reported gone. After a store has lost leases,
+	// their holders have this time to register again.
 	registrationLossTimeout = 2 * time.Second
-	// maxTicketSkew is how far ahead of this entry's clock a ticket of its own may
-	// be born: none is, unless the caller made it up or the clock was set back.
+	// maxTicketSkew is how far ahead of this entry's clock the birth of one of its
+	// own tickets may be. Births lie ahead only if the caller forged the ticket or
+	// the clock was set back.
 	maxTicketSkew = time.Second
-	// leaveMargin is how long after the beginning of a roster without it a leaving
-	// entry still serves what it owns, for callers whose clocks are behind.
+	// leaveMargin is how long a leaving entry continues to serve births that it owns
+	// after a roster without it has begun, for callers whose clocks are behind.
 	leaveMargin           = time.Second
-	maxConcurrentForwards = 20_000 // incoming requests under way
+	maxConcurrentForwards = 20_000 // incoming forwarded requests in progress
 )
 
-// Options configure a Peers. Self, Region, Store and OnForward are required.
-// Hooks are called one at a time, in order, from a goroutine of their own.
+// Options configures a Peers. Self, Region, Store and OnForward are required.
+// OnGuardReady, OnGone, OnFenced and OnConfig are called one at a time, in order,
+// from a goroutine of their own.
 type Options struct {
 	Self   wire.EntryAddr
 	Region string
-	Key    string // shared key of the fleet
+	Key    string // secret shared by all entries
 	Store  store.Store
-	// LeaseTTL is how long this entry stays registered without renewal.
+	// LeaseTTL is how long this entry stays registered without a renewal.
 	LeaseTTL time.Duration
-	// Seeds are inner addresses of other entries, for a start while the store is
-	// down. They may be left out, and may name this entry.
+	// Seeds are optional inner addresses of other entries, for a start while the
+	// store is down. They may include this entry's own address.
 	Seeds    []string
 	Roster   roster.Options
 	Recovery recovery.Options
 
-	// Dial opens a link to a peer; nil dials its inner address by WebSocket.
+	// Dial opens a link to a peer. The default dials the peer's inner address by
+	// WebSocket.
 	Dial func(ctx context.Context, to wire.EntryAddr) (wire.Link, error)
-	// OnForward serves a request that a peer passed on. It is called from many
+	// OnForward serves a request that a peer forwarded. It is called from many
 	// goroutines.
 	OnForward func(ctx context.Context, from identity.Incarnation, f *wire.Forward) *wire.Forwarded
-	// ToGuard sends a frame to a linked guard, and may drop it if it is not.
+	// ToGuard sends a frame to a guard. It may drop the frame if the guard is not
+	// linked. It is called while a lock is held and must not call back into Peers.
 	ToGuard func(guard identity.Incarnation, f *wire.Frame)
-	// OnGuardReady allows starts at a guard that was announced by GuardUp.
+	// OnGuardReady permits starts at a guard for which GuardUp was called.
 	OnGuardReady func(guard identity.Incarnation)
-	// OnGone tells that a roster declared a peer gone for good.
+	// OnGone reports that a roster declared a peer gone for good.
 	OnGone func(peer identity.Incarnation)
-	// OnFenced tells that a roster declared this entry gone: it starts nothing
-	// more, and the process should end so that a new incarnation takes over.
+	// OnFenced reports that a roster declared this entry gone: it starts nothing
+	// more, and the process should exit so that it restarts under a new incarnation.
 	OnFenced func()
-	// Revision is the configuration in force here, Config its snapshot, and
-	// OnConfig takes a newer one from a peer. Revision and Config are called under
-	// a lock and must not call back into Peers.
+	// Revision returns the configuration revision in force here, Config returns its
+	// snapshot, and OnConfig receives a newer one from a peer. Revision and Config
+	// are called while a lock is held and must not call back into Peers.
 	Revision func() int64
 	Config   func() *wire.Config
 	OnConfig func(c *wire.Config)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -17,36 +17,37 @@
 	"wigeontray/internal/wire"
 )
 
-// Peers is one entry's part in the group of entries of its region.
+// Peers connects one entry with the other entries of its region.
 type Peers struct {
 	opt Options
 
-	// links are read on the path of requests; they are replaced, never changed.
+	// links is read by request handlers. The map is replaced on change and never
+	// modified.
 	links atomic.Pointer[map[identity.Incarnation]*peerLink]
-	// maxAllowedBirthMs is the greatest birth that MayStart ever allowed.
+	// maxAllowedBirthMs is the greatest birth that MayStart has permitted.
 	maxAllowedBirthMs atomic.Int64
 	hooks             hookQueue
 	activeForwards    atomic.Int64
 
-	mu                    sync.Mutex // guards what follows
+	mu                    sync.Mutex // guards the fields below
 	ctx                   context.Context
 	machine               *roster.Machine
 	recovery              *recovery.Machine
 	announcer             *recovery.Announcer
 	peerState             map[identity.Incarnation]*peerState
-	registered            map[identity.Incarnation]bool // registered in the store
-	hasRegistrations      bool                          // entries has been read
+	registered            map[identity.Incarnation]bool // entries registered in the store
+	hasRegistrations      bool                          // registered has been read from the store
 	recoveryWaiters       map[recovery.Job][]chan recovery.Finding
-	nextSeedDial          map[string]time.Time // next dial of an address of the settings
-	lastPeerCheck         time.Time            // when peers were last judged
-	lastPropagatedVersion int64                // last roster version handed on
+	nextSeedDial          map[string]time.Time // earliest next dial, by address of Options.Seeds
+	lastPeerCheck         time.Time            // last run of checkPeers
+	lastPropagatedVersion int64                // last version passed to recovery and announcer
 	isReadingRoster       bool
 	isFenced              bool
-	isStopped             bool // no goroutine may be added to wg any more
+	isStopped             bool // no goroutine may be added to wg
 	wg                    sync.WaitGroup
 }
 
-// peerState is what this entry keeps of another one.
+// peerState is what this entry stores about another entry.
 type peerState struct {
 	addr              wire.EntryAddr
 	unlinkedSince     time.Time // zero while linked
@@ -55,7 +56,7 @@
 	nextDial          time.Time
 }
 
-// New returns a Peers that does nothing until Run.
+// New returns a Peers. It does nothing until Run is called.
 func New(opt Options) *Peers {
 	p := &Peers{
 		opt:             opt.withDefaults(),
@@ -73,8 +74,8 @@
 	return p
 }
 
-// Run takes part until ctx ends: it registers this entry, follows the store,
-// dials peers and drives the roster. It returns after all of its goroutines.
+// Run registers this entry, watches the store, dials peers and drives the roster
+// until ctx ends. It returns after all of its goroutines have ended.
 func (p *Peers) Run(ctx context.Context) {
 	p.mu.Lock()
 	p.ctx = ctx
@@ -95,7 +96,7 @@
 	}
 }
 
-// stop ends the links and waits for all goroutines.
+// stop closes the links and waits for all goroutines.
 func (p *Peers) stop() {
 	p.mu.Lock()
 	p.isStopped = true
@@ -109,12 +110,12 @@
 // spawn runs f in a goroutine that Run waits for. The caller holds mu.
 func (p *Peers) spawn(f func(ctx context.Context)) {
 	if !p.isStopped {
-		ctx := p.ctx // under mu: a link can be accepted just before Run sets it
+		ctx := p.ctx // read under mu: a link may be accepted just before Run sets it
 		p.wg.Go(func() { f(ctx) })
 	}
 }
 
-// update runs one input under the lock and carries out what follows from it.
+// update applies a change under the lock and executes the resulting actions.
 func (p *Peers) update(change func(now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +124,7 @@
 	p.runActions(now)
 }
 
-// tick does what is due. The caller holds mu.
+// tick performs the periodic work. The caller holds mu.
 func (p *Peers) tick(now time.Time) {
 	p.checkPeers(now)
 	p.dialUnlinked(now)
@@ -132,13 +133,13 @@
 	p.requestNewerConfig(now)
 }
 
-// View gives the latest roster view, without a lock.
+// View returns the latest roster view. It takes no lock.
 func (p *Peers) View() *roster.View { return p.machine.View() }
 
-// MayStart tells whether this entry may start key for member: nil when it may,
-// for good. It must be asked before a job is admitted, since what it allowed
-// decides from which birth on a peer is a witness. It takes no lock and
-// allocates nothing when it allows.
+// MayStart returns nil if this entry may start key for member. That permission is
+// permanent. MayStart must be called before a job is admitted: the births that it has
+// permitted determine the birth from which on a peer is a witness. It takes no lock,
+// and allocates nothing if it permits the start.
 func (p *Peers) MayStart(member string, key identity.Key) *errkind.Error {
 	if err := p.machine.View().MayStart(member, key); err != nil {
 		return err
@@ -154,16 +155,16 @@
 	}
 }
 
-// admittedBeforeMs is above every birth that MayStart allowed so far.
+// admittedBeforeMs returns a time above every birth that MayStart has permitted.
 func (p *Peers) admittedBeforeMs() int64 { return p.maxAllowedBirthMs.Load() + 1 }
 
-// Peer is one linked entry.
+// Peer is a linked entry.
 type Peer struct {
 	Addr   wire.EntryAddr
-	Member bool // of the last roster
+	Member bool // whether the entry belongs to the last roster version
 }
 
-// Peers lists the linked entries, sorted.
+// Peers returns the linked entries, sorted by incarnation.
 func (p *Peers) Peers() []Peer {
 	last, _ := p.View().Last()
 	var out []Peer
@@ -174,8 +175,8 @@
 	return out
 }
 
-// Entries lists the entries that guards should link to: this one, those that are
-// linked and those registered in the store.
+// Entries returns the entries that guards should link to: this entry, the linked ones
+// and those registered in the store.
 func (p *Peers) Entries() []wire.EntryAddr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,10 +189,10 @@
 	return out
 }
 
-// Leave takes this entry off the roster, waits until it owns no births any more,
-// and tells its peers. The caller goes on serving meanwhile. It returns an error
-// when ctx ends first; the others then wait for its promises no longer, except
-// as docs/start-at-most-once.md says.
+// Leave removes this entry from the roster and waits until it owns no births any
+// more. The caller must continue to serve meanwhile. Leave returns an error if ctx
+// ends first; peers then no longer wait for this entry's promises, except as
+// described in docs/start-at-most-once.md.
 func (p *Peers) Leave(ctx context.Context) error {
 	p.update(p.machine.Leave)
 	tick := time.NewTicker(tickInterval)
@@ -206,13 +207,14 @@
 	return nil
 }
 
+// hasLeft reports whether a roster without this entry began at least leaveMargin ago.
 func (p *Peers) hasLeft() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.machine.HasLeft(time.Now().Add(-leaveMargin))
 }
 
-// runActions executes all actions of the machines. The caller holds mu.
+// runActions executes the pending actions of all machines. The caller holds mu.
 func (p *Peers) runActions(now time.Time) {
 	p.propagateVersions(now)
 	last, _ := p.View().Last()
@@ -232,8 +234,8 @@
 	}
 }
 
-// propagateVersions tells the other machines of new roster versions, each once and
-// in order.
+// propagateVersions passes new roster versions to the other machines and the hooks,
+// each once and in order.
 func (p *Peers) propagateVersions(now time.Time) {
 	view := p.machine.View()
 	for _, v := range view.Versions() {
@@ -253,7 +255,7 @@
 	}
 	if view.Fenced() && !p.isFenced {
 		p.isFenced = true
-		p.opt.Log.Error("declared gone by a roster", "entry", p.opt.Self.Incarnation)
+		p.opt.Log.Error("this entry was declared gone by a roster", "entry", p.opt.Self.Incarnation)
 		p.hooks.add(p.opt.OnFenced)
 	}
 }
@@ -292,23 +294,24 @@
 	case a.Finding != nil:
 		p.opt.count("recovered." + a.Finding.Verdict.String())
 		for _, ch := range p.recoveryWaiters[a.Finding.Job] {
-			ch <- *a.Finding // buffered, one finding each
+			ch <- *a.Finding // buffered; each channel receives one finding
 		}
 		delete(p.recoveryWaiters, a.Finding.Job)
 	}
 }
 
-// errNotLinked reports a peer to which there is no link.
+// errNotLinked means that there is no link to the peer.
 var errNotLinked = errors.New("no link to the peer")
 
-// sendTo sends a frame to one peer. A frame that is lost with its link is made
-// good when the link comes back: promises and announcements are repeated.
+// sendTo sends a frame to one peer. A frame that is lost with its link needs no
+// retry: promises and announcements are repeated when the link is re-established.
 func (p *Peers) sendTo(to identity.Incarnation, f *wire.Frame) {
 	if l := (*p.links.Load())[to]; l != nil {
 		_ = l.link.Send(f)
 	}
 }
 
+// broadcast sends a frame to all linked peers.
 func (p *Peers) broadcast(f *wire.Frame) {
 	for _, l := range *p.links.Load() {
 		_ = l.link.Send(f)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,9 +17,10 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
+// formationTime is enough for new entries to join the roster and for it to begin.
 const formationTime = roster.DefaultJoinLead + 15*time.Second
 
-// advance lets time pass and everything that is due happen.
+// advance lets fake time pass and waits until all work that became due has been done.
 func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -55,9 +56,8 @@
 	})
 }
 
-// The owner dies while it holds a request that another entry passed on. The
-// caller must hear at once that the home cannot be reached, and not at its
-// deadline.
+// The owner fails while it holds a forwarded request. The caller must receive
+// HomeUnreachable at once and not at its deadline.
 func TestForwardFailsWhenLinkBreaks(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.entries["b"].opt.OnForward = func(ctx context.Context, _ identity.Incarnation, _ *wire.Forward) *wire.Forwarded {
@@ -75,8 +75,8 @@
 	})
 }
 
-// An entry is killed. Within seconds the others have declared it gone and serve
-// what is born from then on; no key ever has two starters.
+// After an entry is lost, the others must declare it gone within seconds and serve
+// births from then on, and no key may ever have two starters.
 func TestIsolatedEntryIsReplaced(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.isolate("b")
@@ -91,8 +91,9 @@
 	})
 }
 
-// A process is paused past its lease and wakes. The others have declared it
-// gone; it must learn that and stop, and the process begins anew.
+// A process is paused for longer than its lease, and the others declare it gone. When
+// it resumes it must receive that and start nothing more; the process then restarts
+// under a new incarnation.
 func TestPausedEntryIsFencedOnReconnect(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.isolate("b")
@@ -104,9 +105,8 @@
 	})
 }
 
-// The store is down for a long stretch and every lease lapses meanwhile. The
-// entries still see each other, so that nobody is declared gone and callers
-// notice nothing.
+// During a long store outage every lease expires. Since the entries still reach each
+// other, none may be declared gone, and callers must be served throughout.
 func TestStoreOutageWithExpiredLeases(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.store.SetDown(true)
@@ -121,9 +121,9 @@
 	})
 }
 
-// The store is down and an entry dies. Without the store nobody can be declared
-// gone, so plain identities are refused until it is back, with a time to come
-// back and nothing started; tickets go on.
+// An entry is lost while the store is down. Without the store it cannot be declared
+// gone, so plain identities must be refused, with a Retry-After and nothing started,
+// until the store is back. Tickets must still be served.
 func TestEntryLossDuringStoreOutage(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.store.SetDown(true)
@@ -137,8 +137,9 @@
 	})
 }
 
-// An entry is started while the store is down. It finds the others by its
-// settings, learns the roster from them and passes plain identities on.
+// An entry that starts while the store is down must find the others by its settings,
+// receive the roster and the configuration from them, and know the owners of plain
+// identities.
 func TestEntryStartedDuringStoreOutage(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.entries["a"].withLock(func() { n.entries["a"].configRevision = 7 })
@@ -153,8 +154,8 @@
 	})
 }
 
-// An operator stops one entry, then all others. Each leaves within seconds, and
-// a fleet that is started afterwards serves at once.
+// One entry stops as planned, then all others. Each must leave within seconds, and a
+// fleet that starts afterwards must serve at once.
 func TestPlannedStops(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		for _, name := range []identity.Incarnation{"c", "a", "b"} {
@@ -169,8 +170,8 @@
 	})
 }
 
-// A caller asks about a booking whose owner was killed. All guards report to the
-// entry that is asked, and the answer is a proved "not run".
+// A caller asks about a job whose owner is lost. Once all guards have reported to the
+// entry that is asked, the answer must be a proved "not run".
 func TestRecoveryProvesNotRun(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		for _, e := range n.entries {
@@ -189,8 +190,8 @@
 	})
 }
 
-// A cut-off entry meets a guard that the others never see. It may not use it:
-// a task started there would make their "not run" false.
+// An isolated entry connects to a guard that no other entry has seen. It must not use
+// the guard: a task started there would make the others' "not run" false.
 func TestIsolatedEntryUsesNoNewGuard(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.isolate("b")
@@ -200,8 +201,8 @@
 	})
 }
 
-// A process with the wrong fleet key, or of another region, dials an entry. It
-// gets no link and sees no frame.
+// A process with the wrong fleet key, of another region, with an incompatible version
+// or with the entry's own incarnation must get no link and receive no frame.
 func TestInvalidHellosAreRefused(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		for _, h := range []wire.PeerHello{
@@ -220,8 +221,9 @@
 	})
 }
 
-// The store loses answers to writes that took effect, and answers from the past,
-// while an entry joins. Nobody may start what another may, and all ends well.
+// While an entry joins, the store loses answers to writes that took effect, and
+// answers with old revisions. No key may have two starters, and the entry must join
+// in the end.
 func TestJoinWithLostAndStaleAnswers(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		oldRevision := n.store.Revision()
@@ -244,9 +246,9 @@
 	})
 }
 
-// Promises, announcements and the store's calls are overhead that every entry
-// pays without a single request. At eight entries it must stay within a small
-// part of the 7 KB/s that a node may spend on control.
+// Every entry pays for promises, announcements and store calls even without requests.
+// With eight entries this must stay within a small part of the 7 KB/s that a node may
+// spend on control.
 func TestIdleCostAtEightEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(t, t.Context(), "a", "b", "c", "d", "e", "f", "g", "h")
@@ -268,16 +270,16 @@
 	})
 }
 
-// An entry is killed or frozen. How long callers are refused is what they notice
-// of it: nothing starts once the horizon is used up, and what the lost entry
-// owns is refused until a roster without it begins.
+// Bounds the time for which callers are refused after an entry is lost: nothing
+// starts once the horizon is used up, and births that the lost entry owns are refused
+// until a roster without it begins.
 func TestRefusalTimeAfterEntryLoss(t *testing.T) {
 	one, two := []identity.Incarnation{"b"}, []identity.Incarnation{"b", "c"}
 	for _, tc := range []struct {
 		name                    string
 		lost                    []identity.Incarnation
 		lose                    func(n *network)
-		allRefused, someRefused time.Duration // bounds
+		allRefused, someRefused time.Duration // maximum
 	}{
 		{"killed", one, func(n *network) { n.isolate("b") }, 2 * time.Second, 10 * time.Second},
 		{"frozen", one, func(n *network) { n.freeze("b") }, 4 * time.Second, 13 * time.Second},
@@ -314,9 +316,9 @@
 	}
 }
 
-// The cable between two entries is cut, and both reach the store and the third.
-// If both stayed in the roster, neither would hear the other's promises and all
-// plain identities would be refused for as long as the cut lasts.
+// The connection between two entries is cut while both reach the store and the third
+// entry. If both stayed in the roster, neither would receive the other's promises,
+// and all plain identities would be refused for as long as the cut lasts.
 func TestCutLinkRemovesOneEntry(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		n.cutLink("a", "b")
@@ -332,9 +334,9 @@
 	})
 }
 
-// A process that knows the fleet's key links as an entry and sends what only
-// guards send, or asks to join in another entry's name. It must be cut off and
-// counted, or it could pass results off as those of a worker.
+// A process that has the fleet key links as an entry and sends frames that only
+// guards send, or a Join in another entry's name. It must be disconnected and
+// counted, or it could pass off its own results as those of a worker.
 func TestPeerSendingGuardFramesIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/peers/registry.go
+++ b/internal/peers/registry.go
@@ -14,16 +14,16 @@
 	"wigeontray/internal/wire"
 )
 
-// Registration is the value under an entry's key in the store.
+// Registration is the value stored under an entry's key.
 type Registration struct {
 	wire.EntryAddr
 	Region string `json:"region"`
 }
 
-// RosterKey is the store key of a region's roster.
+// RosterKey returns the store key of a region's roster.
 func RosterKey(region string) string { return store.RosterKey + "/" + region }
 
-// sleep waits for d or until ctx ends; it tells whether to go on.
+// sleep waits for d or until ctx ends. It reports whether the full time has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -33,9 +33,10 @@
 	}
 }
 
-// keepRegistered keeps this entry's key in the store under a lease. A lease that
-// lapsed while the process was paused, or in an outage, is replaced by a new
-// one; whether the entry was declared gone meanwhile is for the roster to say.
+// keepRegistered keeps this entry's key in the store under a lease. If the lease
+// expires while the process is paused or during an outage, the entry registers again
+// under a new one. Whether it was declared gone in the meantime is decided by the
+// roster.
 func (p *Peers) keepRegistered(ctx context.Context) {
 	for {
 		lease, err := p.registerOnce(ctx)
@@ -54,6 +55,7 @@
 	}
 }
 
+// registerOnce writes this entry's key under a new lease and returns the lease.
 func (p *Peers) registerOnce(ctx context.Context) (store.LeaseID, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -66,8 +68,8 @@
 	if err != nil {
 		return 0, fmt.Errorf("encode the registration: %w", err)
 	}
-	// A key from an earlier attempt, whose answer was lost, hangs on another
-	// lease and would vanish with it.
+	// A key written by an earlier attempt whose answer was lost belongs to another
+	// lease and would be deleted with it, so it is overwritten.
 	kvs, _, err := p.opt.Store.Range(ctx, key)
 	if err != nil {
 		return 0, fmt.Errorf("read the registration: %w", err)
@@ -84,8 +86,8 @@
 	return lease, nil
 }
 
-// renewLease renews the lease until it is gone or ctx ends. Failures of the store
-// are waited out: the lease may still hold.
+// renewLease renews the lease until it has expired or ctx ends. It continues after
+// other store failures, since the lease may still be valid.
 func (p *Peers) renewLease(ctx context.Context, lease store.LeaseID) {
 	for sleep(ctx, p.opt.LeaseTTL/keepAlivesPerTTL) {
 		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -94,7 +96,7 @@
 		switch {
 		case errors.Is(err, store.ErrLeaseGone):
 			p.opt.count("lease_lapsed")
-			p.opt.Log.Warn("lease lapsed; registering again")
+			p.opt.Log.Warn("lease expired; registering again")
 			return
 		case err != nil:
 			p.opt.count("keepalive_failed")
@@ -102,7 +104,8 @@
 	}
 }
 
-// revokeLease ends the lease on a stop, so that nobody has to wait for its end.
+// revokeLease revokes the lease on a stop, so that nobody has to wait until it
+// expires.
 func (p *Peers) revokeLease(lease store.LeaseID) {
 	if lease == 0 {
 		return
@@ -112,8 +115,8 @@
 	_ = p.opt.Store.Revoke(ctx, lease)
 }
 
-// watchPrefix reads all keys under prefix and then watches them, again and again;
-// set gets the whole content after each change.
+// watchPrefix reads all keys under prefix and then watches them; it starts over when
+// the watch ends. onChange receives the whole content after each change.
 func (p *Peers) watchPrefix(ctx context.Context, prefix string, onChange func(kvs map[string]store.KV)) {
 	for {
 		if err := p.watchPrefixOnce(ctx, prefix, onChange); err != nil && ctx.Err() == nil {
@@ -125,6 +128,7 @@
 	}
 }
 
+// watchPrefixOnce reads all keys under prefix and watches them until the watch ends.
 func (p *Peers) watchPrefixOnce(ctx context.Context, prefix string, onChange func(map[string]store.KV)) error {
 	callCtx, cancelCall := context.WithTimeout(ctx, storeTimeout)
 	initial, revision, err := p.opt.Store.Range(callCtx, prefix)
@@ -155,7 +159,7 @@
 	return <-result
 }
 
-// watchEntries keeps the list of registered entries.
+// watchEntries keeps the set of registered entries up to date.
 func (p *Peers) watchEntries(ctx context.Context) {
 	p.watchPrefix(ctx, store.EntryPrefix, func(kvs map[string]store.KV) {
 		var addrs []wire.EntryAddr
@@ -173,13 +177,13 @@
 	})
 }
 
-// watchRoster hands each new value of the roster to the machine.
+// watchRoster passes each new value of the roster to the machine.
 func (p *Peers) watchRoster(ctx context.Context) {
 	key := RosterKey(p.opt.Region)
 	p.watchPrefix(ctx, key, func(kvs map[string]store.KV) { p.handleStoredRoster(kvs[key]) })
 }
 
-// readRoster reads the roster when the machine asks for it.
+// readRoster reads the roster on request of the machine.
 func (p *Peers) readRoster(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -200,17 +204,18 @@
 	p.handleStoredRoster(kvs[i])
 }
 
+// handleStoredRoster passes a value of the roster key to the machine.
 func (p *Peers) handleStoredRoster(kv store.KV) {
 	p.update(func(now time.Time) {
 		if err := p.machine.Stored(now, kv.Value, kv.ModRevision); err != nil {
 			p.opt.count("roster.bad_value")
-			p.opt.Log.Error("roster in the store is not readable", "err", err)
+			p.opt.Log.Error("cannot decode the roster in the store", "err", err)
 		}
 	})
 }
 
-// swapRoster carries out a compare-and-swap of the roster. Every failure but a lost
-// comparison leaves the outcome unknown.
+// swapRoster executes a compare-and-swap of the roster. After any error other than a
+// conflict, the outcome is unknown.
 func (p *Peers) swapRoster(ctx context.Context, s *roster.Swap) {
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/internal/peers/suspicion.go
+++ b/internal/peers/suspicion.go
@@ -9,7 +9,8 @@
 	"wigeontray/internal/wire"
 )
 
-// ensureKnown finds or makes what is kept of an entry. The caller holds mu.
+// ensureKnown returns the state of an entry and creates it if necessary. The caller
+// holds mu.
 func (p *Peers) ensureKnown(now time.Time, e wire.EntryAddr) *peerState {
 	state := p.peerState[e.Incarnation]
 	if state == nil {
@@ -22,11 +23,12 @@
 	return state
 }
 
-// checkPeers tells the roster whom to suspect and who is gone. The caller holds mu.
+// checkPeers reports suspected and gone peers to the roster machine. The caller holds
+// mu.
 //
-// An entry that was itself paused finds every peer silent. Were it to close the
-// links, each request that it had passed on would fail on its return; so a late
-// judgement gives the peers their time anew.
+// After a pause of this process, every peer appears silent. Closing the links would
+// fail each request forwarded over them, so a check that runs late restarts the
+// silence timeout of all peers.
 func (p *Peers) checkPeers(now time.Time) {
 	last, _ := p.View().Last()
 	for _, member := range last.Members {
@@ -38,20 +40,20 @@
 	p.lastPeerCheck = now
 	for inc, state := range p.peerState {
 		if l := (*p.links.Load())[inc]; l != nil && wasPaused {
-			l.lastReceivedMs.Store(now.UnixMilli()) // the silence was this entry's own
+			l.lastReceivedMs.Store(now.UnixMilli()) // this entry was paused, not the peer
 		}
 		p.dropSilentLink(now, inc, last.Has(inc))
 		p.updateSuspicion(now, inc, state)
 		if p.isObsolete(inc, state, last.Has(inc)) {
 			delete(p.peerState, inc)
-			p.machine.Trust(now, inc) // nothing is left to suspect
+			p.machine.Trust(now, inc) // clears the state that the roster machine holds for it
 		}
 	}
 }
 
-// updateSuspicion suspects a peer whose link stays down, and declares it gone when its
-// registration is missing, too. Either alone is not enough: a lease lapses while
-// the store is in trouble, and a cut link leaves a living entry.
+// updateSuspicion suspects a peer whose link stays down, and reports it gone if its
+// registration is missing as well. Neither alone is sufficient: leases expire during
+// store outages, and a broken link may leave a running entry behind.
 func (p *Peers) updateSuspicion(now time.Time, inc identity.Incarnation, state *peerState) {
 	if state.unlinkedSince.IsZero() || now.Sub(state.unlinkedSince) < suspectTimeout {
 		return
@@ -63,7 +65,7 @@
 	p.machine.Suspect(now, inc)
 }
 
-// dropSilentLink ends the link to a member that sends nothing; see silenceTimeout.
+// dropSilentLink closes the link to a member that sends nothing; see silenceTimeout.
 func (p *Peers) dropSilentLink(now time.Time, inc identity.Incarnation, isMember bool) {
 	l := (*p.links.Load())[inc]
 	if l != nil && isMember && now.UnixMilli()-l.lastReceivedMs.Load() >= silenceTimeout.Milliseconds() {
@@ -72,14 +74,15 @@
 	}
 }
 
-// isObsolete tells whether an entry plays no part any more.
+// isObsolete reports whether the state of an entry is no longer needed: it is neither
+// linked, registered nor a member, and was declared gone.
 func (p *Peers) isObsolete(inc identity.Incarnation, state *peerState, isMember bool) bool {
 	return !state.unlinkedSince.IsZero() && !p.registered[inc] && !isMember && p.machine.IsDeclaredGone(inc)
 }
 
-// dialUnlinked opens links to known peers. Of two entries the one whose
-// incarnation sorts first dials, so that they do not replace each other's links.
-// The caller holds mu.
+// dialUnlinked opens links to known entries and to the seeds. Of two entries the one
+// whose incarnation sorts first dials, so that they do not replace each other's
+// links. The caller holds mu.
 func (p *Peers) dialUnlinked(now time.Time) {
 	for inc, state := range p.peerState {
 		if state.unlinkedSince.IsZero() || state.isDialing || now.Before(state.nextDial) || inc < p.opt.Self.Incarnation {
@@ -98,7 +101,7 @@
 	}
 }
 
-// dialSeed dials an address of the settings if no link leads there. An entry
+// dialSeed dials an address from the settings unless a link to it exists. An entry
 // that starts while the store is down finds the others this way.
 func (p *Peers) dialSeed(now time.Time, inner string) {
 	if inner == p.opt.Self.Inner || now.Before(p.nextSeedDial[inner]) {
@@ -113,7 +116,8 @@
 	p.spawn(func(ctx context.Context) { p.dial(ctx, wire.EntryAddr{Inner: inner}) })
 }
 
-// setRegistered takes the store's list of registered entries.
+// setRegistered replaces the set of registered entries by the one read from the
+// store.
 func (p *Peers) setRegistered(now time.Time, addrs []wire.EntryAddr) {
 	p.hasRegistrations = true
 	clear(p.registered)
