--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -6,19 +6,20 @@
 	"wigeontray/internal/wire"
 )
 
-// configPatience is how long a peer's newer configuration is awaited from the
-// store before the peer is asked for it: as a rule the store delivers it to
-// both, and the snapshot need not travel twice.
-const configPatience = time.Second
+// configStoreTimeout is how long this entry waits for the store to deliver a
+// configuration that a peer already has, before it requests it from the peer. The
+// store normally delivers it to both, and then the snapshot need not be sent again.
+const configStoreTimeout = time.Second
 
-// ConfigChanged tells the peers which revision is in force here.
+// ConfigChanged sends the configuration revision in force here to all peers.
 func (p *Peers) ConfigChanged() {
 	p.broadcast(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: p.opt.Revision()}})
 }
 
-// sendConfigIfNewer sends the snapshot to a peer that said it has an older one.
+// sendConfigIfNewer sends the configuration snapshot to a peer that reported an older
+// revision.
 func (p *Peers) sendConfigIfNewer(l *peerLink) {
-	if l.revision.Load() >= p.opt.Revision() {
+	if l.configRevision.Load() >= p.opt.Revision() {
 		return
 	}
 	if c := p.opt.Config(); c != nil {
@@ -26,19 +27,19 @@
 	}
 }
 
-// askConfig asks a peer for its newer configuration by naming the older one in
-// force here. The caller holds mu.
-func (p *Peers) askConfig(now time.Time) {
-	revision := p.opt.Revision()
+// requestNewerConfig requests newer configurations from peers by sending them the
+// older revision in force here; see sendConfigIfNewer. The caller holds mu.
+func (p *Peers) requestNewerConfig(now time.Time) {
+	configRevision := p.opt.Revision()
 	for _, l := range *p.links.Load() {
 		switch {
-		case l.revision.Load() <= revision:
-			l.behindMs = 0
-		case l.behindMs == 0:
-			l.behindMs = now.UnixMilli()
-		case now.UnixMilli()-l.behindMs >= configPatience.Milliseconds():
-			l.behindMs = 0
-			_ = l.link.Send(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: revision}})
+		case l.configRevision.Load() <= configRevision:
+			l.configBehindSinceMs = 0
+		case l.configBehindSinceMs == 0:
+			l.configBehindSinceMs = now.UnixMilli()
+		case now.UnixMilli()-l.configBehindSinceMs >= configStoreTimeout.Milliseconds():
+			l.configBehindSinceMs = 0
+			_ = l.link.Send(&wire.Frame{ConfigAck: &wire.ConfigAck{Revision: configRevision}})
 		}
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -17,75 +17,76 @@
 	"wigeontray/internal/wire"
 )
 
-// Peers is one entry's part in the group of entries of its region.
+// Peers connects one entry with the other entries of its region.
 type Peers struct {
 	opt Options
 
-	// links are read on the path of requests; they are replaced, never changed.
+	// links is read by request handlers. The map is replaced on change and never
+	// modified.
 	links atomic.Pointer[map[identity.Incarnation]*peerLink]
-	// latestMs is the greatest birth that MayStart ever allowed.
-	latestMs atomic.Int64
-	hooks    hookQueue
-	forwards atomic.Int64
+	// maxAllowedBirthMs is the greatest birth that MayStart has permitted.
+	maxAllowedBirthMs atomic.Int64
+	hooks             hookQueue
+	activeForwards    atomic.Int64
 
-	mu        sync.Mutex // guards what follows
-	ctx       context.Context
-	machine   *roster.Machine
-	recovery  *recovery.Machine
-	announcer *recovery.Announcer
-	known     map[identity.Incarnation]*known
-	entries   map[identity.Incarnation]bool // registered in the store
-	listed    bool                          // entries has been read
-	waiting   map[recovery.Job][]chan recovery.Finding
-	seeds     map[string]time.Time // next dial of an address of the settings
-	judged    time.Time            // when peers were last judged
-	version   int64                // last roster version handed on
-	reading   bool
-	fenced    bool
-	stopped   bool // no goroutine may be added to wg any more
-	wg        sync.WaitGroup
+	mu                    sync.Mutex // guards the fields below
+	ctx                   context.Context
+	machine               *roster.Machine
+	recovery              *recovery.Machine
+	announcer             *recovery.Announcer
+	peerState             map[identity.Incarnation]*peerState
+	registered            map[identity.Incarnation]bool // entries registered in the store
+	hasRegistrations      bool                          // registered has been read from the store
+	recoveryWaiters       map[recovery.Job][]chan recovery.Finding
+	nextSeedDial          map[string]time.Time // earliest next dial, by address of Options.Seeds
+	lastPeerCheck         time.Time            // last run of checkPeers
+	lastPropagatedVersion int64                // last version passed to recovery and announcer
+	isReadingRoster       bool
+	isFenced              bool
+	isStopped             bool // no goroutine may be added to wg
+	wg                    sync.WaitGroup
 }
 
-// known is what this entry keeps of another one.
-type known struct {
-	addr        wire.EntryAddr
-	downSince   time.Time // zero while linked
-	absentSince time.Time // zero while registered in the store
-	dialing     bool
-	nextDial    time.Time
+// peerState is what this entry stores about another entry.
+type peerState struct {
+	addr              wire.EntryAddr
+	unlinkedSince     time.Time // zero while linked
+	unregisteredSince time.Time // zero while registered in the store
+	isDialing         bool
+	nextDial          time.Time
 }
 
-// New returns a Peers that does nothing until Run.
+// New returns a Peers. It does nothing until Run is called.
 func New(opt Options) *Peers {
 	p := &Peers{
-		opt:       opt.withDefaults(),
-		ctx:       context.Background(),
-		machine:   roster.NewMachine(opt.Self, opt.Roster),
-		recovery:  recovery.NewMachine(opt.Self.Incarnation, opt.Recovery),
-		announcer: recovery.NewAnnouncer(),
-		known:     make(map[identity.Incarnation]*known),
-		seeds:     make(map[string]time.Time),
-		entries:   make(map[identity.Incarnation]bool),
-		waiting:   make(map[recovery.Job][]chan recovery.Finding),
+		opt:             opt.withDefaults(),
+		ctx:             context.Background(),
+		machine:         roster.NewMachine(opt.Self, opt.Roster),
+		recovery:        recovery.NewMachine(opt.Self.Incarnation, opt.Recovery),
+		announcer:       recovery.NewAnnouncer(),
+		peerState:       make(map[identity.Incarnation]*peerState),
+		nextSeedDial:    make(map[string]time.Time),
+		registered:      make(map[identity.Incarnation]bool),
+		recoveryWaiters: make(map[recovery.Job][]chan recovery.Finding),
 	}
-	p.hooks.wake = make(chan struct{}, 1)
+	p.hooks.notify = make(chan struct{}, 1)
 	p.links.Store(&map[identity.Incarnation]*peerLink{})
 	return p
 }
 
-// Run takes part until ctx ends: it registers this entry, follows the store,
-// dials peers and drives the roster. It returns after all of its goroutines.
+// Run registers this entry, watches the store, dials peers and drives the roster
+// until ctx ends. It returns after all of its goroutines have ended.
 func (p *Peers) Run(ctx context.Context) {
 	p.mu.Lock()
 	p.ctx = ctx
 	p.mu.Unlock()
-	for _, f := range []func(context.Context){p.hooks.run, p.register, p.followEntries, p.followRoster} {
+	for _, f := range []func(context.Context){p.hooks.run, p.keepRegistered, p.watchEntries, p.watchRoster} {
 		p.wg.Go(func() { f(ctx) })
 	}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		p.do(p.tick)
+		p.update(p.tick)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -95,10 +96,10 @@
 	}
 }
 
-// stop ends the links and waits for all goroutines.
+// stop closes the links and waits for all goroutines.
 func (p *Peers) stop() {
 	p.mu.Lock()
-	p.stopped = true
+	p.isStopped = true
 	p.mu.Unlock()
 	for _, l := range *p.links.Load() {
 		l.link.Close("stopping")
@@ -108,62 +109,62 @@
 
 // spawn runs f in a goroutine that Run waits for. The caller holds mu.
 func (p *Peers) spawn(f func(ctx context.Context)) {
-	if !p.stopped {
-		ctx := p.ctx // under mu: a link can be accepted just before Run sets it
+	if !p.isStopped {
+		ctx := p.ctx // read under mu: a link may be accepted just before Run sets it
 		p.wg.Go(func() { f(ctx) })
 	}
 }
 
-// do runs one input under the lock and carries out what follows from it.
-func (p *Peers) do(input func(now time.Time)) {
+// update applies a change under the lock and executes the resulting actions.
+func (p *Peers) update(change func(now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	input(now)
-	p.carryOut(now)
+	change(now)
+	p.runActions(now)
 }
 
-// tick does what is due. The caller holds mu.
+// tick performs the periodic work. The caller holds mu.
 func (p *Peers) tick(now time.Time) {
-	p.judge(now)
-	p.dialMissing(now)
+	p.checkPeers(now)
+	p.dialUnlinked(now)
 	p.machine.Tick(now)
 	p.recovery.Tick(now)
-	p.askConfig(now)
+	p.requestNewerConfig(now)
 }
 
-// View gives the latest roster view, without a lock.
+// View returns the latest roster view. It takes no lock.
 func (p *Peers) View() *roster.View { return p.machine.View() }
 
-// MayStart tells whether this entry may start key for member: nil when it may,
-// for good. It must be asked before a job is admitted, since what it allowed
-// decides from which birth on a peer is a witness. It takes no lock and
-// allocates nothing when it allows.
+// MayStart returns nil if this entry may start key for member. That permission is
+// permanent. MayStart must be called before a job is admitted: the births that it has
+// permitted determine the birth from which on a peer is a witness. It takes no lock,
+// and allocates nothing if it permits the start.
 func (p *Peers) MayStart(member string, key identity.Key) *errkind.Error {
 	if err := p.machine.View().MayStart(member, key); err != nil {
 		return err
 	}
-	if key.Home != "" && key.BirthMs > time.Now().Add(ticketSkew).UnixMilli() {
+	if key.Home != "" && key.BirthMs > time.Now().Add(maxTicketSkew).UnixMilli() {
 		return errkind.New(errkind.BadRequest, "the ticket's birth lies in the future")
 	}
 	for {
-		latest := p.latestMs.Load()
-		if key.BirthMs <= latest || p.latestMs.CompareAndSwap(latest, key.BirthMs) {
+		maxMs := p.maxAllowedBirthMs.Load()
+		if key.BirthMs <= maxMs || p.maxAllowedBirthMs.CompareAndSwap(maxMs, key.BirthMs) {
 			return nil
 		}
 	}
 }
 
-// beyond is above every birth that MayStart allowed so far.
-func (p *Peers) beyond() int64 { return p.latestMs.Load() + 1 }
+// admittedBeforeMs returns a time above every birth that MayStart has permitted.
+func (p *Peers) admittedBeforeMs() int64 { return p.maxAllowedBirthMs.Load() + 1 }
 
-// Peer is one linked entry.
+// Peer is a linked entry.
 type Peer struct {
 	Addr   wire.EntryAddr
-	Member bool // of the last roster
+	Member bool // whether the entry belongs to the last roster version
 }
 
-// Peers lists the linked entries, sorted.
+// Peers returns the linked entries, sorted by incarnation.
 func (p *Peers) Peers() []Peer {
 	last, _ := p.View().Last()
 	var out []Peer
@@ -174,29 +175,29 @@
 	return out
 }
 
-// Entries lists the entries that guards should link to: this one, those that are
-// linked and those registered in the store.
+// Entries returns the entries that guards should link to: this entry, the linked ones
+// and those registered in the store.
 func (p *Peers) Entries() []wire.EntryAddr {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := []wire.EntryAddr{p.opt.Self}
-	for _, inc := range slices.Sorted(maps.Keys(p.known)) {
-		if k := p.known[inc]; k.downSince.IsZero() || p.entries[inc] {
-			out = append(out, k.addr)
+	for _, inc := range slices.Sorted(maps.Keys(p.peerState)) {
+		if state := p.peerState[inc]; state.unlinkedSince.IsZero() || p.registered[inc] {
+			out = append(out, state.addr)
 		}
 	}
 	return out
 }
 
-// Leave takes this entry off the roster, waits until it owns no births any more,
-// and tells its peers. The caller goes on serving meanwhile. It returns an error
-// when ctx ends first; the others then wait for its promises no longer, except
-// as docs/start-at-most-once.md says.
+// Leave removes this entry from the roster and waits until it owns no births any
+// more. The caller must continue to serve meanwhile. Leave returns an error if ctx
+// ends first; peers then no longer wait for this entry's promises, except as
+// described in docs/start-at-most-once.md.
 func (p *Peers) Leave(ctx context.Context) error {
-	p.do(p.machine.Leave)
-	tick := time.NewTicker(tickEvery)
+	p.update(p.machine.Leave)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	for !p.left() {
+	for !p.hasLeft() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -206,19 +207,20 @@
 	return nil
 }
 
-func (p *Peers) left() bool {
+// hasLeft reports whether a roster without this entry began at least leaveMargin ago.
+func (p *Peers) hasLeft() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.machine.Left(time.Now().Add(-leaveSkew))
+	return p.machine.HasLeft(time.Now().Add(-leaveMargin))
 }
 
-// carryOut executes all actions of the machines. The caller holds mu.
-func (p *Peers) carryOut(now time.Time) {
-	p.handOnVersions(now)
+// runActions executes the pending actions of all machines. The caller holds mu.
+func (p *Peers) runActions(now time.Time) {
+	p.propagateVersions(now)
 	last, _ := p.View().Last()
-	p.announcer.Grant(last.Version, last.Has, p.beyond())
+	p.announcer.Grant(last.Version, last.Has, p.admittedBeforeMs())
 	for _, a := range p.machine.Actions() {
-		p.carryOutRoster(a)
+		p.runRosterAction(a)
 	}
 	for _, a := range p.announcer.Actions() {
 		if a.Witness != nil {
@@ -228,22 +230,22 @@
 		}
 	}
 	for _, a := range p.recovery.Actions() {
-		p.carryOutRecovery(a)
+		p.runRecoveryAction(a)
 	}
 }
 
-// handOnVersions tells the other machines of new roster versions, each once and
-// in order.
-func (p *Peers) handOnVersions(now time.Time) {
+// propagateVersions passes new roster versions to the other machines and the hooks,
+// each once and in order.
+func (p *Peers) propagateVersions(now time.Time) {
 	view := p.machine.View()
 	for _, v := range view.Versions() {
-		if v.Version <= p.version {
+		if v.Version <= p.lastPropagatedVersion {
 			continue
 		}
-		gap := p.version != 0 && v.Version != p.version+1
-		p.version = v.Version
+		hasGap := p.lastPropagatedVersion != 0 && v.Version != p.lastPropagatedVersion+1
+		p.lastPropagatedVersion = v.Version
 		p.opt.Log.Info("roster", "version", v.Version, "members", len(v.Members), "gone", v.Gone)
-		p.recovery.Roster(now, v.Message(), gap)
+		p.recovery.Roster(now, v.Message(), hasGap)
 		p.announcer.Roster(v.Version, v.Has, view.Fenced())
 		for _, inc := range v.Gone {
 			if inc != p.opt.Self.Incarnation {
@@ -251,14 +253,14 @@
 			}
 		}
 	}
-	if view.Fenced() && !p.fenced {
-		p.fenced = true
-		p.opt.Log.Error("declared gone by a roster", "entry", p.opt.Self.Incarnation)
+	if view.Fenced() && !p.isFenced {
+		p.isFenced = true
+		p.opt.Log.Error("this entry was declared gone by a roster", "entry", p.opt.Self.Incarnation)
 		p.hooks.add(p.opt.OnFenced)
 	}
 }
 
-func (p *Peers) carryOutRoster(a roster.Action) {
+func (p *Peers) runRosterAction(a roster.Action) {
 	switch {
 	case a.Broadcast != nil:
 		p.broadcast(&wire.Frame{Promise: a.Broadcast})
@@ -274,14 +276,14 @@
 	case a.Join != nil:
 		p.sendTo(a.Join.To, &wire.Frame{Join: a.Join.Ask})
 	case a.Swap != nil:
-		p.spawn(func(ctx context.Context) { p.swap(ctx, a.Swap) })
-	case a.Read && !p.reading:
-		p.reading = true
+		p.spawn(func(ctx context.Context) { p.swapRoster(ctx, a.Swap) })
+	case a.Read && !p.isReadingRoster:
+		p.isReadingRoster = true
 		p.spawn(p.readRoster)
 	}
 }
 
-func (p *Peers) carryOutRecovery(a recovery.Action) {
+func (p *Peers) runRecoveryAction(a recovery.Action) {
 	switch {
 	case a.Fence != nil:
 		p.opt.ToGuard(a.Guard, &wire.Frame{Fence: a.Fence})
@@ -291,24 +293,25 @@
 		p.sendTo(a.Peer, &wire.Frame{Witnessed: a.Acknowledge})
 	case a.Finding != nil:
 		p.opt.count("recovered." + a.Finding.Verdict.String())
-		for _, ch := range p.waiting[a.Finding.Job] {
-			ch <- *a.Finding // buffered, one finding each
+		for _, ch := range p.recoveryWaiters[a.Finding.Job] {
+			ch <- *a.Finding // buffered; each channel receives one finding
 		}
-		delete(p.waiting, a.Finding.Job)
+		delete(p.recoveryWaiters, a.Finding.Job)
 	}
 }
 
-// errNotLinked reports a peer to which there is no link.
+// errNotLinked means that there is no link to the peer.
 var errNotLinked = errors.New("no link to the peer")
 
-// sendTo sends a frame to one peer. A frame that is lost with its link is made
-// good when the link comes back: promises and announcements are repeated.
+// sendTo sends a frame to one peer. A frame that is lost with its link needs no
+// retry: promises and announcements are repeated when the link is re-established.
 func (p *Peers) sendTo(to identity.Incarnation, f *wire.Frame) {
 	if l := (*p.links.Load())[to]; l != nil {
 		_ = l.link.Send(f)
 	}
 }
 
+// broadcast sends a frame to all linked peers.
 func (p *Peers) broadcast(f *wire.Frame) {
 	for _, l := range *p.links.Load() {
 		_ = l.link.Send(f)
