--- a/internal/confsync/amend_test.go
+++ b/internal/confsync/amend_test.go
@@ -17,16 +17,16 @@
 	"wigeontray/internal/store"
 )
 
-// put amends the member ayni through the Sync under test.
-func (f *fixture) put(region string, expect int64) (int64, error) {
-	return f.amender.Put(f.t.Context(), record.KindMember, "ayni", member(region), expect)
+// putMember amends the member ayni through the Sync under test.
+func (f *fixture) putMember(region string, expectedRevision int64) (int64, error) {
+	return f.writer.Put(f.t.Context(), record.KindMember, "ayni", memberJSON(region), expectedRevision)
 }
 
 // stored is the member ayni's region in the store itself; "" if it is not there.
 func (f *fixture) stored() (region string, revision int64) {
 	f.server.SetDown(false)
 	f.server.SetDelay(0)
-	kvs, _, err := f.client().Range(f.t.Context(), record.Key(record.KindMember, "ayni"))
+	kvs, _, err := f.newStoreClient().Range(f.t.Context(), record.Key(record.KindMember, "ayni"))
 	f.Assert(err, qt.IsNil)
 	if len(kvs) == 0 {
 		return "", 0
@@ -46,10 +46,10 @@
 // Two operators amend the same revision at the same moment. One must win and
 // the other be told so with the revision that is there now; were both told
 // "done", one amendment would be lost without anybody knowing.
-func TestTwoOperatorsRace(t *testing.T) {
-	run(t, func(f *fixture) {
-		base := f.write("lima", 0)
-		other := f.start()
+func TestConcurrentWritesOneWinsAndOneConflicts(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		base := f.writeMember("lima", 0)
+		other := f.startEntry()
 		type outcome struct {
 			revision int64
 			err      error
@@ -58,95 +58,95 @@
 		outcomes := make([]outcome, 2)
 		for i, s := range []*Sync{f.sync, other} {
 			wg.Go(func() {
-				r, err := s.Put(f.t.Context(), record.KindMember, "ayni", member(fmt.Sprintf("region-%d", i)), base)
+				r, err := s.Put(f.t.Context(), record.KindMember, "ayni", memberJSON(fmt.Sprintf("region-%d", i)), base)
 				outcomes[i] = outcome{r, err}
 			})
 		}
 		wg.Wait()
-		won, lost := 0, 1
+		winner, loser := 0, 1
 		if outcomes[0].err != nil {
-			won, lost = 1, 0
+			winner, loser = 1, 0
 		}
-		f.Assert(outcomes[won].err, qt.IsNil)
-		f.assertConflict(outcomes[lost].err, outcomes[won].revision)
+		f.Assert(outcomes[winner].err, qt.IsNil)
+		f.assertConflict(outcomes[loser].err, outcomes[winner].revision)
 		stored, _ := f.stored()
-		f.Assert(stored, qt.Equals, fmt.Sprintf("region-%d", won))
+		f.Assert(stored, qt.Equals, fmt.Sprintf("region-%d", winner))
 	})
 }
 
 // The write took effect and its answer was lost. An operator who is told that
 // it failed would amend again and meet a conflict with nobody.
-func TestLostAnswerIsFoundOnReadingBack(t *testing.T) {
-	run(t, func(f *fixture) {
-		for _, expect := range []int64{0, 2} {
+func TestLostResponseIsResolvedByReadingBack(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		for _, expectedRevision := range []int64{0, 2} {
 			f.server.LoseAnswers(1)
-			revision, err := f.put("lima", expect)
+			revision, err := f.putMember("lima", expectedRevision)
 			f.Assert(err, qt.IsNil)
 			_, stored := f.stored()
 			f.Assert(revision, qt.Equals, stored)
 		}
-		f.Assert(counter(f.amender, "amend.recovered"), qt.Equals, int64(2))
+		f.Assert(counter(f.writer, "amend.recovered"), qt.Equals, int64(2))
 	})
 }
 
 // The answer was lost and another operator has amended the record since. The
 // record carries the other's write identity, yet this write did take effect:
 // "conflict, nothing written" would be false.
-func TestLostAnswerThenAmendedByAnother(t *testing.T) {
-	run(t, func(f *fixture) {
-		base := f.write("lima", 0)
+func TestLostResponseThenOverwrittenByAnother(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		base := f.writeMember("lima", 0)
 		f.server.LoseAnswers(1)
-		c := f.sendLosing(&change{kind: record.KindMember, name: "ayni", expect: base}, "cusco")
-		f.write("tacna", c.revision)
-		o, revision, current := f.amender.resolve(f.t.Context(), c.change)
-		f.Assert(o, qt.Equals, tookEffect)
+		c := f.sendWithLostResponse(&change{kind: record.KindMember, name: "ayni", expectedRevision: base}, "cusco")
+		f.writeMember("tacna", c.revision)
+		o, revision, current := f.writer.resolveOutcome(f.t.Context(), c.change)
+		f.Assert(o, qt.Equals, outcomeApplied)
 		f.Assert(revision, qt.Equals, c.revision)
 		f.Assert(current, qt.Equals, c.revision+1)
 	})
 }
 
-// sent is a change whose answer was lost, with the revision it got.
-type sent struct {
+// sentChange is a change whose answer was lost, with the revision it got.
+type sentChange struct {
 	change   *change
 	revision int64
 }
 
-func (f *fixture) sendLosing(c *change, region string) sent {
-	value, err := record.WithWriteID(member(region), "w-1")
+func (f *fixture) sendWithLostResponse(c *change, region string) sentChange {
+	value, err := record.WithWriteID(memberJSON(region), "w-1")
 	f.Assert(err, qt.IsNil)
-	c.value, c.writeID, c.base = value, "w-1", max(c.expect, f.amender.Revision())
-	_, err = f.amender.send(f.t.Context(), c)
+	c.value, c.writeID, c.baseRevision = value, "w-1", max(c.expectedRevision, f.writer.Revision())
+	_, err = f.writer.send(f.t.Context(), c)
 	f.Assert(err, qt.ErrorIs, store.ErrUnavailable)
-	return sent{c, f.server.Revision()}
+	return sentChange{c, f.server.Revision()}
 }
 
 // A new record was written, its answer was lost, and another operator deleted
 // it before it was looked up. To write it again would bring back what the other
 // operator was told is gone.
-func TestLostAnswerThenDeletedByAnother(t *testing.T) {
-	run(t, func(f *fixture) {
+func TestLostResponseThenDeletedByAnother(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
 		f.server.LoseAnswers(1)
-		c := f.sendLosing(&change{kind: record.KindMember, name: "ayni"}, "cusco")
-		_, err := f.client().Delete(f.t.Context(), c.change.key(), c.revision)
+		c := f.sendWithLostResponse(&change{kind: record.KindMember, name: "ayni"}, "cusco")
+		_, err := f.newStoreClient().Delete(f.t.Context(), c.change.key(), c.revision)
 		f.Assert(err, qt.IsNil)
-		o, revision, _ := f.amender.resolve(f.t.Context(), c.change)
-		f.Assert(o, qt.Equals, tookEffect)
+		o, revision, _ := f.writer.resolveOutcome(f.t.Context(), c.change)
+		f.Assert(o, qt.Equals, outcomeApplied)
 		f.Assert(revision, qt.Equals, c.revision)
 	})
 }
 
-// resolveWithin looks for a change for a limited time.
-func (f *fixture) resolveWithin(d time.Duration, c *change) outcome {
-	ctx, cancel := context.WithTimeout(f.t.Context(), d)
+// resolveWithTimeout looks for a change for a limited time.
+func (f *fixture) resolveWithTimeout(timeout time.Duration, c *change) outcome {
+	ctx, cancel := context.WithTimeout(f.t.Context(), timeout)
 	defer cancel()
-	o, _, _ := f.amender.resolve(ctx, c)
-	return o
+	result, _, _ := f.writer.resolveOutcome(ctx, c)
+	return result
 }
 
 // The answer was lost, another operator deleted the record, and the store's
 // watches are silent, or open too late, so that its history cannot be seen. A
 // history that was not seen must not be read as one without this write.
-func TestHistoryThatCannotBeSeenProvesNothing(t *testing.T) {
+func TestUnreadableHistoryLeavesOutcomeUnknown(t *testing.T) {
 	for name, hide := range map[string]func(*fixture){
 		"silent": func(f *fixture) { f.server.StallWatches(true) },
 		"slow":   func(f *fixture) { f.server.SetDelay(700 * time.Millisecond) },
@@ -155,17 +155,17 @@
 			if name == "silent" && create {
 				continue // told from a history without events by nothing but time
 			}
-			run(t, func(f *fixture) {
-				var expect int64
+			runWithStore(t, func(f *fixture) {
+				var expectedRevision int64
 				if !create {
-					expect = f.write("lima", 0)
+					expectedRevision = f.writeMember("lima", 0)
 				}
 				f.server.LoseAnswers(1)
-				c := f.sendLosing(&change{kind: record.KindMember, name: "ayni", expect: expect}, "cusco")
-				_, err := f.client().Delete(f.t.Context(), c.change.key(), c.revision)
+				c := f.sendWithLostResponse(&change{kind: record.KindMember, name: "ayni", expectedRevision: expectedRevision}, "cusco")
+				_, err := f.newStoreClient().Delete(f.t.Context(), c.change.key(), c.revision)
 				f.Assert(err, qt.IsNil)
 				hide(f)
-				f.Assert(f.resolveWithin(5*time.Second, c.change), qt.Equals, unknown, qt.Commentf("%s, create %v", name, create))
+				f.Assert(f.resolveWithTimeout(5*time.Second, c.change), qt.Equals, outcomeUnknown, qt.Commentf("%s, create %v", name, create))
 			})
 		}
 	}
@@ -174,10 +174,10 @@
 // A client uses one write identity for two amendments, and the second one never
 // arrives. The record as it was carries the same identity; it must not be taken
 // for the second amendment.
-func TestWriteIdentityUsedTwice(t *testing.T) {
-	run(t, func(f *fixture) {
+func TestReusedWriteIDIsNotTakenForTheSecondWrite(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
 		put := func(region string, expect int64) (int64, error) {
-			return f.amender.PutAs(f.t.Context(), "one-for-both", record.KindMember, "ayni", member(region), expect)
+			return f.writer.PutWithWriteID(f.t.Context(), "one-for-both", record.KindMember, "ayni", memberJSON(region), expect)
 		}
 		base, err := put("lima", 0)
 		f.Assert(err, qt.IsNil)
@@ -193,12 +193,12 @@
 
 // The connection breaks before the store has seen the write, and the store is
 // back a moment later. The write is sent again, and takes effect once.
-func TestWriteThatNeverArrivedIsSentAgain(t *testing.T) {
-	run(t, func(f *fixture) {
-		base := f.write("lima", 0)
+func TestUndeliveredWriteIsRetried(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		base := f.writeMember("lima", 0)
 		f.server.SetDown(true)
 		time.AfterFunc(2*time.Second, func() { f.server.SetDown(false) })
-		revision, err := f.put("cusco", base)
+		revision, err := f.putMember("cusco", base)
 		f.Assert(err, qt.IsNil)
 		f.Assert(revision, qt.Equals, base+1)
 	})
@@ -206,16 +206,16 @@
 
 // The connection breaks before the store has seen the write, and another
 // operator amends the record in the meantime: this write lost.
-func TestWriteThatNeverArrivedLosesTheRace(t *testing.T) {
-	run(t, func(f *fixture) {
-		base := f.write("lima", 0)
+func TestUndeliveredWriteConflictsWithAnotherWrite(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		base := f.writeMember("lima", 0)
 		f.server.SetDown(true)
 		result := make(chan error, 1)
-		go func() { _, err := f.put("cusco", base); result <- err }()
+		go func() { _, err := f.putMember("cusco", base); result <- err }()
 		time.Sleep(2 * time.Second)
 		f.server.SetDown(false)
 		// The retry needs a moment; the other operator is faster.
-		current, err := f.client().Put(f.t.Context(), record.Key(record.KindMember, "ayni"), member("tacna"), base, 0)
+		current, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindMember, "ayni"), memberJSON("tacna"), base, 0)
 		f.Assert(err, qt.IsNil)
 		f.assertConflict(<-result, current)
 		region, _ := f.stored()
@@ -225,12 +225,12 @@
 
 // The answer was lost and the store stays down. Neither "done" nor "conflict"
 // can be known; the operator is told so within the limit, and what may be done.
-func TestOutcomeThatCannotBeKnownIsSaidToBeUnknown(t *testing.T) {
-	run(t, func(f *fixture) {
+func TestUnresolvableOutcomeIsReportedAsUnknown(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
 		f.server.LoseAnswers(1)
 		f.server.SetDelay(10 * time.Millisecond)
 		result := make(chan error, 1)
-		go func() { _, err := f.put("lima", 0); result <- err }()
+		go func() { _, err := f.putMember("lima", 0); result <- err }()
 		for f.server.Revision() == 1 {
 			time.Sleep(time.Millisecond)
 		}
@@ -240,37 +240,37 @@
 		f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
 		f.Assert(errkind.From(err).Ran, qt.Equals, errkind.RanUnknown)
 		f.Assert(err, qt.ErrorMatches, `.*not known; read the record.*`)
-		f.Assert(time.Since(start) <= DefaultResolveWithin, qt.IsTrue)
+		f.Assert(time.Since(start) <= DefaultResolveTimeout, qt.IsTrue)
 	})
 }
 
 // The store hangs for longer than a call may take while two operators amend
 // the same record. Whoever is told "done" must be in the store, whoever is told
 // "conflict" must not, and nobody may be told both.
-func TestSlowStoreAndLostAnswers(t *testing.T) {
+func TestConcurrentWritesWithSlowStoreAndLostResponses(t *testing.T) {
 	for seed := range 20 {
-		run(t, func(f *fixture) {
-			base := f.write("lima", 0)
-			other := New(Options{Store: f.client()})
+		runWithStore(t, func(f *fixture) {
+			base := f.writeMember("lima", 0)
+			other := New(Options{Store: f.newStoreClient()})
 			f.server.LoseAnswers(1 + seed%3)
 			f.server.SetDelay(time.Duration(seed) * 150 * time.Millisecond)
 			time.AfterFunc(time.Duration(seed)*time.Second/3, func() { f.server.SetDelay(0) })
 			errs := make([]error, 2)
 			var wg sync.WaitGroup
-			for i, s := range []*Sync{f.amender, other} {
+			for i, s := range []*Sync{f.writer, other} {
 				wg.Go(func() {
-					_, errs[i] = s.Put(f.t.Context(), record.KindMember, "ayni", member(fmt.Sprintf("region-%d", i)), base)
+					_, errs[i] = s.Put(f.t.Context(), record.KindMember, "ayni", memberJSON(fmt.Sprintf("region-%d", i)), base)
 				})
 			}
 			wg.Wait()
 			stored, _ := f.stored()
 			for i, err := range errs {
-				mine := stored == fmt.Sprintf("region-%d", i)
+				isStored := stored == fmt.Sprintf("region-%d", i)
 				switch errkind.Of(err) {
 				case errkind.None:
-					f.Assert(mine, qt.IsTrue, qt.Commentf("seed %d", seed))
+					f.Assert(isStored, qt.IsTrue, qt.Commentf("seed %d", seed))
 				case errkind.RecordConflict:
-					f.Assert(mine, qt.IsFalse, qt.Commentf("seed %d", seed))
+					f.Assert(isStored, qt.IsFalse, qt.Commentf("seed %d", seed))
 				default:
 					f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable, qt.Commentf("seed %d", seed))
 				}
@@ -282,27 +282,27 @@
 // A write sits in a queue of the store until its sender has given up on it, then
 // takes effect, just ahead of the same write sent again. The second meets the
 // first; to report that as a conflict would blame an operator who is not there.
-func TestWriteThatArrivesLateMeetsItself(t *testing.T) {
-	run(t, func(f *fixture) {
-		base := f.write("lima", 0)
+func TestDelayedWriteDoesNotConflictWithItsRetry(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		base := f.writeMember("lima", 0)
 		f.server.DelayWrites(1100*time.Millisecond, 300*time.Millisecond)
-		revision, err := f.put("cusco", base)
+		revision, err := f.putMember("cusco", base)
 		f.Assert(err, qt.IsNil)
 		f.Assert(revision, qt.Equals, base+1)
 	})
 }
 
 // A deletion takes effect and its answer is lost.
-func TestLostAnswerOfADeletion(t *testing.T) {
-	run(t, func(f *fixture) {
-		base := f.write("lima", 0)
+func TestLostResponseOfADeletion(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		base := f.writeMember("lima", 0)
 		f.server.LoseAnswers(1)
-		revision, err := f.amender.Delete(f.t.Context(), record.KindMember, "ayni", base)
+		revision, err := f.writer.Delete(f.t.Context(), record.KindMember, "ayni", base)
 		f.Assert(err, qt.IsNil)
 		f.Assert(revision, qt.Equals, base+1)
 		_, stored := f.stored()
 		f.Assert(stored, qt.Equals, int64(0))
-		_, err = f.amender.Delete(f.t.Context(), record.KindMember, "ayni", base)
+		_, err = f.writer.Delete(f.t.Context(), record.KindMember, "ayni", base)
 		f.assertConflict(err, 0)
 	})
 }
@@ -310,7 +310,7 @@
 // An operator sends a record that is spoilt or stands under another's name. It
 // must be refused before the store sees it, with the field that is wrong.
 func TestInvalidRecordIsNotWritten(t *testing.T) {
-	run(t, func(f *fixture) {
+	runWithStore(t, func(f *fixture) {
 		for value, want := range map[string]string{
 			`{"kind":"member","name":"leeuwin","schema":1}`:             `.*name: .*`,
 			`{"kind":"member","name":"ayni","schema":1,"teams":["A"]}`:  `.*teams\.0: .*`,
@@ -319,7 +319,7 @@
 			`{"kind":"member","name":"ayni","schema":1,"name":"ayni"}`:  `.*name: stands twice`,
 			`[]`: `.*want a JSON object.*`,
 		} {
-			_, err := f.amender.Put(f.t.Context(), record.KindMember, "ayni", []byte(value), 0)
+			_, err := f.writer.Put(f.t.Context(), record.KindMember, "ayni", []byte(value), 0)
 			f.Check(errkind.Of(err), qt.Equals, errkind.RecordInvalid)
 			f.Check(err, qt.ErrorMatches, want)
 		}
@@ -330,45 +330,45 @@
 // An operator deletes a member whose services are in use. Its callers must be
 // refused everywhere, not served by a service without an owner; and when the
 // record comes back, so does the service.
-func TestDeletedMemberTakesItsServicesOutOfForce(t *testing.T) {
-	run(t, func(f *fixture) {
-		revision := f.write("lima", 0)
-		_, err := f.amender.Put(f.t.Context(), record.KindService, "ayni/reserva", []byte(`{"kind":"service","name":"ayni/reserva","schema":2}`), 0)
+func TestDeletingAMemberDisablesItsServices(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		revision := f.writeMember("lima", 0)
+		_, err := f.writer.Put(f.t.Context(), record.KindService, "ayni/reserva", []byte(`{"kind":"service","name":"ayni/reserva","schema":2}`), 0)
 		f.Assert(err, qt.IsNil)
 		synctest.Wait()
-		inForce := func() bool { _, ok := f.sync.Current().Service("ayni/reserva"); return ok }
-		f.Assert(inForce(), qt.IsTrue)
-		_, err = f.amender.Delete(f.t.Context(), record.KindMember, "ayni", revision)
+		isServiceActive := func() bool { _, ok := f.sync.Current().Service("ayni/reserva"); return ok }
+		f.Assert(isServiceActive(), qt.IsTrue)
+		_, err = f.writer.Delete(f.t.Context(), record.KindMember, "ayni", revision)
 		f.Assert(err, qt.IsNil)
 		synctest.Wait()
-		f.Assert(inForce(), qt.IsFalse)
-		f.write("lima", 0)
-		f.Assert(inForce(), qt.IsTrue)
+		f.Assert(isServiceActive(), qt.IsFalse)
+		f.writeMember("lima", 0)
+		f.Assert(isServiceActive(), qt.IsTrue)
 	})
 }
 
 // An operator's client goes away in the middle of an amendment. The call ends
 // with it and says that the outcome is unknown.
-func TestCallerThatGivesUp(t *testing.T) {
-	run(t, func(f *fixture) {
+func TestCallerTimeoutEndsTheWrite(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
 		f.server.SetDown(true)
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Second)
 		defer cancel()
-		_, err := f.amender.Put(ctx, record.KindMember, "ayni", member("lima"), 0)
+		_, err := f.writer.Put(ctx, record.KindMember, "ayni", memberJSON("lima"), 0)
 		f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
 	})
 }
 
 // The store refuses connections. The write cannot have taken effect, and the
 // operator is told so at once, not after ten seconds and not as "unknown".
-func TestStoreThatRefusesConnections(t *testing.T) {
+func TestRefusedConnectionMeansNotWritten(t *testing.T) {
 	c := qt.New(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	closed.Close()
 	s := New(Options{Store: store.NewEtcd(store.Options{Endpoints: []string{"http://" + closed.Addr().String()}})})
 	start := time.Now()
-	_, err = s.Put(t.Context(), record.KindMember, "ayni", member("lima"), 0)
+	_, err = s.Put(t.Context(), record.KindMember, "ayni", memberJSON("lima"), 0)
 	c.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
 	c.Assert(errkind.From(err).Ran, qt.Equals, errkind.RanNo)
 	c.Assert(time.Since(start) < time.Second, qt.IsTrue)
@@ -377,21 +377,21 @@
 // The store has been down for a while. An amendment is refused at once and for
 // certain, and says when to come back; it must not take ten seconds to end in
 // "unknown".
-func TestAmendmentDuringAnOutageIsRefusedAtOnce(t *testing.T) {
-	run(t, func(f *fixture) {
-		revision := f.write("lima", 0)
+func TestWriteDuringAnOutageFailsImmediately(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		revision := f.writeMember("lima", 0)
 		f.server.SetDown(true)
 		time.Sleep(time.Minute)
 		start := time.Now()
-		_, err := f.sync.Put(f.t.Context(), record.KindMember, "ayni", member("cusco"), revision)
+		_, err := f.sync.Put(f.t.Context(), record.KindMember, "ayni", memberJSON("cusco"), revision)
 		f.Assert(time.Since(start), qt.Equals, time.Duration(0))
 		f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
 		f.Assert(errkind.From(err).Ran, qt.Equals, errkind.RanNo)
-		f.Assert(errkind.From(err).After, qt.Equals, DefaultBackoffMax)
+		f.Assert(errkind.From(err).After, qt.Equals, DefaultMaxBackoff)
 		region, _ := f.stored()
 		f.Assert(region, qt.Equals, "lima")
-		time.Sleep(DefaultBackoffMax + time.Second)
-		_, err = f.sync.Put(f.t.Context(), record.KindMember, "ayni", member("cusco"), revision)
+		time.Sleep(DefaultMaxBackoff + time.Second)
+		_, err = f.sync.Put(f.t.Context(), record.KindMember, "ayni", memberJSON("cusco"), revision)
 		f.Assert(err, qt.IsNil)
 	})
 }
@@ -399,13 +399,13 @@
 // The store answers an operator's amendment before its watch tells the entry of it. He
 // reads the record at the same entry and finds the old value under the old revision, as
 // if he had not been told that his amendment took effect.
-func TestAmendmentIsReadAtTheEntryThatConfirmedIt(t *testing.T) {
+func TestConfirmedWriteIsVisibleAtTheSameEntry(t *testing.T) {
 	const delay = 300 * time.Millisecond
-	run(t, func(f *fixture) {
-		first := f.write("lima", 0)
+	runWithStore(t, func(f *fixture) {
+		first := f.writeMember("lima", 0)
 		f.server.StallWatches(true)
 		time.AfterFunc(delay, func() { f.server.StallWatches(false) })
-		second, err := f.sync.Put(f.t.Context(), record.KindMember, "ayni", member("cusco"), first)
+		second, err := f.sync.Put(f.t.Context(), record.KindMember, "ayni", memberJSON("cusco"), first)
 		f.Assert(err, qt.IsNil)
 		f.Check(f.sync.Revision() >= second, qt.IsTrue)
 		f.Check(region(f.sync), qt.Equals, "cusco")
@@ -415,13 +415,13 @@
 
 // The watch of the entry is silent. The operator is told within a second or so that his
 // amendment took effect, and not only when the silent watch has been found out.
-func TestAmendmentIsConfirmedThoughTheWatchIsSilent(t *testing.T) {
-	run(t, func(f *fixture) {
-		first := f.write("lima", 0)
+func TestWriteIsConfirmedWhileTheWatchIsStalled(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		first := f.writeMember("lima", 0)
 		f.server.StallWatches(true)
-		began := time.Now()
-		_, err := f.sync.Put(f.t.Context(), record.KindMember, "ayni", member("cusco"), first)
+		start := time.Now()
+		_, err := f.sync.Put(f.t.Context(), record.KindMember, "ayni", memberJSON("cusco"), first)
 		f.Assert(err, qt.IsNil)
-		f.Check(time.Since(began) <= showWithin, qt.IsTrue)
+		f.Check(time.Since(start) <= applyWaitTimeout, qt.IsTrue)
 	})
 }
--- a/internal/confsync/share_test.go
+++ b/internal/confsync/share_test.go
@@ -9,37 +9,37 @@
 	"wigeontray/internal/record"
 )
 
-// sealed gives a Sync with a sealing key that follows no store.
-func (f *fixture) sealed(key string) *Sync {
+// newSealedSync gives a Sync with a sealing key that follows no store.
+func (f *fixture) newSealedSync(key string) *Sync {
 	sealer, err := record.NewSealer(key)
 	f.Assert(err, qt.IsNil)
-	return New(Options{Store: f.client(), Sealer: sealer})
+	return New(Options{Store: f.newStoreClient(), Sealer: sealer})
 }
 
 // Every entry and the store are gone; only guards still hold the configuration.
 // A new entry takes it from one of them, while the guard, on a member's machine,
 // can read its own service in it and nothing of a rival.
-func TestGuardsKeepTheConfigurationForANewEntry(t *testing.T) {
-	run(t, func(f *fixture) {
-		_, err := f.client().Put(f.t.Context(), record.Key(record.KindService, "ayni/reserva"),
+func TestNewEntryLoadsSealedSnapshotFromGuard(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		_, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindService, "ayni/reserva"),
 			[]byte(`{"kind":"service","name":"ayni/reserva","schema":2,"path":"/own"}`), 0, 0)
 		f.Assert(err, qt.IsNil)
-		revision := f.write("secret-region", 0)
+		revision := f.writeMember("secret-region", 0)
 		b, _, err := f.sync.Encoded()
 		f.Assert(err, qt.IsNil)
-		old := f.sealed("key of the entries")
-		_, err = old.take(b)
+		old := f.newSealedSync("key of the entries")
+		_, err = old.installEncoded(b)
 		f.Assert(err, qt.IsNil)
 
-		held, got, err := old.EncodedFor("ayni/reserva")
+		held, encodedRevision, err := old.EncodedFor("ayni/reserva")
 		f.Assert(err, qt.IsNil)
-		f.Assert(got, qt.Equals, revision)
+		f.Assert(encodedRevision, qt.Equals, revision)
 		f.Assert(bytes.Contains(held, []byte("secret-region")), qt.IsFalse)
 		g, err := record.DecodeForGuard(held)
 		f.Assert(err, qt.IsNil)
 		f.Assert(g.Service.Path, qt.Equals, "/own")
 
-		late := f.sealed("key of the entries")
+		late := f.newSealedSync("key of the entries")
 		taken, err := late.OfferFromGuard(held)
 		f.Assert(err, qt.IsNil)
 		f.Assert(taken, qt.IsTrue)
@@ -51,27 +51,27 @@
 // A member makes up a configuration on the machine of its guard and offers it
 // with a revision above all others. An entry that took it would obey that member
 // in the place of the operators, for good.
-func TestForgedConfigurationIsRefused(t *testing.T) {
-	run(t, func(f *fixture) {
-		f.write("lima", 0)
-		forged := record.Build(nil, []record.Raw{{Key: record.Key(record.KindMember, "ayni"), Value: member("forged"), ModRevision: 1}}, 1<<60)
+func TestForgedSnapshotIsRejected(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		f.writeMember("lima", 0)
+		forged := record.Build(nil, []record.Raw{{Key: record.Key(record.KindMember, "ayni"), Value: memberJSON("forged"), ModRevision: 1}}, 1<<60)
 		plain, err := forged.Encode()
 		f.Assert(err, qt.IsNil)
-		other := f.sealed("a key that the member chose")
-		_, err = other.take(plain)
+		other := f.newSealedSync("a key that the member chose")
+		_, err = other.installEncoded(plain)
 		f.Assert(err, qt.IsNil)
 		sealedByOther, _, _ := other.EncodedFor("ayni/reserva")
-		inTheClear, err := forged.EncodeForGuard("ayni/reserva", plain)
+		unsealed, err := forged.EncodeForGuard("ayni/reserva", plain)
 		f.Assert(err, qt.IsNil)
 
-		victim := f.sealed("key of the entries")
-		for _, b := range [][]byte{sealedByOther, inTheClear, plain, nil} {
+		victim := f.newSealedSync("key of the entries")
+		for _, b := range [][]byte{sealedByOther, unsealed, plain, nil} {
 			_, err := victim.OfferFromGuard(b)
 			f.Assert(err, qt.IsNotNil)
 		}
 		_, err = victim.Offer(plain)
 		f.Assert(err, qt.IsNotNil)
-		_, err = f.sync.OfferFromGuard(inTheClear) // an entry without a key
+		_, err = f.sync.OfferFromGuard(unsealed) // an entry without a key
 		f.Assert(err, qt.IsNotNil)
 		f.Assert(victim.Ready(), qt.IsFalse)
 		f.Assert(region(f.sync), qt.Equals, "lima")
--- a/internal/confsync/sync.go
+++ b/internal/confsync/sync.go
@@ -28,10 +28,10 @@
 
 // Defaults of the timing.
 const (
-	DefaultBackoffMin  = 100 * time.Millisecond
-	DefaultBackoffMax  = 3 * time.Second
-	DefaultVerifyEvery = 2 * time.Second
-	batchQueue         = 16 // batches of a watch waiting to be applied
+	DefaultMinBackoff     = 100 * time.Millisecond
+	DefaultMaxBackoff     = 3 * time.Second
+	DefaultVerifyInterval = 2 * time.Second
+	maxQueuedBatches      = 16 // batches of a watch waiting to be applied
 )
 
 // Options of a Sync.
@@ -44,42 +44,42 @@
 	Sealer *record.Sealer
 	// Logger takes lines on changes of state; nil is silent.
 	Logger *log.Logger
-	// BackoffMin and BackoffMax bound the pause after a failure of the store.
-	BackoffMin, BackoffMax time.Duration
+	// MinBackoff and MaxBackoff bound the pause after a failure of the store.
+	MinBackoff, MaxBackoff time.Duration
 	// VerifyEvery is the time between checks that the watch has left nothing
 	// out. A change that a stale watch hides is in force after about this long.
 	VerifyEvery time.Duration
-	// ResolveWithin bounds the search for the outcome of a write whose answer
+	// ResolveTimeout bounds the search for the outcome of a write whose answer
 	// was lost; see Put.
-	ResolveWithin time.Duration
+	ResolveTimeout time.Duration
 }
 
-// prober is a store that tells cheaply whether a prefix changed.
-type prober interface {
+// latestReader is a store that tells cheaply whether a prefix changed.
+type latestReader interface {
 	Latest(ctx context.Context, prefix string) (store.Latest, error)
 }
 
-// rotator is a store with several endpoints.
-type rotator interface{ NextEndpoint() }
+// endpointSwitcher is a store with several endpoints.
+type endpointSwitcher interface{ NextEndpoint() }
 
-// storeState is what the last call of the store said of it.
+// lastStoreState is what the last call of the store said of it.
 type storeState uint32
 
 const (
-	storeUntried storeState = iota
+	storeUnknown storeState = iota
 	storeUp
 	storeDown
 )
 
 // Sync holds the configuration in force.
 type Sync struct {
-	o       Options
-	current atomic.Pointer[record.Snapshot]
-	ready   chan struct{} // closed once a snapshot was obtained
-	store   atomic.Uint32 // a storeState
-	shared  atomic.Pointer[shared]
+	opts            Options
+	current         atomic.Pointer[record.Snapshot]
+	ready           chan struct{} // closed once a snapshot was obtained
+	lastStoreState  atomic.Uint32 // a lastStoreState
+	encodedSnapshot atomic.Pointer[encodedSnapshot]
 	// following tells that Run keeps the snapshot fresh.
-	following atomic.Bool
+	isRunning atomic.Bool
 
 	mu          sync.Mutex // guards changes of current, and what follows
 	subscribers map[int]chan struct{}
@@ -87,25 +87,25 @@
 }
 
 // New makes a Sync that has no configuration yet; Run or Offer brings one.
-func New(o Options) *Sync {
-	setDefault(&o.BackoffMin, DefaultBackoffMin)
-	setDefault(&o.BackoffMax, DefaultBackoffMax)
-	setDefault(&o.VerifyEvery, DefaultVerifyEvery)
-	setDefault(&o.ResolveWithin, DefaultResolveWithin)
-	if o.Registry == nil {
-		o.Registry = metrics.NewRegistry()
+func New(opts Options) *Sync {
+	setDefault(&opts.MinBackoff, DefaultMinBackoff)
+	setDefault(&opts.MaxBackoff, DefaultMaxBackoff)
+	setDefault(&opts.VerifyEvery, DefaultVerifyInterval)
+	setDefault(&opts.ResolveTimeout, DefaultResolveTimeout)
+	if opts.Registry == nil {
+		opts.Registry = metrics.NewRegistry()
 	}
-	if o.Logger == nil {
-		o.Logger = log.New(io.Discard)
+	if opts.Logger == nil {
+		opts.Logger = log.New(io.Discard)
 	}
 	return &Sync{
-		o: o, ready: make(chan struct{}), subscribers: map[int]chan struct{}{},
+		opts: opts, ready: make(chan struct{}), subscribers: map[int]chan struct{}{},
 	}
 }
 
-func setDefault(d *time.Duration, standard time.Duration) {
+func setDefault(d *time.Duration, defaultValue time.Duration) {
 	if *d <= 0 {
-		*d = standard
+		*d = defaultValue
 	}
 }
 
@@ -120,11 +120,11 @@
 // ReadyC is closed when Ready becomes true.
 func (s *Sync) ReadyC() <-chan struct{} { return s.ready }
 
-// StoreUp tells whether the store answered last time.
-func (s *Sync) StoreUp() bool { return storeState(s.store.Load()) == storeUp }
+// IsStoreUp tells whether the store answered last time.
+func (s *Sync) IsStoreUp() bool { return storeState(s.lastStoreState.Load()) == storeUp }
 
 // storeDown tells whether the store gave no answer last time.
-func (s *Sync) storeDown() bool { return storeState(s.store.Load()) == storeDown }
+func (s *Sync) storeDown() bool { return storeState(s.lastStoreState.Load()) == storeDown }
 
 // Revision gives the revision in force, 0 before Ready.
 func (s *Sync) Revision() int64 {
@@ -153,32 +153,32 @@
 func (s *Sync) install(snap *record.Snapshot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.current.Load()
-	if before != nil && snap.Revision <= before.Revision {
+	previous := s.current.Load()
+	if previous != nil && snap.Revision <= previous.Revision {
 		return false
 	}
-	s.replace(snap)
+	s.setCurrent(snap)
 	return true
 }
 
-// adopt takes from an offer that is not newer the records which this process
+// adoptFallbacks takes from an offer that is not newer the records which this process
 // cannot read in the store and has no earlier form of.
-func (s *Sync) adopt(encoded []byte) bool {
+func (s *Sync) adoptFallbacks(encoded []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	snap, changed := s.current.Load().AdoptHeld(encoded)
+	snap, changed := s.current.Load().AdoptFallbacks(encoded)
 	if changed {
-		s.replace(snap)
+		s.setCurrent(snap)
 	}
 	return changed
 }
 
-// replace puts snap in force and tells the subscribers. The caller holds mu.
-func (s *Sync) replace(snap *record.Snapshot) {
+// setCurrent puts snap in force and tells the subscribers. The caller holds mu.
+func (s *Sync) setCurrent(snap *record.Snapshot) {
 	if s.current.Swap(snap) == nil {
 		close(s.ready)
 	}
-	s.noteInstalled(snap)
+	s.reportInstalled(snap)
 	for _, c := range s.subscribers {
 		select {
 		case c <- struct{}{}:
@@ -187,73 +187,73 @@
 	}
 }
 
-func (s *Sync) noteInstalled(snap *record.Snapshot) {
-	s.gauge("revision", snap.Revision)
-	s.gauge("records", int64(snap.Len()))
+func (s *Sync) reportInstalled(snap *record.Snapshot) {
+	s.setGauge("revision", snap.Revision)
+	s.setGauge("records", int64(snap.Len()))
 	rejected := snap.Rejected()
-	s.gauge("records_rejected", int64(len(rejected)))
+	s.setGauge("records_rejected", int64(len(rejected)))
 	var tooNew int64
 	for _, r := range rejected {
 		if r.TooNew {
 			tooNew++
 		}
 	}
-	s.gauge("records_too_new", tooNew)
-	s.o.Logger.Info("configuration in force", "revision", snap.Revision, "records", snap.Len(), "rejected", len(rejected))
+	s.setGauge("records_too_new", tooNew)
+	s.opts.Logger.Info("configuration in force", "revision", snap.Revision, "records", snap.Len(), "rejected", len(rejected))
 }
 
 // Run keeps the snapshot fresh until ctx ends.
 func (s *Sync) Run(ctx context.Context) error {
-	s.following.Store(true)
-	defer s.following.Store(false)
-	backoff := s.o.BackoffMin
+	s.isRunning.Store(true)
+	defer s.isRunning.Store(false)
+	backoff := s.opts.MinBackoff
 	for ctx.Err() == nil {
 		start := time.Now()
-		err := s.follow(ctx)
+		err := s.readAndWatch(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		s.noteFailure(err)
-		if time.Since(start) > s.o.BackoffMax {
-			backoff = s.o.BackoffMin
+		s.handleFailure(err)
+		if time.Since(start) > s.opts.MaxBackoff {
+			backoff = s.opts.MinBackoff
 		}
 		pause.For(ctx, jitter(backoff))
-		backoff = min(2*backoff, s.o.BackoffMax)
+		backoff = min(2*backoff, s.opts.MaxBackoff)
 	}
 	return ctx.Err()
 }
 
-// noteFailure counts why following the store ended.
-func (s *Sync) noteFailure(err error) {
+// handleFailure counts why following the store ended.
+func (s *Sync) handleFailure(err error) {
 	switch {
 	case errors.Is(err, store.ErrCompacted):
-		s.count("watch.compacted")
-	case errors.Is(err, errStale):
-		s.count("watch.stale")
-		s.nextEndpoint()
-	case errors.Is(err, errPast):
-		s.notePast()
+		s.incrementCounter("watch.compacted")
+	case errors.Is(err, errWatchStale):
+		s.incrementCounter("watch.stale")
+		s.switchEndpoint()
+	case errors.Is(err, errRevisionWentBack):
+		s.handleRevisionWentBack()
 	default:
-		s.count("store.failed")
-		s.noteStore(err)
+		s.incrementCounter("store.failed")
+		s.setStoreState(err)
 	}
 }
 
-// noteStore notes how a call of the store went, and logs its going and coming
+// setStoreState notes how a call of the store went, and logs its going and coming
 // back, once each.
-func (s *Sync) noteStore(err error) {
-	now := storeUp
+func (s *Sync) setStoreState(err error) {
+	state := storeUp
 	if err != nil {
-		now = storeDown
+		state = storeDown
 	}
-	if before := storeState(s.store.Swap(uint32(now))); before == now {
+	if previous := storeState(s.lastStoreState.Swap(uint32(state))); previous == state {
 		return
 	}
-	if now == storeUp {
-		s.o.Logger.Info("store answers")
+	if state == storeUp {
+		s.opts.Logger.Info("store answers")
 		return
 	}
-	s.o.Logger.Warn("store does not answer; the configuration in force stays", "revision", s.Revision(), "err", err)
+	s.opts.Logger.Warn("store does not answer; the configuration in force stays", "revision", s.Revision(), "err", err)
 }
 
 // jitter spreads d over half to all of it, so that entries which lost the
@@ -262,10 +262,10 @@
 	return d/2 + rand.N(d/2+1)
 }
 
-func (s *Sync) count(what string) {
-	metrics.GetOrRegisterCounter("config."+what, s.o.Registry).Inc(1)
+func (s *Sync) incrementCounter(name string) {
+	metrics.GetOrRegisterCounter("config."+name, s.opts.Registry).Inc(1)
 }
 
-func (s *Sync) gauge(what string, v int64) {
-	metrics.GetOrRegisterGauge("config."+what, s.o.Registry).Update(v)
+func (s *Sync) setGauge(name string, value int64) {
+	metrics.GetOrRegisterGauge("config."+name, s.opts.Registry).Update(value)
 }
--- a/internal/confsync/sync_test.go
+++ b/internal/confsync/sync_test.go
@@ -16,8 +16,8 @@
 	"wigeontray/internal/store/standin"
 )
 
-// inForceWithin is the brief's limit for a change to be in force everywhere.
-const inForceWithin = 5 * time.Second
+// maxPropagationDelay is the brief's limit for a change to be in force everywhere.
+const maxPropagationDelay = 5 * time.Second
 
 // fixture is one entry's Sync and the stand-in that it follows.
 type fixture struct {
@@ -27,16 +27,16 @@
 	sync   *Sync
 	// amender sends amendments and follows nothing, so that a fault meets it in
 	// the middle of a call.
-	amender *Sync
+	writer  *Sync
 	cancels []context.CancelFunc
 }
 
-// run tests with a running Sync, in fake time.
-func run(t *testing.T, test func(f *fixture)) {
+// runWithStore tests with a running Sync, in fake time.
+func runWithStore(t *testing.T, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{C: qt.New(t), t: t, server: standin.New()}
 		defer f.server.Close()
-		f.sync, f.amender = f.start(), New(Options{Store: f.client()})
+		f.sync, f.writer = f.startEntry(), New(Options{Store: f.newStoreClient()})
 		test(f)
 		for _, cancel := range f.cancels {
 			cancel()
@@ -44,15 +44,15 @@
 	})
 }
 
-func (f *fixture) client() *store.Etcd {
+func (f *fixture) newStoreClient() *store.Etcd {
 	return store.NewEtcd(store.Options{
 		Endpoints: []string{"http://store"}, Timeout: time.Second, Transport: &standin.Transport{Handler: f.server},
 	})
 }
 
-// start runs one more entry against the store until the test ends.
-func (f *fixture) start() *Sync {
-	s := New(Options{Store: f.client()})
+// startEntry runs one more entry against the store until the test ends.
+func (f *fixture) startEntry() *Sync {
+	s := New(Options{Store: f.newStoreClient()})
 	ctx, cancel := context.WithCancel(f.t.Context())
 	f.cancels = append(f.cancels, cancel)
 	go func() { _ = s.Run(ctx) }()
@@ -60,14 +60,14 @@
 	return s
 }
 
-func member(region string) []byte {
+func memberJSON(region string) []byte {
 	return fmt.Appendf(nil, `{"kind":"member","name":"ayni","schema":1,"home_region":%q}`, region)
 }
 
-// write amends the member ayni as another process would, past the faults of
+// writeMember amends the member ayni as another process would, past the faults of
 // the client under test, and gives the new revision.
-func (f *fixture) write(region string, expect int64) int64 {
-	revision, err := f.client().Put(f.t.Context(), record.Key(record.KindMember, "ayni"), member(region), expect, 0)
+func (f *fixture) writeMember(region string, expectedRevision int64) int64 {
+	revision, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindMember, "ayni"), memberJSON(region), expectedRevision, 0)
 	f.Assert(err, qt.IsNil)
 	synctest.Wait() // for the watch to deliver it
 	return revision
@@ -84,15 +84,15 @@
 func (f *fixture) counter(name string) int64 { return counter(f.sync, name) }
 
 func counter(s *Sync, name string) int64 {
-	return metrics.GetOrRegisterCounter("config."+name, s.o.Registry).Count()
+	return metrics.GetOrRegisterCounter("config."+name, s.opts.Registry).Count()
 }
 
-func TestChangesAreInForceAtOnce(t *testing.T) {
-	run(t, func(f *fixture) {
+func TestChangesApplyImmediately(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
 		f.Assert(f.sync.Ready(), qt.IsTrue)
 		changed, stop := f.sync.Subscribe()
 		defer stop()
-		revision := f.write("lima", 0)
+		revision := f.writeMember("lima", 0)
 		synctest.Wait()
 		f.Assert(region(f.sync), qt.Equals, "lima")
 		f.Assert(f.sync.Revision(), qt.Equals, revision)
@@ -102,18 +102,18 @@
 
 // The store is down for an hour. The entry must go on under what is in force,
 // and take the changes made since as soon as the store answers.
-func TestStoreOutageKeepsTheConfiguration(t *testing.T) {
-	run(t, func(f *fixture) {
-		revision := f.write("lima", 0)
+func TestStoreOutageKeepsTheCurrentConfiguration(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		revision := f.writeMember("lima", 0)
 		f.server.SetDown(true)
 		time.Sleep(time.Hour)
 		f.Assert(region(f.sync), qt.Equals, "lima")
-		f.Assert(f.sync.StoreUp(), qt.IsFalse)
+		f.Assert(f.sync.IsStoreUp(), qt.IsFalse)
 		f.server.SetDown(false)
-		f.write("cusco", revision)
-		time.Sleep(inForceWithin)
+		f.writeMember("cusco", revision)
+		time.Sleep(maxPropagationDelay)
 		f.Assert(region(f.sync), qt.Equals, "cusco")
-		f.Assert(f.sync.StoreUp(), qt.IsTrue)
+		f.Assert(f.sync.IsStoreUp(), qt.IsTrue)
 	})
 }
 
@@ -121,17 +121,17 @@
 // change is still in force within the limit, and the calls stay few, or the
 // entries together would keep the store from coming back.
 func TestFlappingStore(t *testing.T) {
-	run(t, func(f *fixture) {
-		revision := f.write("lima", 0)
+	runWithStore(t, func(f *fixture) {
+		revision := f.writeMember("lima", 0)
 		for i := range 300 {
 			f.server.SetDown(true)
 			time.Sleep(time.Second)
 			f.server.SetDown(false)
 			name := fmt.Sprintf("region-%d", i)
-			revision = f.write(name, revision)
+			revision = f.writeMember(name, revision)
 			time.Sleep(time.Second)
 		}
-		time.Sleep(inForceWithin)
+		time.Sleep(maxPropagationDelay)
 		f.Assert(region(f.sync), qt.Equals, "region-299")
 		calls := f.server.Calls("/v3/kv/range") + f.server.Calls("/v3/watch")
 		f.Assert(calls < 5*600, qt.IsTrue, qt.Commentf("%d calls in 600 s", calls))
@@ -142,15 +142,15 @@
 // it would refuse every caller as unknown; if it took an old one it would fall
 // behind what its peers obey. It is not ready until a peer's snapshot arrives.
 func TestEntryStartedDuringAnOutage(t *testing.T) {
-	run(t, func(f *fixture) {
-		first := f.write("lima", 0)
+	runWithStore(t, func(f *fixture) {
+		first := f.writeMember("lima", 0)
 		synctest.Wait()
 		old, err := f.sync.Current().Encode()
 		f.Assert(err, qt.IsNil)
-		second := f.write("cusco", first)
+		second := f.writeMember("cusco", first)
 		synctest.Wait()
 		f.server.SetDown(true)
-		late := f.start()
+		late := f.startEntry()
 		time.Sleep(time.Minute)
 		f.Assert(late.Ready(), qt.IsFalse)
 		f.Assert(late.Current(), qt.IsNil)
@@ -173,18 +173,18 @@
 // A watch stays open but delivers nothing more, as when the server behind a
 // balancer has gone. Without a check of its own the entry would obey the old
 // configuration until somebody wonders why.
-func TestStaleWatchIsNoticed(t *testing.T) {
-	run(t, func(f *fixture) {
-		first := f.write("lima", 0)
+func TestStaleWatchIsDetected(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		first := f.writeMember("lima", 0)
 		synctest.Wait()
 		f.server.StallWatches(true)
-		second := f.write("cusco", first)
-		time.Sleep(inForceWithin)
+		second := f.writeMember("cusco", first)
+		time.Sleep(maxPropagationDelay)
 		f.Assert(region(f.sync), qt.Equals, "cusco")
 		f.Assert(f.counter("watch.stale"), qt.Equals, int64(1))
-		_, err := f.client().Delete(f.t.Context(), record.Key(record.KindMember, "ayni"), second)
+		_, err := f.newStoreClient().Delete(f.t.Context(), record.Key(record.KindMember, "ayni"), second)
 		f.Assert(err, qt.IsNil)
-		time.Sleep(inForceWithin)
+		time.Sleep(maxPropagationDelay)
 		f.Assert(region(f.sync), qt.Equals, "")
 	})
 }
@@ -192,12 +192,12 @@
 // While the entry is cut off the store compacts its history, so that the watch
 // cannot be resumed. The entry must read everything again; a deletion in the
 // gap would otherwise never be seen.
-func TestCompactedWatchReadsAgain(t *testing.T) {
-	run(t, func(f *fixture) {
-		revision := f.write("lima", 0)
+func TestCompactedWatchTriggersAFullRead(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		revision := f.writeMember("lima", 0)
 		synctest.Wait()
 		f.server.StallWatches(true)
-		_, err := f.client().Delete(f.t.Context(), record.Key(record.KindMember, "ayni"), revision)
+		_, err := f.newStoreClient().Delete(f.t.Context(), record.Key(record.KindMember, "ayni"), revision)
 		f.Assert(err, qt.IsNil)
 		f.server.Compact()
 		f.server.StallWatches(false)
@@ -210,10 +210,10 @@
 // A replica of the store lags and answers with an old revision just when the
 // entry reads everything again. To obey it would bring back a configuration
 // that operators have replaced.
-func TestStoreThatAnswersFromThePast(t *testing.T) {
-	run(t, func(f *fixture) {
-		first := f.write("lima", 0)
-		second := f.write("cusco", first)
+func TestOlderStoreRevisionIsRejected(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		first := f.writeMember("lima", 0)
+		second := f.writeMember("cusco", first)
 		synctest.Wait()
 		f.server.AnswerFrom(first)
 		f.server.StallWatches(true)
@@ -223,8 +223,8 @@
 		f.Assert(f.counter("store.past") > 0, qt.IsTrue)
 		f.server.AnswerFrom(0)
 		f.server.StallWatches(false)
-		f.write("tacna", second)
-		time.Sleep(inForceWithin)
+		f.writeMember("tacna", second)
+		time.Sleep(maxPropagationDelay)
 		f.Assert(region(f.sync), qt.Equals, "tacna")
 	})
 }
@@ -232,14 +232,14 @@
 // A peer that still watches hands on a newer snapshot while this entry's watch
 // lags; then the watch delivers what is in the snapshot already. The older
 // change must not come back in force for even a moment.
-func TestWatchBehindAnOfferDoesNotRevert(t *testing.T) {
-	run(t, func(f *fixture) {
-		first := f.write("lima", 0)
+func TestLaggingWatchDoesNotRevertAPeerSnapshot(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		first := f.writeMember("lima", 0)
 		synctest.Wait()
 		f.server.StallWatches(true)
-		second := f.write("cusco", first)
-		third := f.write("tacna", second)
-		kvs, revision, err := f.client().Range(f.t.Context(), store.RecordPrefix)
+		second := f.writeMember("cusco", first)
+		third := f.writeMember("tacna", second)
+		kvs, revision, err := f.newStoreClient().Range(f.t.Context(), store.RecordPrefix)
 		f.Assert(err, qt.IsNil)
 		f.Assert(revision, qt.Equals, third)
 		peer := record.Build(nil, []record.Raw{{Key: kvs[0].Key, Value: kvs[0].Value, ModRevision: third}}, third)
@@ -247,8 +247,8 @@
 		f.Assert(err, qt.IsNil)
 		_, err = f.sync.Offer(b)
 		f.Assert(err, qt.IsNil)
-		f.sync.apply(store.Batch{Revision: second, Events: []store.Event{{KV: store.KV{
-			Key: kvs[0].Key, Value: member("cusco"), ModRevision: second,
+		f.sync.applyBatch(store.Batch{Revision: second, Events: []store.Event{{KV: store.KV{
+			Key: kvs[0].Key, Value: memberJSON("cusco"), ModRevision: second,
 		}}}})
 		f.Assert(region(f.sync), qt.Equals, "tacna")
 		f.server.StallWatches(false)
@@ -261,11 +261,11 @@
 // A record of a schema that only a newer version knows reaches this entry. The
 // record accepted before must stay in force, and an entry that starts later,
 // which never saw that one, takes it over from a peer.
-func TestRecordOfANewerSchemaKeepsTheAcceptedOne(t *testing.T) {
-	run(t, func(f *fixture) {
-		first := f.write("lima", 0)
+func TestRecordOfANewerSchemaKeepsTheLastAcceptedOne(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		first := f.writeMember("lima", 0)
 		synctest.Wait()
-		_, err := f.client().Put(f.t.Context(), record.Key(record.KindMember, "ayni"),
+		_, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindMember, "ayni"),
 			[]byte(`{"kind":"member","name":"ayni","schema":7,"shape":"round"}`), first, 0)
 		f.Assert(err, qt.IsNil)
 		synctest.Wait()
@@ -273,10 +273,10 @@
 		rejected := f.sync.Current().Rejected()
 		f.Assert(rejected, qt.HasLen, 1)
 		f.Assert(rejected[0].TooNew, qt.IsTrue)
-		f.Assert(rejected[0].InForce, qt.Equals, first)
-		f.Assert(metrics.GetOrRegisterGauge("config.records_too_new", f.sync.o.Registry).Value(), qt.Equals, int64(1))
+		f.Assert(rejected[0].FallbackRevision, qt.Equals, first)
+		f.Assert(metrics.GetOrRegisterGauge("config.records_too_new", f.sync.opts.Registry).Value(), qt.Equals, int64(1))
 
-		late := f.start()
+		late := f.startEntry()
 		f.Assert(region(late), qt.Equals, "")
 		b, err := f.sync.Current().Encode()
 		f.Assert(err, qt.IsNil)
@@ -292,14 +292,14 @@
 // Watches break every second although nothing changes. Reading the same again
 // must not count as a new configuration, or every break would send the whole
 // of it to each guard.
-func TestReadingTheSameAgainChangesNothing(t *testing.T) {
-	run(t, func(f *fixture) {
-		f.write("lima", 0)
+func TestRereadingUnchangedRecordsDoesNotNotify(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		f.writeMember("lima", 0)
 		synctest.Wait()
 		changed, stop := f.sync.Subscribe()
 		defer stop()
 		for i := range 5 {
-			_, err := f.client().Put(f.t.Context(), store.EntryPrefix+fmt.Sprint(i), nil, 0, 0)
+			_, err := f.newStoreClient().Put(f.t.Context(), store.EntryPrefix+fmt.Sprint(i), nil, 0, 0)
 			f.Assert(err, qt.IsNil)
 			f.server.DropWatches()
 			time.Sleep(time.Second)
@@ -311,14 +311,14 @@
 // The store takes longer for each call than a call may take, but goes on
 // delivering on watches that are open. Changes must still be in force, and the
 // entry must not give up the one channel that works.
-func TestStoreTooSlowForCalls(t *testing.T) {
-	run(t, func(f *fixture) {
-		revision := f.write("lima", 0)
+func TestSlowStoreKeepsTheOpenWatch(t *testing.T) {
+	runWithStore(t, func(f *fixture) {
+		revision := f.writeMember("lima", 0)
 		f.server.SetDelay(time.Minute)
 		time.Sleep(10 * time.Minute)
-		f.Assert(f.sync.StoreUp(), qt.IsFalse)
+		f.Assert(f.sync.IsStoreUp(), qt.IsFalse)
 		f.server.SetDelay(0)
-		f.write("cusco", revision)
+		f.writeMember("cusco", revision)
 		f.Assert(region(f.sync), qt.Equals, "cusco")
 		f.Assert(f.server.Calls("/v3/watch"), qt.Equals, 1)
 	})
@@ -326,7 +326,7 @@
 
 // One of two endpoints of the store lags behind for hours. An entry that goes
 // on asking it would obey no change in all that time.
-func TestEndpointThatLagsIsLeft(t *testing.T) {
+func TestLaggingEndpointIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		lagging, fresh := standin.New(), standin.New()
@@ -338,14 +338,14 @@
 		s := New(Options{Store: store.NewEtcd(store.Options{
 			Endpoints: []string{"http://lagging", "http://fresh"}, Transport: &standin.Transport{Handler: hosts},
 		})})
-		fill := func(server *standin.Server, region string) {
+		writeRegion := func(server *standin.Server, region string) {
 			e := store.NewEtcd(store.Options{Endpoints: []string{"http://x"}, Transport: &standin.Transport{Handler: server}})
-			_, err := e.Put(t.Context(), record.Key(record.KindMember, "ayni"), member(region), server.Revision()/2*2, 0)
+			_, err := e.Put(t.Context(), record.Key(record.KindMember, "ayni"), memberJSON(region), server.Revision()/2*2, 0)
 			c.Assert(err, qt.IsNil)
 		}
-		fill(fresh, "lima")
-		fill(fresh, "cusco")
-		peer := record.Build(nil, []record.Raw{{Key: record.Key(record.KindMember, "ayni"), Value: member("lima"), ModRevision: 2}}, 2)
+		writeRegion(fresh, "lima")
+		writeRegion(fresh, "cusco")
+		peer := record.Build(nil, []record.Raw{{Key: record.Key(record.KindMember, "ayni"), Value: memberJSON("lima"), ModRevision: 2}}, 2)
 		b, err := peer.Encode()
 		c.Assert(err, qt.IsNil)
 		_, err = s.Offer(b)
@@ -353,7 +353,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = s.Run(ctx) }()
-		time.Sleep(inForceWithin)
+		time.Sleep(maxPropagationDelay)
 		c.Assert(region(s), qt.Equals, "cusco")
 	})
 }
--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -19,7 +19,7 @@
 	var all []Raw
 	for i := range benchMembers {
 		member := fmt.Sprintf("member-%d", i)
-		all = append(all, memberWith(member, "token of "+member))
+		all = append(all, memberWithToken(member, "token of "+member))
 		for j := range benchServices {
 			name := fmt.Sprintf("%s/service-%d", member, j)
 			teams := ""
@@ -27,9 +27,9 @@
 				teams += fmt.Sprintf(`,"team-%d":{"starts_per_second":100,"burst":200,"weight":1}`, k)
 			}
 			all = append(all,
-				raw(KindService, name, fmt.Sprintf(`{"kind":"service","name":%q,"schema":2,"path":"/v1/task","max_tasks":500}`, name), 1),
-				raw(KindPolicy, name, fmt.Sprintf(`{"kind":"policy","name":%q,"schema":1,"teams":{%s}}`, name, teams[1:]), 1),
-				raw(KindJob, name, fmt.Sprintf(`{"kind":"job","name":%q,"schema":1,"service":%q}`, name, name), 1))
+				rawRecord(KindService, name, fmt.Sprintf(`{"kind":"service","name":%q,"schema":2,"path":"/v1/task","max_tasks":500}`, name), 1),
+				rawRecord(KindPolicy, name, fmt.Sprintf(`{"kind":"policy","name":%q,"schema":1,"teams":{%s}}`, name, teams[1:]), 1),
+				rawRecord(KindJob, name, fmt.Sprintf(`{"kind":"job","name":%q,"schema":1,"service":%q}`, name, name), 1))
 		}
 	}
 	return Build(nil, all, 1)
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -12,14 +12,14 @@
 // maxRecords bounds the records of a snapshot that is read from a peer.
 const maxRecords = 100_000
 
-// encoded is a snapshot on the wire. It carries the records as the store holds
+// encodedSnapshot is a snapshot on the wire. It carries the records as the store holds
 // them, so that a process of another version reads them by its own schemas.
-type encoded struct {
+type encodedSnapshot struct {
 	Revision int64 `cbor:"1,keyasint"`
 	Records  []Raw `cbor:"2,keyasint"`
 	// Held are the records that the sender obeys in place of ones that it
 	// cannot read. A process that starts later takes them over.
-	Held []Raw `cbor:"3,keyasint,omitempty"`
+	Fallbacks []Raw `cbor:"3,keyasint,omitempty"`
 }
 
 var decMode = func() cbor.DecMode {
@@ -34,7 +34,7 @@
 
 // Encode gives the CBOR form, for wire.Config. Equal snapshots give equal bytes.
 func (s *Snapshot) Encode() ([]byte, error) {
-	e := encoded{Revision: s.Revision, Records: sorted(s.raw), Held: sorted(s.held)}
+	e := encodedSnapshot{Revision: s.Revision, Records: sortedByKey(s.raw), Fallbacks: sortedByKey(s.fallbacks)}
 	b, err := cbor.Marshal(e)
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
@@ -42,21 +42,21 @@
 	return b, nil
 }
 
-func sorted(m map[string]Raw) []Raw {
+func sortedByKey(m map[string]Raw) []Raw {
 	return slices.SortedFunc(maps.Values(m), func(a, b Raw) int { return strings.Compare(a.Key, b.Key) })
 }
 
 // Decode reads what Encode wrote. before is the snapshot in force, or nil; its
 // records stay in force where those of b cannot be read.
-func Decode(before *Snapshot, b []byte) (*Snapshot, error) {
+func Decode(previous *Snapshot, b []byte) (*Snapshot, error) {
 	e, err := decode(b)
 	if err != nil {
 		return nil, err
 	}
-	return Build(withHeld(before, e), e.Records, e.Revision), nil
+	return Build(mergeFallbacks(previous, e), e.Records, e.Revision), nil
 }
 
-func decode(b []byte) (e encoded, err error) {
+func decode(b []byte) (e encodedSnapshot, err error) {
 	if err := decMode.Unmarshal(b, &e); err != nil {
 		return e, fmt.Errorf("decode snapshot: %w", err)
 	}
@@ -66,47 +66,47 @@
 	return e, nil
 }
 
-// AdoptHeld gives s with the records that only the sender of b still obeys. A
+// AdoptFallbacks gives s with the records that only the sender of b still obeys. A
 // process that starts while the store holds a record of a newer schema has
 // never accepted one for that name; without this its callers would be refused
 // as unknown at this process alone, until it is upgraded.
-func (s *Snapshot) AdoptHeld(b []byte) (*Snapshot, bool) {
+func (s *Snapshot) AdoptFallbacks(b []byte) (*Snapshot, bool) {
 	e, err := decode(b)
-	if err != nil || s.missing() == 0 {
+	if err != nil || s.countWithoutFallback() == 0 {
 		return s, false
 	}
-	adopted := Build(withHeld(s, e), slices.Collect(maps.Values(s.raw)), s.Revision)
-	return adopted, adopted.missing() < s.missing()
+	adopted := Build(mergeFallbacks(s, e), slices.Collect(maps.Values(s.raw)), s.Revision)
+	return adopted, adopted.countWithoutFallback() < s.countWithoutFallback()
 }
 
-// missing counts the rejected records in whose place nothing is obeyed.
-func (s *Snapshot) missing() int {
+// countWithoutFallback counts the rejected records in whose place nothing is obeyed.
+func (s *Snapshot) countWithoutFallback() int {
 	n := 0
 	for _, rej := range s.rejected {
-		if rej.InForce == 0 {
+		if rej.FallbackRevision == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// withHeld adds to before what only the sender holds. A record that is newer
+// mergeFallbacks adds to before what only the sender holds. A record that is newer
 // there was accepted by the sender after ours.
-func withHeld(before *Snapshot, e encoded) *Snapshot {
-	if len(e.Held) == 0 {
-		return before
+func mergeFallbacks(previous *Snapshot, e encodedSnapshot) *Snapshot {
+	if len(e.Fallbacks) == 0 {
+		return previous
 	}
-	merged := &Snapshot{held: before.allAccepted()}
-	for _, r := range e.Held {
-		if merged.held[r.Key].ModRevision < r.ModRevision {
-			merged.held[r.Key] = r
+	merged := &Snapshot{fallbacks: previous.acceptedRecords()}
+	for _, r := range e.Fallbacks {
+		if merged.fallbacks[r.Key].ModRevision < r.ModRevision {
+			merged.fallbacks[r.Key] = r
 		}
 	}
 	return merged
 }
 
-// allAccepted gives the records that s obeys, by key.
-func (s *Snapshot) allAccepted() map[string]Raw {
+// acceptedRecords gives the records that s obeys, by key.
+func (s *Snapshot) acceptedRecords() map[string]Raw {
 	if s == nil {
 		return map[string]Raw{}
 	}
@@ -114,6 +114,6 @@
 	for _, rej := range s.rejected {
 		delete(out, rej.Key)
 	}
-	maps.Copy(out, s.held)
+	maps.Copy(out, s.fallbacks)
 	return out
 }
--- a/internal/record/decode.go
+++ b/internal/record/decode.go
@@ -12,7 +12,7 @@
 // software. The record accepted before it stays in force.
 var ErrSchemaTooNew = errors.New("schema is newer than this software understands")
 
-func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // Parsed is one accepted record; the field of its kind is set.
 type Parsed struct {
@@ -35,8 +35,8 @@
 	}
 	var errs []error
 	o := parseObject("", b, &errs)
-	p := &Parsed{Kind: Kind(o.text("kind", "")), Name: o.text("name", ""), WriteID: o.text("write_id", "")}
-	p.Schema = o.integer("schema", 0, 1, 1<<31)
+	p := &Parsed{Kind: Kind(o.stringField("kind", "")), Name: o.stringField("name", ""), WriteID: o.stringField("write_id", "")}
+	p.Schema = o.intField("schema", 0, 1, 1<<31)
 	if len(errs) > 0 {
 		return nil, errors.Join(errs...)
 	}
@@ -46,8 +46,8 @@
 	if err := checkSchema(p); err != nil {
 		return nil, err
 	}
-	p.read(o)
-	o.done()
+	p.readFields(o)
+	o.checkNoFieldsLeft()
 	if len(errs) > 0 {
 		return nil, errors.Join(errs...)
 	}
@@ -55,19 +55,19 @@
 }
 
 func checkSchema(p *Parsed) error {
-	newest := map[Kind]int64{
-		KindMember: memberSchema, KindService: serviceSchema, KindPolicy: policySchema, KindJob: jobSchema,
+	maxSchema := map[Kind]int64{
+		KindMember: maxMemberSchema, KindService: maxServiceSchema, KindPolicy: maxPolicySchema, KindJob: maxJobSchema,
 	}[p.Kind]
 	if p.Schema == 0 {
 		return &FieldError{Path: "schema", Problem: "missing"}
 	}
-	if p.Schema > newest {
-		return fmt.Errorf("schema: %d is above %d: %w", p.Schema, newest, ErrSchemaTooNew)
+	if p.Schema > maxSchema {
+		return fmt.Errorf("schema: %d is above %d: %w", p.Schema, maxSchema, ErrSchemaTooNew)
 	}
 	return nil
 }
 
-func (p *Parsed) read(o *object) {
+func (p *Parsed) readFields(o *objectReader) {
 	switch p.Kind {
 	case KindMember:
 		p.Member = readMember(o, p.Name)
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -13,23 +13,23 @@
 		if err != nil {
 			return
 		}
-		with, err := WithWriteID(b, "w")
+		withID, err := WithWriteID(b, "w")
 		if err != nil {
 			t.Fatalf("accepted record takes no write identity: %v", err)
 		}
-		again, err := ParseAs(p.Kind, p.Name, with)
-		if err != nil && len(with) <= MaxSize {
+		reparsed, err := ParseAs(p.Kind, p.Name, withID)
+		if err != nil && len(withID) <= MaxSize {
 			t.Fatalf("accepted record is refused with a write identity: %v", err)
 		}
-		if err == nil && (again.WriteID != "w" || WriteID(with) != "w") {
-			t.Fatalf("write identity is %q", again.WriteID)
+		if err == nil && (reparsed.WriteID != "w" || WriteID(withID) != "w") {
+			t.Fatalf("write identity is %q", reparsed.WriteID)
 		}
 	})
 }
 
 // A peer of another version, or a broken one, can send any bytes as a snapshot.
 func FuzzDecodeSnapshot(f *testing.F) {
-	s := Build(nil, []Raw{memberWith("ayni", "t"), raw(KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":2}`, 2)}, 2)
+	s := Build(nil, []Raw{memberWithToken("ayni", "t"), rawRecord(KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":2}`, 2)}, 2)
 	b, err := s.Encode()
 	if err != nil {
 		f.Fatal(err)
@@ -53,6 +53,6 @@
 		}
 		got.MemberByToken("t")
 		got.Services()
-		s.AdoptHeld(b)
+		s.AdoptFallbacks(b)
 	})
 }
--- a/internal/record/guard.go
+++ b/internal/record/guard.go
@@ -17,8 +17,8 @@
 	Sealed []byte
 }
 
-// encodedGuard is a GuardConfig on the wire.
-type encodedGuard struct {
+// encodedGuardConfig is a GuardConfig on the wire.
+type encodedGuardConfig struct {
 	Revision int64  `cbor:"1,keyasint"`
 	Service  Raw    `cbor:"2,keyasint,omitzero"`
 	Sealed   []byte `cbor:"3,keyasint,omitempty"`
@@ -27,9 +27,9 @@
 // EncodeForGuard gives the CBOR form of what a guard of a service holds, for
 // wire.Config.
 func (s *Snapshot) EncodeForGuard(service string, sealed []byte) ([]byte, error) {
-	e := encodedGuard{Revision: s.Revision, Sealed: sealed}
+	e := encodedGuardConfig{Revision: s.Revision, Sealed: sealed}
 	if _, ok := s.Service(service); ok {
-		e.Service, _ = s.accepted(Key(KindService, service))
+		e.Service, _ = s.acceptedRecord(Key(KindService, service))
 	}
 	b, err := cbor.Marshal(e)
 	if err != nil {
@@ -52,7 +52,7 @@
 
 // DecodeForGuard reads what EncodeForGuard wrote.
 func DecodeForGuard(b []byte) (*GuardConfig, error) {
-	var e encodedGuard
+	var e encodedGuardConfig
 	if err := decMode.Unmarshal(b, &e); err != nil {
 		return nil, fmt.Errorf("decode guard's configuration: %w", err)
 	}
--- a/internal/record/kinds.go
+++ b/internal/record/kinds.go
@@ -12,29 +12,29 @@
 
 // Schema versions that this build understands: 1 up to these.
 const (
-	memberSchema  = 1
-	serviceSchema = 3
-	policySchema  = 1
-	jobSchema     = 2
+	maxMemberSchema  = 1
+	maxServiceSchema = 3
+	maxPolicySchema  = 1
+	maxJobSchema     = 2
 )
 
 // Limits and defaults of fields.
 const (
-	MaxTasks          = 500 // tasks in a job
-	maxTokens         = 2   // of tokens or guard keys; the second one while they are changed over
-	maxTeams          = 1000
-	maxDeadlineMs     = 3_600_000
-	maxBodyBytes      = 4 << 20
-	defaultBodyBytes  = 1 << 20
-	defaultDeadlineMs = 10_000
-	millisPerSecond   = 1000
-	minRate           = 0.001 // starts a second
-	maxQuota          = 1e6
-	maxWeight         = 1000
-	maxQueued         = 1_000_000
-	maxGraceMs        = 60_000
-	maxAccelerators   = 64 // of one task
-	maxMemoryMB       = 1 << 30
+	MaxTasks           = 500 // tasks in a job
+	maxTokens          = 2   // of tokens or guard keys; the second one while they are changed over
+	maxTeams           = 1000
+	maxDeadlineMs      = 3_600_000
+	maxBodyBytes       = 4 << 20
+	defaultBodyBytes   = 1 << 20
+	defaultDeadlineMs  = 10_000
+	millisPerSecond    = 1000
+	minStartsPerSecond = 0.001 // starts a second
+	maxQuotaValue      = 1e6
+	maxWeight          = 1000
+	maxQueued          = 1_000_000
+	maxGraceMs         = 60_000
+	maxAccelerators    = 64 // of one task
+	maxMemoryMB        = 1 << 30
 )
 
 // TokenHash is the SHA-256 of a caller's token or a guard's key. A plain hash is
@@ -86,40 +86,40 @@
 }
 
 var (
-	pathForm   = regexp.MustCompile(`^/[A-Za-z0-9._~/-]*$`)
-	regionForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
-	teamForm   = regionForm
+	pathPattern   = regexp.MustCompile(`^/[A-Za-z0-9._~/-]*$`)
+	regionPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+	teamPattern   = regionPattern
 )
 
-func readMember(o *object, name string) *Member {
-	m := &Member{Name: name, HomeRegion: o.text("home_region", "")}
-	if m.HomeRegion != "" && !regionForm.MatchString(m.HomeRegion) {
-		o.fail("home_region", "%q is not a region's name", m.HomeRegion)
+func readMember(o *objectReader, name string) *Member {
+	m := &Member{Name: name, HomeRegion: o.stringField("home_region", "")}
+	if m.HomeRegion != "" && !regionPattern.MatchString(m.HomeRegion) {
+		o.addError("home_region", "%q is not a region's name", m.HomeRegion)
 	}
 	m.Tokens = readHashes(o, "token_sha256")
 	m.GuardKeys = readHashes(o, "guard_key_sha256")
 	for i, h := range m.GuardKeys {
 		// Whoever has the VM of an upstream could submit as the member.
 		if slices.Contains(m.Tokens, h) {
-			o.fail("guard_key_sha256."+strconv.Itoa(i), "is a caller's token as well")
+			o.addError("guard_key_sha256."+strconv.Itoa(i), "is a caller's token as well")
 		}
 	}
 	m.Teams = o.strings("teams", maxTeams)
 	for i, team := range m.Teams {
-		if !teamForm.MatchString(team) {
-			o.fail("teams."+strconv.Itoa(i), "%q is not a team's name", team)
+		if !teamPattern.MatchString(team) {
+			o.addError("teams."+strconv.Itoa(i), "%q is not a team's name", team)
 		}
 	}
 	return m
 }
 
 // readHashes reads the hashes of the secrets that are good now.
-func readHashes(o *object, field string) []TokenHash {
+func readHashes(o *objectReader, field string) []TokenHash {
 	var out []TokenHash
 	for i, text := range o.strings(field, maxTokens) {
 		h, ok := parseHash(text)
 		if !ok {
-			o.fail(field+"."+strconv.Itoa(i), "want 64 lower-case hexadecimal digits")
+			o.addError(field+"."+strconv.Itoa(i), "want 64 lower-case hexadecimal digits")
 		}
 		out = append(out, h)
 	}
@@ -136,83 +136,83 @@
 
 // readService reads all schemas. Schema 3 added the need of a task. Schema 1 had the deadline as "deadline_ms",
 // the run time in seconds as "run_s", and no limit on bodies.
-func readService(o *object, name string, schema int64) *Service {
-	s := &Service{Name: name, Path: o.text("path", "/"), MaxBody: defaultBodyBytes}
-	s.MaxTasks = int(o.integer("max_tasks", MaxTasks, 1, MaxTasks))
-	if !pathForm.MatchString(s.Path) {
-		o.fail("path", "%q: want an absolute path without query", s.Path)
+func readService(o *objectReader, name string, schema int64) *Service {
+	s := &Service{Name: name, Path: o.stringField("path", "/"), MaxBody: defaultBodyBytes}
+	s.MaxTasks = int(o.intField("max_tasks", MaxTasks, 1, MaxTasks))
+	if !pathPattern.MatchString(s.Path) {
+		o.addError("path", "%q: want an absolute path without query", s.Path)
 	}
 	if schema == 1 {
-		s.DefaultDeadlineMs = o.integer("deadline_ms", defaultDeadlineMs, 1, maxDeadlineMs)
-		s.DeclaredMs = int64(o.number("run_s", 0, 0, maxDeadlineMs/millisPerSecond) * millisPerSecond)
+		s.DefaultDeadlineMs = o.intField("deadline_ms", defaultDeadlineMs, 1, maxDeadlineMs)
+		s.DeclaredMs = int64(o.floatField("run_s", 0, 0, maxDeadlineMs/millisPerSecond) * millisPerSecond)
 		return s
 	}
-	s.DefaultDeadlineMs = o.integer("default_deadline_ms", defaultDeadlineMs, 1, maxDeadlineMs)
-	s.DeclaredMs = o.integer("declared_ms", 0, 0, maxDeadlineMs)
+	s.DefaultDeadlineMs = o.intField("default_deadline_ms", defaultDeadlineMs, 1, maxDeadlineMs)
+	s.DeclaredMs = o.intField("declared_ms", 0, 0, maxDeadlineMs)
 	if schema >= 3 {
 		s.Need = readNeed(o)
 	}
-	s.MaxBody = o.integer("max_body", defaultBodyBytes, 1, maxBodyBytes)
+	s.MaxBody = o.intField("max_body", defaultBodyBytes, 1, maxBodyBytes)
 	return s
 }
 
-func readNeed(o *object) dispatch.Need {
+func readNeed(o *objectReader) dispatch.Need {
 	return dispatch.Need{
-		Accelerators: int(o.integer("accelerators", 0, 0, maxAccelerators)),
-		MemoryMB:     int(o.integer("memory_mb", 0, 0, maxMemoryMB)),
+		Accelerators: int(o.intField("accelerators", 0, 0, maxAccelerators)),
+		MemoryMB:     int(o.intField("memory_mb", 0, 0, maxMemoryMB)),
 	}
 }
 
-func readPolicy(o *object, name string) *Policy {
+func readPolicy(o *objectReader, name string) *Policy {
 	p := dispatch.DefaultPolicy()
-	if o.choice("weighting", "response", "response", "messages") == "messages" {
+	if o.enumField("weighting", "response", "response", "messages") == "messages" {
 		p.Weighting = dispatch.WeighMessages
 	}
-	p.MaxQueued = int(o.integer("max_queued", int64(p.MaxQueued), 0, maxQueued))
-	p.RetryRatio = o.number("retry_ratio", p.RetryRatio, 0, 1)
-	p.Grace = millis(o.integer("grace_ms", p.Grace.Milliseconds(), 0, maxGraceMs))
-	p.Teams = readQuotas(o.object("teams"))
+	p.MaxQueued = int(o.intField("max_queued", int64(p.MaxQueued), 0, maxQueued))
+	p.RetryRatio = o.floatField("retry_ratio", p.RetryRatio, 0, 1)
+	p.Grace = milliseconds(o.intField("grace_ms", p.Grace.Milliseconds(), 0, maxGraceMs))
+	p.Teams = readQuotas(o.objectReader("teams"))
 	return &Policy{Name: name, Dispatch: p}
 }
 
-func readQuotas(teams *object) map[string]dispatch.Quota {
-	names := teams.names()
-	if len(names) > maxTeams {
-		teams.fail("", "more than %d teams", maxTeams)
+func readQuotas(teams *objectReader) map[string]dispatch.Quota {
+	fieldNames := teams.fieldNames()
+	if len(fieldNames) > maxTeams {
+		teams.addError("", "more than %d teams", maxTeams)
 		return nil
 	}
-	out := make(map[string]dispatch.Quota, len(names))
-	for _, name := range names {
-		if !teamForm.MatchString(name) {
-			teams.fail(name, "not a team's name")
+	out := make(map[string]dispatch.Quota, len(fieldNames))
+	for _, name := range fieldNames {
+		if !teamPattern.MatchString(name) {
+			teams.addError(name, "not a team's name")
 		}
-		q := teams.object(name)
+		q := teams.objectReader(name)
 		// Without these two it would be open whether the team may start nothing
 		// or as much as it likes.
-		q.need("starts_per_second", "burst")
+		q.requireFields("starts_per_second", "burst")
 		out[name] = dispatch.Quota{
-			StartsPerSecond: q.number("starts_per_second", 0, minRate, maxQuota),
-			Burst:           q.number("burst", 0, 1, maxQuota),
-			Weight:          q.number("weight", 1, 0, maxWeight),
+			StartsPerSecond: q.floatField("starts_per_second", 0, minStartsPerSecond, maxQuotaValue),
+			Burst:           q.floatField("burst", 0, 1, maxQuotaValue),
+			Weight:          q.floatField("weight", 1, 0, maxWeight),
 		}
-		q.done()
+		q.checkNoFieldsLeft()
 	}
 	return out
 }
 
-func readJob(o *object, name string, schema int64) *Job {
-	j := &Job{Name: name, Service: o.text("service", "")}
-	j.DeadlineMs = o.integer("deadline_ms", defaultDeadlineMs, 1, maxDeadlineMs)
-	j.MaxTasks = int(o.integer("max_tasks", MaxTasks, 1, MaxTasks))
-	j.DeclaredMs = o.integer("declared_ms", 0, 0, maxDeadlineMs)
+func readJob(o *objectReader, name string, schema int64) *Job {
+	j := &Job{Name: name, Service: o.stringField("service", "")}
+	j.DeadlineMs = o.intField("deadline_ms", defaultDeadlineMs, 1, maxDeadlineMs)
+	j.MaxTasks = int(o.intField("max_tasks", MaxTasks, 1, MaxTasks))
+	j.DeclaredMs = o.intField("declared_ms", 0, 0, maxDeadlineMs)
 	if schema >= 2 {
 		j.Need = readNeed(o)
 	}
 	if err := CheckName(KindService, j.Service); err != nil {
-		o.fail("service", "%q: want member/service", j.Service)
+		o.addError("service", "%q: want member/service", j.Service)
 	} else if Owner(j.Service) != Owner(name) {
 		// A job of one member on another's service would run a rival's work.
-		o.fail("service", "%q belongs to another member", j.Service)
+		o.addError("service", "%q belongs to another member", j.Service)
 	}
 	return j
 }
--- a/internal/record/object.go
+++ b/internal/record/object.go
@@ -26,27 +26,27 @@
 	return e.Path + ": " + e.Problem
 }
 
-// object reads the fields of one JSON object strictly: a field that is read
+// objectReader reads the fields of one JSON object strictly: a field that is read
 // counts as known, and done reports what is left over. A misspelt quota that
 // was passed over in silence would leave a team without its limit.
-type object struct {
+type objectReader struct {
 	path   string
 	fields map[string]json.RawMessage
 	errs   *[]error
 }
 
 // parseObject splits b into fields. Problems are added to errs.
-func parseObject(path string, b []byte, errs *[]error) *object {
-	o := &object{path: path, errs: errs, fields: map[string]json.RawMessage{}}
-	if err := o.split(b); err != nil {
-		o.fail("", "%v", err)
+func parseObject(path string, b []byte, errs *[]error) *objectReader {
+	o := &objectReader{path: path, errs: errs, fields: map[string]json.RawMessage{}}
+	if err := o.splitFields(b); err != nil {
+		o.addError("", "%v", err)
 	}
 	return o
 }
 
-// split does what json.Unmarshal into a map does, but refuses a field that
+// splitFields does what json.Unmarshal into a map does, but refuses a field that
 // stands twice, since people and programs disagree about which one counts.
-func (o *object) split(b []byte) error {
+func (o *objectReader) splitFields(b []byte) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
 		return errors.New("want a JSON object")
@@ -61,8 +61,8 @@
 		if err := d.Decode(&value); err != nil {
 			return fmt.Errorf("malformed JSON: %w", err)
 		}
-		if _, twice := o.fields[name]; twice {
-			o.fail(name, "stands twice")
+		if _, isDuplicate := o.fields[name]; isDuplicate {
+			o.addError(name, "stands twice")
 		}
 		o.fields[name] = value
 	}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (o *object) at(field string) string {
+func (o *objectReader) fieldPath(field string) string {
 	switch {
 	case field == "":
 		return o.path
@@ -85,90 +85,90 @@
 	return o.path + "." + field
 }
 
-func (o *object) fail(field, format string, args ...any) {
-	*o.errs = append(*o.errs, &FieldError{Path: o.at(field), Problem: fmt.Sprintf(format, args...)})
+func (o *objectReader) addError(field, format string, args ...any) {
+	*o.errs = append(*o.errs, &FieldError{Path: o.fieldPath(field), Problem: fmt.Sprintf(format, args...)})
 }
 
-// take removes a field and decodes it; it tells whether it was there. Null is
+// takeField removes a field and decodes it; it tells whether it was there. Null is
 // no value of any field.
-func (o *object) take(field string, to any, want string) bool {
+func (o *objectReader) takeField(field string, dest any, wantedType string) bool {
 	raw, ok := o.fields[field]
 	if !ok {
 		return false
 	}
 	delete(o.fields, field)
-	if string(raw) == "null" || json.Unmarshal(raw, to) != nil {
-		o.fail(field, "want %s", want)
+	if string(raw) == "null" || json.Unmarshal(raw, dest) != nil {
+		o.addError(field, "want %s", wantedType)
 		return false
 	}
 	return true
 }
 
-// need reports fields that are missing.
-func (o *object) need(fields ...string) {
+// requireFields reports fields that are missing.
+func (o *objectReader) requireFields(fields ...string) {
 	for _, field := range fields {
 		if _, ok := o.fields[field]; !ok {
-			o.fail(field, "missing")
+			o.addError(field, "missing")
 		}
 	}
 }
 
-func (o *object) text(field, standard string) string {
-	v := standard
-	o.take(field, &v, "a string")
+func (o *objectReader) stringField(field, defaultValue string) string {
+	v := defaultValue
+	o.takeField(field, &v, "a string")
 	return v
 }
 
-func (o *object) choice(field, standard string, choices ...string) string {
-	v := o.text(field, standard)
+func (o *objectReader) enumField(field, defaultValue string, choices ...string) string {
+	v := o.stringField(field, defaultValue)
 	if !slices.Contains(choices, v) {
-		o.fail(field, "%q is none of %q", v, choices)
+		o.addError(field, "%q is none of %q", v, choices)
 	}
 	return v
 }
 
-func (o *object) integer(field string, standard, low, high int64) int64 {
-	v := standard
-	if o.take(field, &v, "a whole number") && (v < low || v > high) {
-		o.fail(field, "%d is not within %d to %d", v, low, high)
+func (o *objectReader) intField(field string, defaultValue, minValue, maxValue int64) int64 {
+	v := defaultValue
+	if o.takeField(field, &v, "a whole number") && (v < minValue || v > maxValue) {
+		o.addError(field, "%d is not within %d to %d", v, minValue, maxValue)
 	}
 	return v
 }
 
-func (o *object) number(field string, standard, low, high float64) float64 {
-	v := standard
-	if o.take(field, &v, "a number") && !(v >= low && v <= high && !math.IsInf(v, 0)) {
-		o.fail(field, "%v is not within %v to %v", v, low, high)
+func (o *objectReader) floatField(field string, defaultValue, minValue, maxValue float64) float64 {
+	v := defaultValue
+	if o.takeField(field, &v, "a number") && !(v >= minValue && v <= maxValue && !math.IsInf(v, 0)) {
+		o.addError(field, "%v is not within %v to %v", v, minValue, maxValue)
 	}
 	return v
 }
 
-func (o *object) strings(field string, limit int) []string {
+func (o *objectReader) strings(field string, maxLen int) []string {
 	var v []string
-	if o.take(field, &v, "a list of strings") && len(v) > limit {
-		o.fail(field, "more than %d entries", limit)
+	if o.takeField(field, &v, "a list of strings") && len(v) > maxLen {
+		o.addError(field, "more than %d entries", maxLen)
 		return nil
 	}
 	for i, s := range v {
 		if slices.Contains(v[:i], s) {
-			o.fail(field+"."+strconv.Itoa(i), "%q stands twice", s)
+			o.addError(field+"."+strconv.Itoa(i), "%q stands twice", s)
 		}
 	}
 	return v
 }
 
-// object gives a nested object, empty if the field is missing.
-func (o *object) object(field string) *object {
+// objectReader gives a nested object, empty if the field is missing.
+func (o *objectReader) objectReader(field string) *objectReader {
 	raw, ok := o.fields[field]
 	if !ok {
-		return &object{path: o.at(field), errs: o.errs}
+		return &objectReader{path: o.fieldPath(field), errs: o.errs}
 	}
 	delete(o.fields, field)
-	return parseObject(o.at(field), raw, o.errs)
+	return parseObject(o.fieldPath(field), raw, o.errs)
 }
 
-// names lists the fields in order.
-func (o *object) names() []string {
+// fieldNames lists the fields in order.
+func (o *objectReader) fieldNames() []string {
 	var out []string
 	for name := range o.fields {
 		out = append(out, name)
@@ -177,9 +177,9 @@
 	return out
 }
 
-// done reports the fields that nothing has read.
-func (o *object) done() {
-	for _, name := range o.names() {
-		o.fail(name, "unknown field")
+// checkNoFieldsLeft reports the fields that nothing has read.
+func (o *objectReader) checkNoFieldsLeft() {
+	for _, name := range o.fieldNames() {
+		o.addError(name, "unknown field")
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -37,30 +37,30 @@
 // the store takes, as every entry and guard holds all records.
 const MaxSize = 64 << 10
 
-const maxNameLen = 63
+const maxNamePartLen = 63
 
 var (
-	memberForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
-	// fullForm is "member/name".
-	fullForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*/[a-z0-9][a-z0-9-]*$`)
+	memberPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
+	// qualifiedPattern is "member/name".
+	qualifiedPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*/[a-z0-9][a-z0-9-]*$`)
 )
 
 // CheckName tells what is wrong with the name of a record.
 func CheckName(kind Kind, name string) error {
-	form, want := fullForm, "member/name"
+	pattern, want := qualifiedPattern, "member/name"
 	switch kind {
 	case KindMember:
-		form, want = memberForm, "a member's name"
+		pattern, want = memberPattern, "a member's name"
 	case KindService, KindPolicy, KindJob:
 	default:
 		return fmt.Errorf("kind: %q is none of %v", kind, Kinds())
 	}
-	if !form.MatchString(name) {
+	if !pattern.MatchString(name) {
 		return fmt.Errorf("name: %q: want %s in lower-case letters, digits and hyphens", name, want)
 	}
 	for part := range strings.SplitSeq(name, "/") {
-		if len(part) > maxNameLen {
-			return fmt.Errorf("name: %q: a part is longer than %d", name, maxNameLen)
+		if len(part) > maxNamePartLen {
+			return fmt.Errorf("name: %q: a part is longer than %d", name, maxNamePartLen)
 		}
 	}
 	return nil
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -18,21 +18,21 @@
 	"wigeontray/internal/store"
 )
 
-func raw(kind Kind, name, value string, revision int64) Raw {
+func rawRecord(kind Kind, name, value string, revision int64) Raw {
 	return Raw{Key: Key(kind, name), Value: []byte(value), ModRevision: revision}
 }
 
-func memberWith(name, token string) Raw {
+func memberWithToken(name, token string) Raw {
 	h := HashToken(token)
-	return raw(KindMember, name, fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":[%q]}`, name, hex.EncodeToString(h[:])), 1)
+	return rawRecord(KindMember, name, fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":[%q]}`, name, hex.EncodeToString(h[:])), 1)
 }
 
-func TestServiceSchemasSideBySide(t *testing.T) {
+func TestOldAndNewServiceSchemasCoexist(t *testing.T) {
 	c := qt.New(t)
 	s := Build(nil, []Raw{
-		memberWith("ayni", "t"),
-		raw(KindService, "ayni/old", `{"kind":"service","name":"ayni/old","schema":1,"path":"/b","deadline_ms":3000,"run_s":0.25,"max_tasks":50}`, 2),
-		raw(KindService, "ayni/new", `{"kind":"service","name":"ayni/new","schema":2,"path":"/b","default_deadline_ms":3000,"declared_ms":250,"max_tasks":50}`, 3),
+		memberWithToken("ayni", "t"),
+		rawRecord(KindService, "ayni/old", `{"kind":"service","name":"ayni/old","schema":1,"path":"/b","deadline_ms":3000,"run_s":0.25,"max_tasks":50}`, 2),
+		rawRecord(KindService, "ayni/new", `{"kind":"service","name":"ayni/new","schema":2,"path":"/b","default_deadline_ms":3000,"declared_ms":250,"max_tasks":50}`, 3),
 	}, 3)
 	c.Assert(s.Rejected(), qt.HasLen, 0)
 	before, _ := s.Service("ayni/old")
@@ -44,13 +44,13 @@
 	c.Assert(*after, qt.Equals, want)
 }
 
-func TestNeedOfATask(t *testing.T) {
+func TestTaskResourceRequirements(t *testing.T) {
 	c := qt.New(t)
 	s := Build(nil, []Raw{
-		memberWith("ayni", "t"),
-		raw(KindService, "ayni/new", `{"kind":"service","name":"ayni/new","schema":3,"accelerators":2,"memory_mb":64000}`, 2),
-		raw(KindService, "ayni/old", `{"kind":"service","name":"ayni/old","schema":2,"accelerators":2}`, 3),
-		raw(KindJob, "ayni/j", `{"kind":"job","name":"ayni/j","schema":2,"service":"ayni/new","accelerators":4}`, 4),
+		memberWithToken("ayni", "t"),
+		rawRecord(KindService, "ayni/new", `{"kind":"service","name":"ayni/new","schema":3,"accelerators":2,"memory_mb":64000}`, 2),
+		rawRecord(KindService, "ayni/old", `{"kind":"service","name":"ayni/old","schema":2,"accelerators":2}`, 3),
+		rawRecord(KindJob, "ayni/j", `{"kind":"job","name":"ayni/j","schema":2,"service":"ayni/new","accelerators":4}`, 4),
 	}, 4)
 	c.Assert(s.Rejected(), qt.HasLen, 1)
 	sv, _ := s.Service("ayni/new")
@@ -59,9 +59,9 @@
 	c.Assert(j.Need, qt.Equals, dispatch.Need{Accelerators: 4})
 }
 
-func TestPolicyBecomesDispatchPolicy(t *testing.T) {
+func TestPolicyRecordIsConvertedToDispatchPolicy(t *testing.T) {
 	c := qt.New(t)
-	s := Build(nil, []Raw{raw(KindPolicy, "leeuwin/clubcast", `{"kind":"policy","name":"leeuwin/clubcast","schema":1,
+	s := Build(nil, []Raw{rawRecord(KindPolicy, "leeuwin/clubcast", `{"kind":"policy","name":"leeuwin/clubcast","schema":1,
 		"weighting":"messages","max_queued":100,"retry_ratio":0.1,"grace_ms":500,
 		"teams":{"day-1":{"starts_per_second":40,"burst":80,"weight":2},"day-2":{"starts_per_second":1,"burst":1}}}`, 1)}, 1)
 	c.Assert(s.Rejected(), qt.HasLen, 0)
@@ -75,7 +75,7 @@
 // A record is written by hand and has a slip in it. A slip that is passed over
 // leaves a team without its quota or a service with a default nobody chose; the
 // operator must be told the field.
-func TestSlipsAreRefusedWithTheirField(t *testing.T) {
+func TestInvalidFieldsAreReportedByPath(t *testing.T) {
 	hexDigits := strings.Repeat("0a", len(TokenHash{}))
 	for value, want := range map[string]string{
 		`{"kind":"service","name":"a/b","schema":2,"deadline_ms":1}`:                                                                      `deadline_ms: unknown field`,
@@ -109,10 +109,10 @@
 
 // A token is being replaced. Both must be good until callers have changed over,
 // and the old one must end when the record drops it.
-func TestTwoTokensWhileOneIsReplaced(t *testing.T) {
+func TestTokenRotationAcceptsBothTokens(t *testing.T) {
 	c := qt.New(t)
 	a, b := HashToken("first"), HashToken("second")
-	s := Build(nil, []Raw{raw(KindMember, "ayni", fmt.Sprintf(`{"kind":"member","name":"ayni","schema":1,"token_sha256":["%x","%x"]}`, a, b), 1)}, 1)
+	s := Build(nil, []Raw{rawRecord(KindMember, "ayni", fmt.Sprintf(`{"kind":"member","name":"ayni","schema":1,"token_sha256":["%x","%x"]}`, a, b), 1)}, 1)
 	for _, token := range []string{"first", "second"} {
 		m, ok := s.MemberByToken(token)
 		c.Assert(ok, qt.IsTrue)
@@ -129,8 +129,8 @@
 
 // A member copies the hash of a rival's token into its own record. The rival's
 // requests must not be served as this member's, where it could read them.
-func TestHashClaimedTwiceOpensNothing(t *testing.T) {
-	s := Build(nil, []Raw{memberWith("ayni", "same"), memberWith("leeuwin", "same")}, 1)
+func TestTokenHashClaimedByTwoMembersIsInvalid(t *testing.T) {
+	s := Build(nil, []Raw{memberWithToken("ayni", "same"), memberWithToken("leeuwin", "same")}, 1)
 	_, ok := s.MemberByToken("same")
 	qt.Assert(t, ok, qt.IsFalse)
 }
@@ -138,10 +138,10 @@
 // A record in the store is spoilt, by hand or by a fault. The one accepted
 // before stays in force and is listed, through further changes and through the
 // form in which snapshots travel between processes.
-func TestSpoiltRecordKeepsTheAcceptedOne(t *testing.T) {
+func TestCorruptRecordKeepsTheLastAcceptedOne(t *testing.T) {
 	c := qt.New(t)
-	good := raw(KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":2,"max_tasks":7}`, 2)
-	s := Build(nil, []Raw{memberWith("ayni", "t"), good}, 2)
+	good := rawRecord(KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":2,"max_tasks":7}`, 2)
+	s := Build(nil, []Raw{memberWithToken("ayni", "t"), good}, 2)
 	change := func(revision int64, value string) store.Batch {
 		return store.Batch{Revision: revision, Events: []store.Event{{KV: store.KV{Key: good.Key, Value: []byte(value), ModRevision: revision}}}}
 	}
@@ -155,7 +155,7 @@
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(v.MaxTasks, qt.Equals, 7)
 		c.Assert(s.Rejected(), qt.HasLen, 1)
-		c.Assert(s.Rejected()[0].InForce, qt.Equals, int64(2))
+		c.Assert(s.Rejected()[0].FallbackRevision, qt.Equals, int64(2))
 	}
 	s = s.Apply(store.Batch{Revision: 5, Events: []store.Event{{KV: store.KV{Key: good.Key, ModRevision: 5}, Deleted: true}}})
 	_, ok := s.Service("ayni/reserva")
@@ -163,21 +163,21 @@
 	c.Assert(s.Rejected(), qt.HasLen, 0)
 }
 
-func TestSnapshotTravels(t *testing.T) {
+func TestSnapshotEncodingRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	s := Build(nil, []Raw{memberWith("ayni", "t"), memberWith("leeuwin", "u")}, 9)
+	s := Build(nil, []Raw{memberWithToken("ayni", "t"), memberWithToken("leeuwin", "u")}, 9)
 	b, err := s.Encode()
 	c.Assert(err, qt.IsNil)
 	got, err := Decode(nil, b)
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.Revision, qt.Equals, int64(9))
 	c.Assert(got.Members(), qt.DeepEquals, []string{"ayni", "leeuwin"})
-	again, _ := got.Encode()
-	c.Assert(again, qt.DeepEquals, b)
+	reencoded, _ := got.Encode()
+	c.Assert(reencoded, qt.DeepEquals, b)
 	c.Assert(got.List("ayni"), qt.HasLen, 1)
 }
 
-func TestWriteIDKeepsTheRecord(t *testing.T) {
+func TestWithWriteIDPreservesOtherFields(t *testing.T) {
 	c := qt.New(t)
 	b, err := WithWriteID([]byte(`{"schema":1,"name":"a/b","kind":"policy","retry_ratio":0.10,"write_id":"old"}`), "new")
 	c.Assert(err, qt.IsNil)
@@ -185,8 +185,8 @@
 	c.Assert(WriteID(b), qt.Equals, "new")
 }
 
-// samples reads the sample records of one member.
-func samples(t *testing.T, member string) *Snapshot {
+// loadSamples reads the sample records of one member.
+func loadSamples(t *testing.T, member string) *Snapshot {
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", member, "records", "*.json"))
 	qt.Assert(t, err, qt.IsNil)
 	var all []Raw
@@ -195,7 +195,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		p, err := Parse(b)
 		qt.Assert(t, err, qt.IsNil, qt.Commentf(file))
-		all = append(all, raw(p.Kind, p.Name, string(b), int64(i+1)))
+		all = append(all, rawRecord(p.Kind, p.Name, string(b), int64(i+1)))
 	}
 	return Build(nil, all, int64(len(all)))
 }
@@ -205,7 +205,7 @@
 		"ayni": {"ayni/reserva", "ayni/escort-booking"}, "leeuwin": {"leeuwin/clubcast", "leeuwin/course-wind"},
 	} {
 		c := qt.New(t)
-		s := samples(t, member)
+		s := loadSamples(t, member)
 		c.Assert(s.Rejected(), qt.HasLen, 0)
 		c.Assert(s.Services(), qt.DeepEquals, []string{names[0]})
 		_, ok := s.Job(names[1])
--- a/internal/record/seal.go
+++ b/internal/record/seal.go
@@ -10,8 +10,8 @@
 
 // Derivation of the sealing key.
 const (
-	sealInfo   = "wigeontray configuration snapshot 1"
-	sealKeyLen = 32 // bytes: AES-256
+	sealKeyInfo = "wigeontray configuration snapshot 1"
+	sealKeyLen  = 32 // bytes: AES-256
 )
 
 // Sealer encrypts and authenticates snapshots under a key that only entries
@@ -22,7 +22,7 @@
 
 // NewSealer derives a Sealer from the entries' key.
 func NewSealer(key string) (*Sealer, error) {
-	derived, err := hkdf.Key(sha256.New, []byte(key), nil, sealInfo, sealKeyLen)
+	derived, err := hkdf.Key(sha256.New, []byte(key), nil, sealKeyInfo, sealKeyLen)
 	if err != nil {
 		return nil, fmt.Errorf("sealing key: %w", err)
 	}
--- a/internal/record/snapshot.go
+++ b/internal/record/snapshot.go
@@ -27,9 +27,9 @@
 	Reason      string
 	// TooNew means that its schema is above what this software understands.
 	TooNew bool
-	// InForce is the revision of the record that is obeyed in its place; 0 if
+	// FallbackRevision is the revision of the record that is obeyed in its place; 0 if
 	// there is none.
-	InForce int64
+	FallbackRevision int64
 }
 
 // Snapshot is the whole configuration at one revision of the store. It never
@@ -38,20 +38,20 @@
 	// Revision is the store's revision up to which the snapshot is complete.
 	Revision int64
 
-	raw      map[string]Raw // as the store holds them
-	held     map[string]Raw // obeyed in place of a rejected one
-	rejected []Rejected
-	parsed   map[string]*Parsed // the records in force as the store holds them
+	raw       map[string]Raw // as the store holds them
+	fallbacks map[string]Raw // obeyed in place of a rejected one
+	rejected  []Rejected
+	parsed    map[string]*Parsed // the records in force as the store holds them
 
 	members  map[string]*Member
 	services map[string]*Service
 	policies map[string]*Policy
 	jobs     map[string]*Job
-	tokens   []token
+	tokens   []tokenEntry
 }
 
-// token is one good token of a member.
-type token struct {
+// tokenEntry is one good token of a member.
+type tokenEntry struct {
 	hash   TokenHash
 	member *Member
 }
@@ -60,10 +60,10 @@
 // read stay as they were in before, which may be nil: if a newer process
 // writes a schema that this one has never heard of, or a record is spoilt, the
 // service must go on under what was accepted last, and not under defaults.
-func Build(before *Snapshot, raw []Raw, revision int64) *Snapshot {
+func Build(previous *Snapshot, raw []Raw, revision int64) *Snapshot {
 	s := &Snapshot{
 		Revision: revision,
-		raw:      make(map[string]Raw, len(raw)), held: map[string]Raw{},
+		raw:      make(map[string]Raw, len(raw)), fallbacks: map[string]Raw{},
 		parsed:  make(map[string]*Parsed, len(raw)),
 		members: map[string]*Member{}, services: map[string]*Service{},
 		policies: map[string]*Policy{}, jobs: map[string]*Job{},
@@ -72,32 +72,32 @@
 		s.raw[r.Key] = r
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.raw)) {
-		s.add(before, s.raw[key])
+		s.addRecord(previous, s.raw[key])
 	}
 	s.indexTokens()
 	return s
 }
 
-func (s *Snapshot) add(before *Snapshot, r Raw) {
-	p, err := before.parse(r)
+func (s *Snapshot) addRecord(previous *Snapshot, r Raw) {
+	p, err := previous.parseCached(r)
 	if err == nil {
 		s.parsed[r.Key] = p
-		s.put(p)
+		s.index(p)
 		return
 	}
-	rej := Rejected{Key: r.Key, ModRevision: r.ModRevision, Reason: err.Error(), TooNew: errors.Is(err, ErrSchemaTooNew)}
-	if old, ok := before.accepted(r.Key); ok {
-		if p, err := parseRaw(old); err == nil {
-			s.put(p)
-			s.held[r.Key] = old
-			rej.InForce = old.ModRevision
+	rejection := Rejected{Key: r.Key, ModRevision: r.ModRevision, Reason: err.Error(), TooNew: errors.Is(err, ErrSchemaTooNew)}
+	if fallback, ok := previous.acceptedRecord(r.Key); ok {
+		if p, err := parseRaw(fallback); err == nil {
+			s.index(p)
+			s.fallbacks[r.Key] = fallback
+			rejection.FallbackRevision = fallback.ModRevision
 		}
 	}
-	s.rejected = append(s.rejected, rej)
+	s.rejected = append(s.rejected, rejection)
 }
 
-// parse is parseRaw, but for a record that s has read already.
-func (s *Snapshot) parse(r Raw) (*Parsed, error) {
+// parseCached is parseRaw, but for a record that s has read already.
+func (s *Snapshot) parseCached(r Raw) (*Parsed, error) {
 	if s != nil && bytes.Equal(s.raw[r.Key].Value, r.Value) {
 		if p, ok := s.parsed[r.Key]; ok {
 			return p, nil
@@ -114,19 +114,19 @@
 	return ParseAs(kind, name, r.Value)
 }
 
-// accepted gives the record that s obeys under key.
-func (s *Snapshot) accepted(key string) (Raw, bool) {
+// acceptedRecord gives the record that s obeys under key.
+func (s *Snapshot) acceptedRecord(key string) (Raw, bool) {
 	if s == nil {
 		return Raw{}, false
 	}
-	if r, ok := s.held[key]; ok {
+	if r, ok := s.fallbacks[key]; ok {
 		return r, true
 	}
 	r, ok := s.raw[key]
 	return r, ok
 }
 
-func (s *Snapshot) put(p *Parsed) {
+func (s *Snapshot) index(p *Parsed) {
 	switch p.Kind {
 	case KindMember:
 		s.members[p.Name] = p.Member
@@ -143,17 +143,17 @@
 // learned a rival's hash could copy it into its own record, and the rival's
 // callers would be served as the wrong member.
 func (s *Snapshot) indexTokens() {
-	owners := map[TokenHash]int{}
+	claims := map[TokenHash]int{}
 	for _, m := range s.members {
 		for _, h := range m.Tokens {
-			owners[h]++
+			claims[h]++
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[name]
 		for _, h := range m.Tokens {
-			if owners[h] == 1 {
-				s.tokens = append(s.tokens, token{hash: h, member: m})
+			if claims[h] == 1 {
+				s.tokens = append(s.tokens, tokenEntry{hash: h, member: m})
 			}
 		}
 	}
@@ -249,18 +249,18 @@
 
 // List gives the records of one member as the store holds them, sorted by key.
 func (s *Snapshot) List(member string) []Raw {
-	return s.list(func(_ Kind, name string) bool { return Owner(name) == member })
+	return s.filterRecords(func(_ Kind, name string) bool { return Owner(name) == member })
 }
 
 // ListKind gives the records of one kind as the store holds them, sorted.
 func (s *Snapshot) ListKind(kind Kind) []Raw {
-	return s.list(func(k Kind, _ string) bool { return k == kind })
+	return s.filterRecords(func(k Kind, _ string) bool { return k == kind })
 }
 
-func (s *Snapshot) list(want func(kind Kind, name string) bool) []Raw {
+func (s *Snapshot) filterRecords(match func(kind Kind, name string) bool) []Raw {
 	var out []Raw
 	for _, r := range s.raw {
-		if kind, name, err := ParseKey(r.Key); err == nil && want(kind, name) {
+		if kind, name, err := ParseKey(r.Key); err == nil && match(kind, name) {
 			out = append(out, r)
 		}
 	}
@@ -284,8 +284,8 @@
 	return Build(s, slices.Collect(maps.Values(raw)), b.Revision)
 }
 
-// Same tells whether the snapshot holds exactly these records.
-func (s *Snapshot) Same(raw []Raw) bool {
+// HasSameRecords tells whether the snapshot holds exactly these records.
+func (s *Snapshot) HasSameRecords(raw []Raw) bool {
 	if s == nil || len(raw) != len(s.raw) {
 		return false
 	}
--- a/internal/recordapi/recordapi.go
+++ b/internal/recordapi/recordapi.go
@@ -64,10 +64,10 @@
 	Kind     record.Kind `json:"kind"`
 	Name     string      `json:"name"`
 	Revision int64       `json:"revision"`
-	// Problem tells why the record is not in force, and InForce the revision
+	// Problem tells why the record is not in force, and FallbackRevision the revision
 	// of the one that is obeyed in its place, 0 for none.
-	Problem string `json:"problem,omitempty"`
-	InForce int64  `json:"in_force,omitempty"`
+	Problem          string `json:"problem,omitempty"`
+	FallbackRevision int64  `json:"in_force,omitempty"`
 	// Value is the record itself; left out in answers to amendments.
 	Value json.RawMessage `json:"value,omitempty"`
 }
@@ -103,22 +103,22 @@
 	}
 	h := &handler{o}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+PathList, h.with(h.list))
-	mux.HandleFunc("GET "+pathRecord, h.with(h.get))
-	mux.HandleFunc("PUT "+pathRecord, h.with(h.put))
-	mux.HandleFunc("DELETE "+pathRecord, h.with(h.delete))
+	mux.HandleFunc("GET "+PathList, h.authenticated(h.list))
+	mux.HandleFunc("GET "+pathRecord, h.authenticated(h.get))
+	mux.HandleFunc("PUT "+pathRecord, h.authenticated(h.put))
+	mux.HandleFunc("DELETE "+pathRecord, h.authenticated(h.delete))
 	return httpserve.Unmatched(mux, h.WriteError)
 }
 
-// with authenticates, and answers with the error of f if there is one.
-func (h *handler) with(f func(http.ResponseWriter, *http.Request, Principal) error) http.HandlerFunc {
+// authenticated authenticates, and answers with the error of f if there is one.
+func (h *handler) authenticated(next func(http.ResponseWriter, *http.Request, Principal) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p, err := h.Authenticate(r)
 		if err == nil && !h.Sync.Ready() {
 			err = errkind.New(errkind.StoreUnavailable, "no configuration was obtained yet").WithRan(errkind.RanNo)
 		}
 		if err == nil {
-			err = f(w, r, p)
+			err = next(w, r, p)
 		}
 		if err != nil {
 			h.WriteError(w, errkind.From(err))
@@ -126,17 +126,17 @@
 	}
 }
 
-// owns tells whether p may read and amend a record.
-func (p Principal) owns(kind record.Kind, name string) bool {
+// canAccess tells whether p may read and amend a record.
+func (p Principal) canAccess(kind record.Kind, name string) bool {
 	if p.Consortium {
 		return kind == record.KindMember
 	}
 	return p.Member != "" && record.Owner(name) == p.Member
 }
 
-// mayCreateOrDelete tells whether p may make a record come or go. A member
+// canCreateOrDelete tells whether p may make a record come or go. A member
 // amends its own member record but cannot end its membership, nor begin one.
-func (p Principal) mayCreateOrDelete(kind record.Kind) bool {
+func (p Principal) canCreateOrDelete(kind record.Kind) bool {
 	return p.Consortium || kind != record.KindMember
 }
 
@@ -144,8 +144,8 @@
 	kind := record.Kind(r.URL.Query().Get("kind"))
 	snap := h.Sync.Current()
 	out := List{Revision: snap.Revision, Records: []Record{}}
-	for _, raw := range p.visible(snap) {
-		rec := describe(snap, raw)
+	for _, raw := range p.visibleRecords(snap) {
+		rec := toRecord(snap, raw)
 		if kind == "" || rec.Kind == kind {
 			out.Records = append(out.Records, rec)
 		}
@@ -153,16 +153,16 @@
 	return writeJSON(w, http.StatusOK, out)
 }
 
-func (p Principal) visible(snap *record.Snapshot) []record.Raw {
+func (p Principal) visibleRecords(snap *record.Snapshot) []record.Raw {
 	if p.Consortium {
 		return snap.ListKind(record.KindMember)
 	}
 	return snap.List(p.Member)
 }
 
-// describe puts a record into the form of an answer. A value that is no JSON
+// toRecord puts a record into the form of an answer. A value that is no JSON
 // is left out; Problem then says so.
-func describe(snap *record.Snapshot, raw record.Raw) Record {
+func toRecord(snap *record.Snapshot, raw record.Raw) Record {
 	kind, name, _ := record.ParseKey(raw.Key) // List gives only keys that parse
 	rec := Record{Kind: kind, Name: name, Revision: raw.ModRevision}
 	if json.Valid(raw.Value) {
@@ -170,27 +170,27 @@
 	}
 	for _, rej := range snap.Rejected() {
 		if rej.Key == raw.Key {
-			rec.Problem, rec.InForce = rej.Reason, rej.InForce
+			rec.Problem, rec.FallbackRevision = rej.Reason, rej.FallbackRevision
 		}
 	}
 	return rec
 }
 
-// target is the record that a request names. A record of another member is
+// targetRecord is the record that a request names. A record of another member is
 // answered as one that does not exist, or its name would be told.
-func target(r *http.Request, p Principal) (record.Kind, string, error) {
+func targetRecord(r *http.Request, p Principal) (record.Kind, string, error) {
 	kind, name := record.Kind(r.PathValue("kind")), r.PathValue("name")
 	if err := record.CheckName(kind, name); err != nil {
 		return "", "", errkind.New(errkind.BadRequest, "%w", err)
 	}
-	if !p.owns(kind, name) {
+	if !p.canAccess(kind, name) {
 		return "", "", errkind.New(errkind.NotFound, "%s %s", kind, name)
 	}
 	return kind, name, nil
 }
 
 func (h *handler) get(w http.ResponseWriter, r *http.Request, p Principal) error {
-	kind, name, err := target(r, p)
+	kind, name, err := targetRecord(r, p)
 	if err != nil {
 		return err
 	}
@@ -200,23 +200,23 @@
 		return errkind.New(errkind.NotFound, "%s %s", kind, name)
 	}
 	w.Header().Set("ETag", etag(raw.ModRevision))
-	return writeJSON(w, http.StatusOK, describe(snap, raw))
+	return writeJSON(w, http.StatusOK, toRecord(snap, raw))
 }
 
 func (h *handler) put(w http.ResponseWriter, r *http.Request, p Principal) error {
-	kind, name, err := target(r, p)
+	kind, name, err := targetRecord(r, p)
 	if err != nil {
 		return err
 	}
-	expect, err := expected(r)
+	expected, err := expectedRevision(r)
 	if err != nil {
 		return err
 	}
-	if expect == 0 && !p.mayCreateOrDelete(kind) {
+	if expected == 0 && !p.canCreateOrDelete(kind) {
 		return errkind.New(errkind.Forbidden, "a member record is created by the consortium's operator")
 	}
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, record.MaxSize))
-	if _, large := errors.AsType[*http.MaxBytesError](err); large {
+	if _, isTooLarge := errors.AsType[*http.MaxBytesError](err); isTooLarge {
 		return errkind.New(errkind.TooLarge, "a record may have %d bytes", record.MaxSize)
 	}
 	if err != nil {
@@ -226,15 +226,15 @@
 	if err != nil {
 		return err
 	}
-	revision, err := h.Sync.PutAs(r.Context(), id, kind, name, value, expect)
+	revision, err := h.Sync.PutWithWriteID(r.Context(), id, kind, name, value, expected)
 	if err != nil {
 		return err
 	}
 	w.Header().Set("ETag", etag(revision))
-	return writeJSON(w, statusOf(expect), Record{Kind: kind, Name: name, Revision: revision})
+	return writeJSON(w, putStatus(expected), Record{Kind: kind, Name: name, Revision: revision})
 }
 
-var writeIDForm = regexp.MustCompile(`^[A-Za-z0-9_-]{16,64}$`)
+var writeIDPattern = regexp.MustCompile(`^[A-Za-z0-9_-]{16,64}$`)
 
 // writeID is the request's Idempotency-Key, or a new identity without one.
 func writeID(r *http.Request) (string, error) {
@@ -242,42 +242,42 @@
 	if key == "" {
 		return uuid.NewString(), nil
 	}
-	if !writeIDForm.MatchString(key) {
+	if !writeIDPattern.MatchString(key) {
 		return "", errkind.New(errkind.BadRequest, "Idempotency-Key: want 16 to 64 letters, digits, hyphens or underscores")
 	}
 	return key, nil
 }
 
-func statusOf(expect int64) int {
-	if expect == 0 {
+func putStatus(expected int64) int {
+	if expected == 0 {
 		return http.StatusCreated
 	}
 	return http.StatusOK
 }
 
 func (h *handler) delete(w http.ResponseWriter, r *http.Request, p Principal) error {
-	kind, name, err := target(r, p)
+	kind, name, err := targetRecord(r, p)
 	if err != nil {
 		return err
 	}
-	if !p.mayCreateOrDelete(kind) {
+	if !p.canCreateOrDelete(kind) {
 		return errkind.New(errkind.Forbidden, "a member record is deleted by the consortium's operator")
 	}
-	expect, err := expected(r)
+	expected, err := expectedRevision(r)
 	if err != nil {
 		return err
 	}
-	revision, err := h.Sync.Delete(r.Context(), kind, name, expect)
+	revision, err := h.Sync.Delete(r.Context(), kind, name, expected)
 	if err != nil {
 		return err
 	}
 	return writeJSON(w, http.StatusOK, Record{Kind: kind, Name: name, Revision: revision})
 }
 
-// expected reads the revision that an amendment is based on; 0 for a record
+// expectedRevision reads the revision that an amendment is based on; 0 for a record
 // that must not exist. A request without it is refused: it would overwrite
 // whatever another operator has done in the meantime.
-func expected(r *http.Request) (int64, error) {
+func expectedRevision(r *http.Request) (int64, error) {
 	match, none := r.Header.Get("If-Match"), r.Header.Get("If-None-Match")
 	switch {
 	case match != "" && none != "":
@@ -287,10 +287,10 @@
 	case match == "":
 		return 0, errkind.New(errkind.BadRequest, `an amendment needs If-Match: "revision" or If-None-Match: *`)
 	}
-	text, quoted := strings.CutPrefix(match, `"`)
-	text, closed := strings.CutSuffix(text, `"`)
+	text, hasOpeningQuote := strings.CutPrefix(match, `"`)
+	text, hasClosingQuote := strings.CutSuffix(text, `"`)
 	revision, err := strconv.ParseInt(text, 10, 64)
-	if !quoted || !closed || err != nil || revision <= 0 {
+	if !hasOpeningQuote || !hasClosingQuote || err != nil || revision <= 0 {
 		return 0, errkind.New(errkind.BadRequest, "If-Match: %s: want one revision in quotes", match)
 	}
 	return revision, nil
--- a/internal/recordapi/recordapi_test.go
+++ b/internal/recordapi/recordapi_test.go
@@ -26,7 +26,7 @@
 	server  *standin.Server
 }
 
-func run(t *testing.T, test func(a *api)) {
+func runWithAPI(t *testing.T, test func(a *api)) {
 	synctest.Test(t, func(t *testing.T) {
 		server := standin.New()
 		defer server.Close()
@@ -69,7 +69,7 @@
 	return w
 }
 
-func (a *api) refused(w *httptest.ResponseRecorder, kind errkind.Kind) ErrorDetail {
+func (a *api) assertRefused(w *httptest.ResponseRecorder, kind errkind.Kind) ErrorDetail {
 	a.Helper()
 	var body ErrorBody
 	a.Assert(json.Unmarshal(w.Body.Bytes(), &body), qt.IsNil)
@@ -78,7 +78,7 @@
 	return body.Error
 }
 
-func (a *api) member(name string) string {
+func (a *api) createMember(name string) string {
 	w := a.do("consortium", "PUT", "/v1/records/member/"+name, "*", fmt.Sprintf(`{"kind":"member","name":%q,"schema":1}`, name))
 	a.Assert(w.Code, qt.Equals, http.StatusCreated, qt.Commentf("%s", w.Body))
 	return w.Header().Get("ETag")
@@ -86,9 +86,9 @@
 
 const reserva = `{"kind":"service","name":"ayni/reserva","schema":2}`
 
-func TestLifeOfARecord(t *testing.T) {
-	run(t, func(a *api) {
-		a.member("ayni")
+func TestRecordLifecycle(t *testing.T) {
+	runWithAPI(t, func(a *api) {
+		a.createMember("ayni")
 		path := "/v1/records/service/ayni/reserva"
 		w := a.do("ayni", "PUT", path, "*", reserva)
 		a.Assert(w.Code, qt.Equals, http.StatusCreated)
@@ -98,30 +98,30 @@
 		w = a.do("ayni", "PUT", path, first, reserva)
 		a.Assert(w.Code, qt.Equals, http.StatusOK)
 		second := w.Header().Get("ETag")
-		detail := a.refused(a.do("ayni", "PUT", path, first, reserva), errkind.RecordConflict)
+		detail := a.assertRefused(a.do("ayni", "PUT", path, first, reserva), errkind.RecordConflict)
 		a.Assert(fmt.Sprintf("%q", fmt.Sprint(detail.Current)), qt.Equals, second)
-		a.refused(a.do("ayni", "PUT", path, "*", reserva), errkind.RecordConflict)
-		a.refused(a.do("ayni", "PUT", path, second, `{"kind":"service","name":"ayni/reserva","schema":2,"x":1}`), errkind.RecordInvalid)
+		a.assertRefused(a.do("ayni", "PUT", path, "*", reserva), errkind.RecordConflict)
+		a.assertRefused(a.do("ayni", "PUT", path, second, `{"kind":"service","name":"ayni/reserva","schema":2,"x":1}`), errkind.RecordInvalid)
 		a.Assert(a.do("ayni", "DELETE", path, second, "").Code, qt.Equals, http.StatusOK)
-		a.refused(a.do("ayni", "GET", path, "", ""), errkind.NotFound)
+		a.assertRefused(a.do("ayni", "GET", path, "", ""), errkind.NotFound)
 	})
 }
 
 // A member guesses the names of a rival's records. It must learn nothing, not
 // even whether they exist, and amend nothing.
-func TestRecordsOfOthersAreHidden(t *testing.T) {
-	run(t, func(a *api) {
-		a.member("ayni")
-		a.member("leeuwin")
+func TestRecordsOfOtherMembersAreHidden(t *testing.T) {
+	runWithAPI(t, func(a *api) {
+		a.createMember("ayni")
+		a.createMember("leeuwin")
 		a.Assert(a.do("ayni", "PUT", "/v1/records/service/ayni/reserva", "*", reserva).Code, qt.Equals, http.StatusCreated)
-		there := a.do("leeuwin", "GET", "/v1/records/service/ayni/reserva", "", "")
+		existing := a.do("leeuwin", "GET", "/v1/records/service/ayni/reserva", "", "")
 		absent := a.do("leeuwin", "GET", "/v1/records/service/ayni/reservb", "", "")
-		a.refused(there, errkind.NotFound)
-		a.Assert(strings.ReplaceAll(there.Body.String(), "reserva", "reservb"), qt.Equals, absent.Body.String())
+		a.assertRefused(existing, errkind.NotFound)
+		a.Assert(strings.ReplaceAll(existing.Body.String(), "reserva", "reservb"), qt.Equals, absent.Body.String())
 		for _, method := range []string{"PUT", "DELETE"} {
-			a.refused(a.do("leeuwin", method, "/v1/records/service/ayni/reserva", `"4"`, reserva), errkind.NotFound)
-			a.refused(a.do("leeuwin", method, "/v1/records/member/ayni", `"2"`, ""), errkind.NotFound)
-			a.refused(a.do("consortium", method, "/v1/records/service/ayni/reserva", `"4"`, reserva), errkind.NotFound)
+			a.assertRefused(a.do("leeuwin", method, "/v1/records/service/ayni/reserva", `"4"`, reserva), errkind.NotFound)
+			a.assertRefused(a.do("leeuwin", method, "/v1/records/member/ayni", `"2"`, ""), errkind.NotFound)
+			a.assertRefused(a.do("consortium", method, "/v1/records/service/ayni/reserva", `"4"`, reserva), errkind.NotFound)
 		}
 		list := func(who string) string {
 			var out List
@@ -140,11 +140,11 @@
 }
 
 // A member changes its own tokens but tries to end or begin a membership.
-func TestMembershipIsTheConsortiums(t *testing.T) {
-	run(t, func(a *api) {
-		etag := a.member("ayni")
-		a.refused(a.do("ayni", "DELETE", "/v1/records/member/ayni", etag, ""), errkind.Forbidden)
-		a.refused(a.do("new", "PUT", "/v1/records/member/new", "*", `{"kind":"member","name":"new","schema":1}`), errkind.Forbidden)
+func TestOnlyTheConsortiumCreatesAndDeletesMembers(t *testing.T) {
+	runWithAPI(t, func(a *api) {
+		etag := a.createMember("ayni")
+		a.assertRefused(a.do("ayni", "DELETE", "/v1/records/member/ayni", etag, ""), errkind.Forbidden)
+		a.assertRefused(a.do("new", "PUT", "/v1/records/member/new", "*", `{"kind":"member","name":"new","schema":1}`), errkind.Forbidden)
 		w := a.do("ayni", "PUT", "/v1/records/member/ayni", etag, `{"kind":"member","name":"ayni","schema":1,"teams":["kiosks"]}`)
 		a.Assert(w.Code, qt.Equals, http.StatusOK)
 		a.Assert(a.do("consortium", "DELETE", "/v1/records/member/ayni", w.Header().Get("ETag"), "").Code, qt.Equals, http.StatusOK)
@@ -153,30 +153,30 @@
 
 // A member puts the hash of a rival's token into its own record; requests with
 // that token would be nobody's from then on.
-func TestHashOfAnotherMemberIsRefused(t *testing.T) {
-	run(t, func(a *api) {
-		with := func(name string) string {
+func TestTokenHashOfAnotherMemberIsRejected(t *testing.T) {
+	runWithAPI(t, func(a *api) {
+		memberJSON := func(name string) string {
 			return fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":["%064d"]}`, name, 7)
 		}
-		a.Assert(a.do("consortium", "PUT", "/v1/records/member/ayni", "*", with("ayni")).Code, qt.Equals, http.StatusCreated)
-		a.refused(a.do("leeuwin", "PUT", "/v1/records/member/leeuwin", a.member("leeuwin"), with("leeuwin")), errkind.RecordInvalid)
+		a.Assert(a.do("consortium", "PUT", "/v1/records/member/ayni", "*", memberJSON("ayni")).Code, qt.Equals, http.StatusCreated)
+		a.assertRefused(a.do("leeuwin", "PUT", "/v1/records/member/leeuwin", a.createMember("leeuwin"), memberJSON("leeuwin")), errkind.RecordInvalid)
 	})
 }
 
 // Malformed requests get an error of the closed list, and change nothing.
 func TestBadRequests(t *testing.T) {
-	run(t, func(a *api) {
-		a.member("ayni")
+	runWithAPI(t, func(a *api) {
+		a.createMember("ayni")
 		path, before := "/v1/records/service/ayni/reserva", a.server.Revision()
-		a.refused(a.do("", "GET", PathList, "", ""), errkind.Unauthenticated)
-		a.refused(a.do("ayni", "PUT", path, "", reserva), errkind.BadRequest)
+		a.assertRefused(a.do("", "GET", PathList, "", ""), errkind.Unauthenticated)
+		a.assertRefused(a.do("ayni", "PUT", path, "", reserva), errkind.BadRequest)
 		for _, condition := range []string{"3", `"0"`, `"x"`, `W/"3"`, `"3", "4"`, `"-1"`} {
-			a.refused(a.do("ayni", "PUT", path, condition, reserva), errkind.BadRequest)
+			a.assertRefused(a.do("ayni", "PUT", path, condition, reserva), errkind.BadRequest)
 		}
-		a.refused(a.do("ayni", "GET", "/v1/records/upstream/ayni/x", "", ""), errkind.BadRequest)
-		a.refused(a.do("ayni", "GET", "/v1/records/service/ayni", "", ""), errkind.BadRequest)
-		a.refused(a.do("ayni", "PUT", path, "*", strings.Repeat("x", 1<<17)), errkind.TooLarge)
-		a.refused(a.do("ayni", "PUT", path, "*", "{"), errkind.RecordInvalid)
+		a.assertRefused(a.do("ayni", "GET", "/v1/records/upstream/ayni/x", "", ""), errkind.BadRequest)
+		a.assertRefused(a.do("ayni", "GET", "/v1/records/service/ayni", "", ""), errkind.BadRequest)
+		a.assertRefused(a.do("ayni", "PUT", path, "*", strings.Repeat("x", 1<<17)), errkind.TooLarge)
+		a.assertRefused(a.do("ayni", "PUT", path, "*", "{"), errkind.RecordInvalid)
 		a.Assert(a.server.Revision(), qt.Equals, before)
 	})
 }
@@ -184,12 +184,12 @@
 // The store is down. Reading goes on from the snapshot; an amendment is refused
 // with the certainty that nothing was written, and with when to come back.
 func TestStoreOutage(t *testing.T) {
-	run(t, func(a *api) {
-		etag := a.member("ayni")
+	runWithAPI(t, func(a *api) {
+		etag := a.createMember("ayni")
 		a.server.SetDown(true)
 		a.Assert(a.do("ayni", "GET", "/v1/records/member/ayni", "", "").Header().Get("ETag"), qt.Equals, etag)
 		w := a.do("ayni", "PUT", "/v1/records/member/ayni", etag, `{"kind":"member","name":"ayni","schema":1}`)
-		a.Assert(a.refused(w, errkind.StoreUnavailable).Ran, qt.Equals, "no")
+		a.Assert(a.assertRefused(w, errkind.StoreUnavailable).Ran, qt.Equals, "no")
 		a.Assert(w.Header().Get("Retry-After"), qt.Equals, "3")
 	})
 }
@@ -202,5 +202,5 @@
 	r := httptest.NewRequest("GET", PathList, nil)
 	r.Header.Set("Authorization", "ayni")
 	a.handler.ServeHTTP(w, r)
-	a.refused(w, errkind.StoreUnavailable)
+	a.assertRefused(w, errkind.StoreUnavailable)
 }
