--- a/internal/confsync/amend.go
+++ b/internal/confsync/amend.go
@@ -13,27 +13,29 @@
 	"wigeontray/internal/store"
 )
 
-// Timing of the search for the outcome of a write.
+// Timeouts and delays of record writes.
 const (
-	// DefaultResolveTimeout bounds the whole search.
+	// DefaultResolveTimeout bounds how long a write whose response was lost is
+	// resolved and retried.
 	DefaultResolveTimeout = 10 * time.Second
 	resolveRetryDelay     = 200 * time.Millisecond
 	// historyTimeout is how long the history of a key that does not exist is
-	// watched; a store delivers what it holds in milliseconds.
+	// watched. A store delivers the events that it retains within milliseconds.
 	historyTimeout = 500 * time.Millisecond
-	// applyWaitTimeout bounds how long the answer to an amendment waits until this entry obeys
-	// it. A watch delivers in milliseconds; one that is silent is found out after
-	// DefaultVerifyInterval, and an operator's command should not wait for that.
+	// applyWaitTimeout bounds how long a successful write waits until this entry
+	// has applied it. A watch normally delivers within milliseconds. A stalled
+	// watch is only detected after DefaultVerifyInterval, which is too long to
+	// block an operator's command.
 	applyWaitTimeout = time.Second
 )
 
-// ConflictError tells an operator what stands in the way of an amendment.
+// ConflictError reports that a write was based on an outdated revision.
 type ConflictError struct {
-	// Current is the revision of the record in the store, 0 if there is none.
+	// Current is the record's revision in the store, 0 if it does not exist.
 	Current int64
 }
 
-// Error tells the current revision.
+// Error returns a message that states the current revision.
 func (e *ConflictError) Error() string {
 	if e.Current == 0 {
 		return "the record does not exist"
@@ -41,44 +43,51 @@
 	return fmt.Sprintf("the record is at revision %d", e.Current)
 }
 
-// change is one amendment on its way.
+// change is one pending put or delete of a record.
 type change struct {
 	kind             record.Kind
 	name             string
-	value            []byte // nil to delete
+	value            []byte // nil for a deletion
 	expectedRevision int64
 	writeID          string
-	baseRevision     int64 // the change can only have happened after this revision
+	baseRevision     int64 // the change can only take effect after this revision
 }
 
 func (c *change) key() string { return record.Key(c.kind, c.name) }
 
-// Put writes a record if its revision still is expect (0: it must not exist),
-// and gives its new revision.
+// Put writes a record if its current revision is expectedRevision (0: the record
+// must not exist), and returns the new revision.
 //
-// Its outcome is told truthfully. A nil error means that the write took effect, and that
-// this Sync obeys it unless the store's watch has been silent for applyWaitTimeout.
-// RecordInvalid means that nothing was sent. RecordConflict, which wraps a
-// ConflictError, means that somebody else's change came first and this one had
-// no effect. StoreUnavailable with RanUnknown means that the outcome could not
-// be found out within ResolveTimeout or ctx; with RanNo, nothing was written.
+// The error states what is certain about the outcome:
 //
-// If the answer to the write is lost, the record's write identity is looked up
-// in the store's history of the key, and the same compare-and-swap is sent
-// again where the history shows that the first had no effect.
+//   - nil: the write took effect. This Sync has applied it, unless the store's
+//     watch delivered nothing for applyWaitTimeout.
+//   - RecordInvalid: nothing was sent.
+//   - RecordConflict, wrapping a ConflictError: another change came first and
+//     this write had no effect.
+//   - StoreUnavailable with RanNo: nothing was written.
+//   - StoreUnavailable with RanUnknown: the outcome could not be determined
+//     within ResolveTimeout or before ctx ended.
 //
-// Two cases are left, both of a write that must create a record. It is reported
-// as a conflict, the store carries it out only then, and in between another
-// operator has created the record and deleted it again. Or its answer is lost,
-// another operator deletes the new record within the second, and the store's
-// watch is open but silent: the record is then created again.
+// If the response to the write is lost, Put searches the store's history of the
+// key for the record's write ID. If the history shows that the write had no
+// effect, Put sends the same compare-and-swap again.
+//
+// Two rare sequences, both of a write that creates a record, still end in a
+// wrong result:
+//
+//   - Put reports a conflict, the store executes the write only afterwards, and
+//     in between another operator has created the record and deleted it again.
+//   - The response is lost, another operator deletes the new record within a
+//     second, and the store's watch is open but delivers nothing. The record is
+//     then created again.
 func (s *Sync) Put(ctx context.Context, kind record.Kind, name string, value []byte, expectedRevision int64) (int64, error) {
 	return s.PutWithWriteID(ctx, uuid.NewString(), kind, name, value, expectedRevision)
 }
 
-// PutWithWriteID is Put with a write identity of the caller's, who then can recognise
-// the write by reading the record if the answer is lost on the way to it. An
-// identity must not be used for two writes.
+// PutWithWriteID is like Put but uses the caller's write ID. If the response to
+// the caller is lost, the caller can read the record and recognise its write by
+// the ID. Each write needs its own ID.
 func (s *Sync) PutWithWriteID(ctx context.Context, writeID string, kind record.Kind, name string, value []byte, expectedRevision int64) (int64, error) {
 	value, err := s.prepareValue(writeID, kind, name, value)
 	if err != nil {
@@ -88,7 +97,7 @@
 	return s.commitChange(ctx, &change{kind: kind, name: name, value: value, expectedRevision: expectedRevision, writeID: writeID})
 }
 
-// prepareValue checks a record and puts the write identity into it.
+// prepareValue validates a record and sets its write ID.
 func (s *Sync) prepareValue(writeID string, kind record.Kind, name string, value []byte) ([]byte, error) {
 	p, err := record.ParseAs(kind, name, value)
 	if err != nil {
@@ -109,14 +118,16 @@
 	return value, nil
 }
 
-// Delete removes a record if its revision still is expect; outcomes are as for
-// Put. A deletion carries no write identity: when the answer is lost and the
-// first change after expect is a deletion, it counts as this one.
+// Delete removes a record if its current revision is expectedRevision. It returns
+// the same errors as Put. A deletion carries no write ID: if its response is lost
+// and the first change after expectedRevision is a deletion, that deletion is
+// taken for this one.
 //
-// Deleting a member ends its tokens and takes its services, jobs and policies
-// out of force without deleting them; they come back with the member. Deleting
-// a service takes its jobs out of force, and its policy has nothing to apply
-// to. Requests that were accepted before finish under what was in force then.
+// Deleting a member invalidates its tokens and deactivates its services, jobs and
+// policies without deleting them; they become active again when the member is
+// recreated. Deleting a service deactivates its jobs and leaves its policy without
+// effect. Requests accepted before the deletion complete under the configuration
+// of that time.
 func (s *Sync) Delete(ctx context.Context, kind record.Kind, name string, expectedRevision int64) (int64, error) {
 	if err := record.CheckName(kind, name); err != nil {
 		return 0, errkind.New(errkind.RecordInvalid, "%w", err)
@@ -129,8 +140,8 @@
 
 func (s *Sync) commitChange(ctx context.Context, c *change) (int64, error) {
 	if s.storeDown() {
-		// Known before anything is sent, this can be answered at once and for
-		// certain; after sending, the outcome would take seconds to find out.
+		// Nothing was sent yet, so the caller gets a definite answer immediately.
+		// Once a request is sent, finding out its outcome would take seconds.
 		s.incrementCounter("amend.store_down")
 		return 0, errkind.New(errkind.StoreUnavailable, "the store does not answer now; nothing was sent").
 			WithRan(errkind.RanNo).WithAfter(s.opts.MaxBackoff)
@@ -139,7 +150,7 @@
 	defer cancel()
 	c.baseRevision = max(c.expectedRevision, s.Revision())
 	if c.expectedRevision > 0 {
-		// Whoever changed the record first after expect is the winner.
+		// The first change after expectedRevision decides which write succeeded.
 		c.baseRevision = c.expectedRevision
 	}
 	mayBeApplied := false
@@ -154,7 +165,8 @@
 			s.incrementCounter("amend.refused")
 			return 0, unavailableError(err, mayBeApplied)
 		}
-		// A conflict before any answer was lost can only be somebody else's.
+		// Unless the response to an earlier attempt was lost, a conflict can
+		// only come from another writer.
 		if errors.Is(err, store.ErrConflict) && !mayBeApplied {
 			return 0, s.conflictError(err)
 		}
@@ -170,18 +182,19 @@
 		case outcomeUnknown:
 			s.incrementCounter("amend.unknown")
 			return 0, errkind.New(errkind.StoreUnavailable, "the outcome of the amendment is not known; read the record before amending it again: %w", err)
-		case outcomeNotApplied: // send again
+		case outcomeNotApplied: // retry
 		}
 	}
 }
 
-// waitForRevision waits until this Sync obeys a revision of the store, for applyWaitTimeout at most.
-// Records are read from the configuration in force, and the store's answer may overtake
-// its watch: an operator who was told that his amendment is revision 6 would read the
-// record at the same entry and find revision 3 and the old value.
+// waitForRevision waits until this Sync has applied a revision of the store, at
+// most for applyWaitTimeout. Reads are served from the current snapshot, and the
+// store's response may arrive before the watch event. Without the wait, an operator
+// whose write was confirmed as revision 6 could read the record at the same entry
+// and get the old value at revision 3.
 func (s *Sync) waitForRevision(ctx context.Context, revision int64) {
 	if !s.isRunning.Load() {
-		return // nothing here will ever bring it
+		return // nothing updates the snapshot
 	}
 	ctx, cancel := context.WithTimeout(ctx, applyWaitTimeout)
 	defer cancel()
@@ -204,9 +217,8 @@
 	return s.opts.Store.Put(ctx, c.key(), c.value, c.expectedRevision, 0)
 }
 
-// unavailableError answers for a store that cannot be reached or will not do the call as
-// it stands. That rules out an effect of this attempt, but not of one sent
-// before it.
+// unavailableError returns the error for a store that is unreachable or rejected
+// the request. This attempt had no effect, but an attempt sent before it may have.
 func unavailableError(err error, sentBefore bool) *errkind.Error {
 	if sentBefore {
 		return errkind.New(errkind.StoreUnavailable, "the outcome of the amendment is not known: %w", err)
--- a/internal/confsync/follow.go
+++ b/internal/confsync/follow.go
@@ -11,18 +11,21 @@
 	"wigeontray/internal/store"
 )
 
-// recheckDelay is the time that a change may be on its way through a watch.
+// recheckDelay is how long a change may take to arrive through the watch before
+// the watch counts as stale.
 const recheckDelay = 250 * time.Millisecond
 
 var (
-	// errWatchStale means that the store holds changes which the watch left out.
-	errWatchStale = errors.New("the watch left out a change")
-	// errRevisionWentBack means that the store answered with a revision below the one in
-	// force.
-	errRevisionWentBack = errors.New("the store answered from the past")
+	// errWatchStale means that the store holds a change that the watch did not
+	// deliver.
+	errWatchStale = errors.New("watch missed a change")
+	// errRevisionWentBack means that the store returned a revision below the
+	// current snapshot's.
+	errRevisionWentBack = errors.New("store returned an older revision")
 )
 
-// readAndWatch reads everything once and then watches, until something fails.
+// readAndWatch reads all records once and then applies the watch's changes until
+// the read or the watch fails, or the watch is found to be stale.
 func (s *Sync) readAndWatch(ctx context.Context) error {
 	revision, err := s.readAll(ctx)
 	if err != nil {
@@ -48,9 +51,10 @@
 	}
 }
 
-// verifyUntilStale checks from time to time until the watch is found to have
-// left out a change, and closes stale then. It runs beside the watch: a slow
-// check must not hold up the changes that the watch delivers.
+// verifyUntilStale periodically compares the snapshot with the store. It closes
+// stale when two checks in a row find that the watch has missed a change. It runs
+// in its own goroutine so that a slow check does not delay the changes that the
+// watch delivers.
 func (s *Sync) verifyUntilStale(ctx context.Context, stale chan<- struct{}) {
 	suspected := false
 	for {
@@ -67,8 +71,9 @@
 	}
 }
 
-// verifyDelay is short after a check that found the watch behind: the change may
-// just be on its way, and a second look tells.
+// verifyDelay returns the time until the next check. It is short after a check
+// that found the watch behind, since the change may still be in transit; the
+// second check decides.
 func (s *Sync) verifyDelay(suspected bool) time.Duration {
 	if suspected {
 		return recheckDelay
@@ -76,7 +81,7 @@
 	return jitter(s.opts.VerifyEvery)
 }
 
-// readAll reads all records and gives the revision from which to watch.
+// readAll reads all records and returns the revision from which to watch.
 func (s *Sync) readAll(ctx context.Context) (int64, error) {
 	kvs, revision, err := s.opts.Store.Range(ctx, store.RecordPrefix)
 	if err != nil {
@@ -89,20 +94,20 @@
 	}
 	previous := s.Current()
 	if previous != nil && revision < previous.Revision {
-		// A replica that lags, or a store restored from a copy. To obey it would
-		// bring back what operators have replaced.
+		// The replica lags, or the store was restored from a backup. Applying
+		// its records would revert changes that operators have made.
 		return 0, fmt.Errorf("%w: %d is below %d", errRevisionWentBack, revision, previous.Revision)
 	}
 	if !previous.HasSameRecords(raw) {
-		// Equal content keeps its revision, so that reading again after a lost
-		// watch does not send the whole configuration to every guard.
+		// Unchanged records keep their revision, so that reading again after a
+		// broken watch does not send the whole configuration to every guard.
 		s.install(record.Build(previous, raw, revision))
 	}
 	return revision, nil
 }
 
-// applyBatch puts a batch of the watch in force. A snapshot that came by Offer in
-// the meantime can be ahead of the watch; the batch is then in it already.
+// applyBatch applies a batch of changes from the watch. If a newer snapshot was
+// installed by Offer in the meantime, it already contains the batch.
 func (s *Sync) applyBatch(b store.Batch) {
 	previous := s.Current()
 	if b.Revision <= previous.Revision {
@@ -112,14 +117,13 @@
 	s.install(previous.Apply(b))
 }
 
-// isWatchBehind asks the store whether the watch left out a change. A watch can stay
-// open and silent: its server hangs, or a balancer holds the connection of a
-// server that has gone. The entry would then obey an old configuration with
-// nothing to show for it.
+// isWatchBehind asks the store and reports whether the watch has missed a change.
+// A watch can stay open without delivering: its server hangs, or a load balancer
+// keeps the connection open after the server behind it is gone. The entry would
+// then use an outdated configuration without any error.
 //
-// A check that gets no answer leaves the watch as it is: a store too slow for
-// its calls may well go on delivering, and a watch given up then could not be
-// opened again.
+// A check without a response keeps the watch: a store that is too slow for calls
+// may still deliver on open watches, and a closed watch could not be reopened.
 func (s *Sync) isWatchBehind(ctx context.Context) (behind bool) {
 	latest, err := s.latest(ctx)
 	if ctx.Err() != nil {
@@ -144,8 +148,8 @@
 	s.switchEndpoint()
 }
 
-// switchEndpoint turns to another endpoint of the store: one that lags or hangs
-// may do so for long.
+// switchEndpoint switches to another endpoint of the store, since an endpoint that
+// lags or hangs may do so for a long time.
 func (s *Sync) switchEndpoint() {
 	if r, ok := s.opts.Store.(endpointSwitcher); ok {
 		r.NextEndpoint()
--- a/internal/confsync/resolve.go
+++ b/internal/confsync/resolve.go
@@ -9,18 +9,19 @@
 	"wigeontray/internal/store"
 )
 
-// outcome is what the store's history tells of a change.
+// outcome is the result of a change according to the store's history.
 type outcome uint8
 
 const (
-	outcomeUnknown    outcome = iota // the time is up
-	outcomeApplied                   // it is in the history
-	outcomeConflict                  // another change came first: it has no effect
-	outcomeNotApplied                // nothing has changed the record yet
+	outcomeUnknown    outcome = iota // not determined before the context ended
+	outcomeApplied                   // the change is in the history
+	outcomeConflict                  // another change came first; this one had no effect
+	outcomeNotApplied                // the record has not changed yet
 )
 
-// resolveOutcome finds out what became of a change whose answer was lost. It asks
-// until the store answers or ctx ends. current is the record's revision.
+// resolveOutcome determines the outcome of a change whose response was lost. It
+// retries until the store answers or ctx ends. current is the record's revision in
+// the store.
 func (s *Sync) resolveOutcome(ctx context.Context, c *change) (result outcome, revision, current int64) {
 	for ctx.Err() == nil {
 		result, revision, current := s.lookUpOutcome(ctx, c)
@@ -32,9 +33,9 @@
 	return outcomeUnknown, 0, 0
 }
 
-// lookUpOutcome reads the record once, and its history where the record alone does not
-// decide. It is not enough that the record carries another write identity: the
-// change may have taken effect and been replaced since.
+// lookUpOutcome reads the record once, and its history if the record alone is not
+// conclusive. A record with another write ID is not conclusive: the change may
+// have taken effect and been overwritten since.
 func (s *Sync) lookUpOutcome(ctx context.Context, c *change) (outcome, int64, int64) {
 	stored, err := s.readKey(ctx, c.key())
 	if err != nil {
@@ -58,7 +59,7 @@
 	return outcomeConflict, 0, stored.ModRevision
 }
 
-// isMadeBy tells whether ev is the change.
+// isMadeBy reports whether ev is the effect of c.
 func (c *change) isMadeBy(ev store.Event) bool {
 	if c.value == nil {
 		return ev.Deleted
@@ -66,8 +67,8 @@
 	return !ev.Deleted && record.WriteID(ev.Value) == c.writeID
 }
 
-// readKey gives a key as the store holds it, ModRevision 0 if it does not
-// exist. Range takes a prefix, under which longer names can stand as well.
+// readKey reads one key; ModRevision is 0 if it does not exist. Range reads a
+// prefix, so its result can include longer keys.
 func (s *Sync) readKey(ctx context.Context, key string) (store.KV, error) {
 	kvs, _, err := s.opts.Store.Range(ctx, key)
 	if err != nil {
@@ -81,8 +82,8 @@
 	return store.KV{Key: key}, nil
 }
 
-// searchHistory goes through the history of the key after c.base up to the revision
-// current, or for historyTimeout if the key does not exist now.
+// searchHistory searches the history of the key after c.baseRevision for c, up to
+// the revision current, or for historyTimeout if the key does not exist now.
 func (s *Sync) searchHistory(ctx context.Context, c *change, current int64) (ev store.Event, found bool, err error) {
 	watchCtx, cancel := context.WithTimeout(ctx, historyTimeout)
 	defer cancel()
@@ -97,7 +98,8 @@
 			if c.isMadeBy(ev) {
 				return ev, true, nil
 			}
-			// A swap on the record at expect can only be the first change after it.
+			// A compare-and-swap on expectedRevision can only be the first change
+			// after it.
 			if c.expectedRevision > 0 || ev.ModRevision == current {
 				return ev, false, nil
 			}
@@ -105,13 +107,13 @@
 	}
 	err = <-watchErr
 	if c.expectedRevision == 0 && current == 0 && watchStayedOpen(ctx, err) {
-		return store.Event{}, false, nil // the history holds no more
+		return store.Event{}, false, nil // the history contains no event
 	}
 	return store.Event{}, false, err
 }
 
-// watchStayedOpen tells whether a watch was open for its whole time. One that could not
-// be opened in that time says nothing of the history.
+// watchStayedOpen reports whether a watch was open until its timeout. A watch that
+// could not be opened in that time is no evidence of an empty history.
 func watchStayedOpen(ctx context.Context, err error) bool {
 	return ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, store.ErrUnavailable)
 }
--- a/internal/confsync/share.go
+++ b/internal/confsync/share.go
@@ -6,17 +6,19 @@
 	"wigeontray/internal/record"
 )
 
-// errNotSealed means that an offer is not sealed although it has to be.
-var errNotSealed = errors.New("offer of a guard without a sealed snapshot")
+// errNotSealed means that a guard sent a configuration without a sealed snapshot,
+// or that this Sync has no key to open one.
+var errNotSealed = errors.New("guard sent no sealed snapshot, or no sealing key is configured")
 
-// encodedSnapshot is the snapshot in the forms that go to other processes.
+// encodedSnapshot caches the encoded form of a snapshot.
 type encodedSnapshot struct {
 	snapshot *record.Snapshot
 	forPeers []byte
 }
 
-// Encoded gives the snapshot in force for peers, sealed if there is a Sealer,
-// and its revision; nil before Ready. The slice must not be changed.
+// Encoded returns the current snapshot, encoded for peers and sealed if there is a
+// Sealer, and its revision. It returns nil until Ready. The caller must not modify
+// the slice.
 func (s *Sync) Encoded() (b []byte, revision int64, err error) {
 	enc, err := s.encodeCurrent()
 	if enc == nil {
@@ -25,8 +27,8 @@
 	return enc.forPeers, enc.snapshot.Revision, nil
 }
 
-// EncodedFor gives the configuration for a guard of a service, and its
-// revision; nil before Ready.
+// EncodedFor returns the configuration for a guard of a service, and its revision.
+// It returns nil until Ready.
 func (s *Sync) EncodedFor(service string) (b []byte, revision int64, err error) {
 	enc, err := s.encodeCurrent()
 	if enc == nil {
@@ -34,13 +36,13 @@
 	}
 	sealed := enc.forPeers
 	if s.opts.Sealer == nil {
-		sealed = nil // a guard must not read other members' records
+		sealed = nil // unsealed, a guard could read other members' records
 	}
 	b, err = enc.snapshot.EncodeForGuard(service, sealed)
 	return b, enc.snapshot.Revision, err
 }
 
-// encodeCurrent encodes the snapshot once, however many guards it goes to.
+// encodeCurrent encodes the current snapshot once for all peers and guards.
 func (s *Sync) encodeCurrent() (*encodedSnapshot, error) {
 	snap := s.Current()
 	if snap == nil {
@@ -61,8 +63,9 @@
 	return enc, nil
 }
 
-// Offer takes the snapshot that a peer holds, as its Encoded gave it. It tells
-// whether it is now in force.
+// Offer installs a peer's snapshot, as returned by Encoded, if it is newer than the
+// current one or adds fallback records. It reports whether it changed the current
+// configuration.
 func (s *Sync) Offer(b []byte) (bool, error) {
 	if s.opts.Sealer != nil {
 		plain, err := s.opts.Sealer.Open(b)
@@ -75,8 +78,8 @@
 	return s.installEncoded(b)
 }
 
-// OfferFromGuard takes what a guard holds, as EncodedFor gave it to it. Without
-// a Sealer nothing that a guard says can be trusted, and it is refused.
+// OfferFromGuard is like Offer for a configuration from a guard, as returned by
+// EncodedFor. Without a Sealer it is rejected, since guards are not trusted.
 func (s *Sync) OfferFromGuard(b []byte) (bool, error) {
 	g, err := record.DecodeForGuard(b)
 	if err != nil {
--- a/internal/confsync/sync.go
+++ b/internal/confsync/sync.go
@@ -1,10 +1,10 @@
-// Package confsync keeps the configuration of an entry fresh and carries out
-// the operators' amendments.
+// Package confsync keeps an entry's configuration in sync with the store and
+// writes operators' changes to the store.
 //
-// An entry obeys one immutable record.Snapshot at a time, which readers load
-// from an atomic pointer. Snapshots come from the store (a full read, then a
-// watch) and from peers and guards (Offer); the one with the higher revision
-// wins, whatever way it comes, so that the configuration never goes back.
+// An entry uses one immutable record.Snapshot at a time, which readers load from
+// an atomic pointer. Snapshots come from the store (a full read, then a watch) and
+// from peers and guards (Offer). The snapshot with the higher revision wins,
+// whatever its source, so that the configuration never goes back to an older one.
 //
 // The package may import errkind, record and store.
 package confsync
@@ -26,35 +26,35 @@
 	"wigeontray/internal/store"
 )
 
-// Defaults of the timing.
+// Default delays and intervals.
 const (
 	DefaultMinBackoff     = 100 * time.Millisecond
 	DefaultMaxBackoff     = 3 * time.Second
 	DefaultVerifyInterval = 2 * time.Second
-	maxQueuedBatches      = 16 // batches of a watch waiting to be applied
+	maxQueuedBatches      = 16 // received from the watch and not applied yet
 )
 
-// Options of a Sync.
+// Options configures a Sync.
 type Options struct {
 	Store store.Store
-	// Registry takes the counters; nil is a registry of its own.
+	// Registry receives the metrics; nil creates a separate registry.
 	Registry metrics.Registry
-	// Sealer protects snapshots on their way through peers and guards; nil
-	// sends them in the clear to peers and not at all to guards.
+	// Sealer encrypts snapshots for peers and guards. If it is nil, snapshots are
+	// sent unencrypted to peers and not at all to guards.
 	Sealer *record.Sealer
-	// Logger takes lines on changes of state; nil is silent.
+	// Logger receives state changes; nil disables logging.
 	Logger *log.Logger
-	// MinBackoff and MaxBackoff bound the pause after a failure of the store.
+	// MinBackoff and MaxBackoff bound the delay after a failure of the store.
 	MinBackoff, MaxBackoff time.Duration
-	// VerifyEvery is the time between checks that the watch has left nothing
-	// out. A change that a stale watch hides is in force after about this long.
+	// VerifyEvery is the interval of the checks that the watch has not missed a
+	// change. A change missed by a stale watch is applied after about this time.
 	VerifyEvery time.Duration
-	// ResolveTimeout bounds the search for the outcome of a write whose answer
-	// was lost; see Put.
+	// ResolveTimeout bounds how long a write whose response was lost is resolved
+	// and retried; see Put.
 	ResolveTimeout time.Duration
 }
 
-// latestReader is a store that tells cheaply whether a prefix changed.
+// latestReader is a store that can report cheaply whether a prefix has changed.
 type latestReader interface {
 	Latest(ctx context.Context, prefix string) (store.Latest, error)
 }
@@ -62,7 +62,7 @@
 // endpointSwitcher is a store with several endpoints.
 type endpointSwitcher interface{ NextEndpoint() }
 
-// lastStoreState is what the last call of the store said of it.
+// storeState is the result of the last call to the store.
 type storeState uint32
 
 const (
@@ -71,22 +71,22 @@
 	storeDown
 )
 
-// Sync holds the configuration in force.
+// Sync holds the current configuration snapshot and updates it.
 type Sync struct {
 	opts            Options
 	current         atomic.Pointer[record.Snapshot]
-	ready           chan struct{} // closed once a snapshot was obtained
-	lastStoreState  atomic.Uint32 // a lastStoreState
+	ready           chan struct{} // closed when the first snapshot is installed
+	lastStoreState  atomic.Uint32 // a storeState
 	encodedSnapshot atomic.Pointer[encodedSnapshot]
-	// following tells that Run keeps the snapshot fresh.
+	// isRunning is set while Run keeps the snapshot up to date.
 	isRunning atomic.Bool
 
-	mu          sync.Mutex // guards changes of current, and what follows
+	mu          sync.Mutex // guards writes to current, and the fields below
 	subscribers map[int]chan struct{}
 	nextID      int
 }
 
-// New makes a Sync that has no configuration yet; Run or Offer brings one.
+// New returns a Sync without a configuration; Run or Offer obtains the first one.
 func New(opts Options) *Sync {
 	setDefault(&opts.MinBackoff, DefaultMinBackoff)
 	setDefault(&opts.MaxBackoff, DefaultMaxBackoff)
@@ -109,24 +109,25 @@
 	}
 }
 
-// Current gives the snapshot in force; nil until Ready.
+// Current returns the current snapshot; nil until Ready.
 func (s *Sync) Current() *record.Snapshot { return s.current.Load() }
 
-// Ready tells whether a configuration was obtained. Until then an entry must
-// serve nobody: an empty configuration of its own making would refuse callers
-// as unknown, and peers or guards would take it for the operators' will.
+// Ready reports whether a configuration was obtained. Until then an entry must not
+// serve requests: with an empty configuration it would reject every caller as
+// unknown, and peers or guards would take the empty configuration for the
+// operators'.
 func (s *Sync) Ready() bool { return s.current.Load() != nil }
 
-// ReadyC is closed when Ready becomes true.
+// ReadyC returns a channel that is closed when Ready becomes true.
 func (s *Sync) ReadyC() <-chan struct{} { return s.ready }
 
-// IsStoreUp tells whether the store answered last time.
+// IsStoreUp reports whether the last call to the store succeeded.
 func (s *Sync) IsStoreUp() bool { return storeState(s.lastStoreState.Load()) == storeUp }
 
-// storeDown tells whether the store gave no answer last time.
+// storeDown reports whether the last call to the store failed.
 func (s *Sync) storeDown() bool { return storeState(s.lastStoreState.Load()) == storeDown }
 
-// Revision gives the revision in force, 0 before Ready.
+// Revision returns the revision of the current snapshot, 0 until Ready.
 func (s *Sync) Revision() int64 {
 	if snap := s.current.Load(); snap != nil {
 		return snap.Revision
@@ -134,8 +135,9 @@
 	return 0
 }
 
-// Subscribe returns a channel that holds a value whenever the snapshot changed
-// since the last receive, and a function that ends the subscription.
+// Subscribe returns a channel that receives a value after the snapshot changes, and
+// a function that ends the subscription. Changes that occur before the receive are
+// merged into one value.
 func (s *Sync) Subscribe() (<-chan struct{}, func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +151,8 @@
 	}
 }
 
-// install puts snap in force if it is newer than what is.
+// install makes snap current if it is newer than the current snapshot. It reports
+// whether it did.
 func (s *Sync) install(snap *record.Snapshot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,8 +164,9 @@
 	return true
 }
 
-// adoptFallbacks takes from an offer that is not newer the records which this process
-// cannot read in the store and has no earlier form of.
+// adoptFallbacks takes fallback records from a peer's snapshot that is not newer,
+// for the records that this process cannot read and has no accepted version of. It
+// reports whether the configuration changed.
 func (s *Sync) adoptFallbacks(encoded []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +177,7 @@
 	return changed
 }
 
-// setCurrent puts snap in force and tells the subscribers. The caller holds mu.
+// setCurrent makes snap current and notifies the subscribers. The caller holds mu.
 func (s *Sync) setCurrent(snap *record.Snapshot) {
 	if s.current.Swap(snap) == nil {
 		close(s.ready)
@@ -182,7 +186,7 @@
 	for _, c := range s.subscribers {
 		select {
 		case c <- struct{}{}:
-		default: // one is waiting already
+		default: // a notification is already pending
 		}
 	}
 }
@@ -202,7 +206,7 @@
 	s.opts.Logger.Info("configuration in force", "revision", snap.Revision, "records", snap.Len(), "rejected", len(rejected))
 }
 
-// Run keeps the snapshot fresh until ctx ends.
+// Run keeps the snapshot up to date until ctx ends.
 func (s *Sync) Run(ctx context.Context) error {
 	s.isRunning.Store(true)
 	defer s.isRunning.Store(false)
@@ -223,7 +227,8 @@
 	return ctx.Err()
 }
 
-// handleFailure counts why following the store ended.
+// handleFailure counts why readAndWatch ended, and switches the endpoint if it may
+// lag or hang.
 func (s *Sync) handleFailure(err error) {
 	switch {
 	case errors.Is(err, store.ErrCompacted):
@@ -239,8 +244,8 @@
 	}
 }
 
-// setStoreState notes how a call of the store went, and logs its going and coming
-// back, once each.
+// setStoreState stores the result of a call to the store, and logs each change
+// between available and unavailable once.
 func (s *Sync) setStoreState(err error) {
 	state := storeUp
 	if err != nil {
@@ -250,14 +255,14 @@
 		return
 	}
 	if state == storeUp {
-		s.opts.Logger.Info("store answers")
+		s.opts.Logger.Info("store is reachable")
 		return
 	}
-	s.opts.Logger.Warn("store does not answer; the configuration in force stays", "revision", s.Revision(), "err", err)
+	s.opts.Logger.Warn("store does not answer; keeping the current configuration", "revision", s.Revision(), "err", err)
 }
 
-// jitter spreads d over half to all of it, so that entries which lost the
-// store together do not come back to it together.
+// jitter returns a random duration between d/2 and d, so that entries which lost
+// the store at the same moment do not all reconnect at the same moment.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2+1)
 }
