--- a/internal/record/bench_test.go
+++ b/internal/record/bench_test.go
@@ -7,8 +7,8 @@
 	"wigeontray/internal/store"
 )
 
-// Sizes for the two-year plan: 81 teams, here spread over 20 members with four
-// services each.
+// Number of records for the fleet planned in two years: 81 teams, here spread over
+// 20 members with four services each.
 const (
 	benchMembers  = 20
 	benchServices = 4
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -9,16 +9,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxRecords bounds the records of a snapshot that is read from a peer.
+// maxRecords limits the records in a snapshot received from a peer.
 const maxRecords = 100_000
 
-// encodedSnapshot is a snapshot on the wire. It carries the records as the store holds
-// them, so that a process of another version reads them by its own schemas.
+// encodedSnapshot is the wire form of a snapshot. It contains the records as they
+// are stored, so that a process of another version parses them by its own schemas.
 type encodedSnapshot struct {
 	Revision int64 `cbor:"1,keyasint"`
 	Records  []Raw `cbor:"2,keyasint"`
-	// Held are the records that the sender obeys in place of ones that it
-	// cannot read. A process that starts later takes them over.
+	// Fallbacks are the records that the sender uses in place of stored ones
+	// that it cannot read. A process that starts later takes them over.
 	Fallbacks []Raw `cbor:"3,keyasint,omitempty"`
 }
 
@@ -27,12 +27,13 @@
 		MaxArrayElements: maxRecords, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // unreachable: the options are constants
 	}
 	return m
 }()
 
-// Encode gives the CBOR form, for wire.Config. Equal snapshots give equal bytes.
+// Encode returns the CBOR form of s for wire.Config. It is deterministic: equal
+// snapshots have equal encodings.
 func (s *Snapshot) Encode() ([]byte, error) {
 	e := encodedSnapshot{Revision: s.Revision, Records: sortedByKey(s.raw), Fallbacks: sortedByKey(s.fallbacks)}
 	b, err := cbor.Marshal(e)
@@ -46,8 +47,8 @@
 	return slices.SortedFunc(maps.Values(m), func(a, b Raw) int { return strings.Compare(a.Key, b.Key) })
 }
 
-// Decode reads what Encode wrote. before is the snapshot in force, or nil; its
-// records stay in force where those of b cannot be read.
+// Decode decodes the result of Encode. previous is the current snapshot, or nil;
+// its records remain in use where those of b cannot be read.
 func Decode(previous *Snapshot, b []byte) (*Snapshot, error) {
 	e, err := decode(b)
 	if err != nil {
@@ -66,10 +67,11 @@
 	return e, nil
 }
 
-// AdoptFallbacks gives s with the records that only the sender of b still obeys. A
-// process that starts while the store holds a record of a newer schema has
-// never accepted one for that name; without this its callers would be refused
-// as unknown at this process alone, until it is upgraded.
+// AdoptFallbacks returns s extended by the fallback records of the encoded snapshot
+// b, and whether that added any. If the store holds a record of a newer schema when
+// a process starts, that process has never accepted a version of the record.
+// Without the sender's version, this process alone would reject the affected
+// callers as unknown until it is upgraded.
 func (s *Snapshot) AdoptFallbacks(b []byte) (*Snapshot, bool) {
 	e, err := decode(b)
 	if err != nil || s.countWithoutFallback() == 0 {
@@ -79,7 +81,7 @@
 	return adopted, adopted.countWithoutFallback() < s.countWithoutFallback()
 }
 
-// countWithoutFallback counts the rejected records in whose place nothing is obeyed.
+// countWithoutFallback counts the rejected records that have no fallback.
 func (s *Snapshot) countWithoutFallback() int {
 	n := 0
 	for _, rej := range s.rejected {
@@ -90,8 +92,8 @@
 	return n
 }
 
-// mergeFallbacks adds to before what only the sender holds. A record that is newer
-// there was accepted by the sender after ours.
+// mergeFallbacks returns previous with the sender's fallback records added. The
+// version with the higher revision wins, since it was accepted later.
 func mergeFallbacks(previous *Snapshot, e encodedSnapshot) *Snapshot {
 	if len(e.Fallbacks) == 0 {
 		return previous
@@ -105,7 +107,7 @@
 	return merged
 }
 
-// acceptedRecords gives the records that s obeys, by key.
+// acceptedRecords returns the records that s uses, fallbacks included, by key.
 func (s *Snapshot) acceptedRecords() map[string]Raw {
 	if s == nil {
 		return map[string]Raw{}
--- a/internal/record/decode.go
+++ b/internal/record/decode.go
@@ -9,12 +9,12 @@
 )
 
 // ErrSchemaTooNew means that a record was written for a later version of the
-// software. The record accepted before it stays in force.
+// software. The version accepted before it stays in use.
 var ErrSchemaTooNew = errors.New("schema is newer than this software understands")
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Parsed is one accepted record; the field of its kind is set.
+// Parsed is a valid record. Only the field for its Kind is set.
 type Parsed struct {
 	Kind    Kind
 	Name    string
@@ -27,8 +27,8 @@
 	Job     *Job
 }
 
-// Parse reads and checks one record. The error joins one FieldError for each
-// problem found, or is ErrSchemaTooNew.
+// Parse parses and validates a record. The error joins one FieldError for each
+// problem found, or wraps ErrSchemaTooNew.
 func Parse(b []byte) (*Parsed, error) {
 	if len(b) > MaxSize {
 		return nil, &FieldError{Problem: fmt.Sprintf("%d bytes exceed %d", len(b), MaxSize)}
@@ -80,7 +80,7 @@
 	}
 }
 
-// ParseAs is Parse for a record that must have the given kind and name.
+// ParseAs is like Parse but requires the given kind and name.
 func ParseAs(kind Kind, name string, b []byte) (*Parsed, error) {
 	p, err := Parse(b)
 	if err != nil {
@@ -92,9 +92,9 @@
 	return p, nil
 }
 
-// WithWriteID gives the record b with its write identity set to id. A write
-// whose answer was lost is recognised by it on reading back. Numbers keep the
-// form in which they were written.
+// WithWriteID returns the record b with its write ID set to id. A writer that got
+// no response recognises its write by the ID when it reads the record back.
+// Numbers keep their original notation.
 func WithWriteID(b []byte, id string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(b, &fields); err != nil {
@@ -114,8 +114,7 @@
 	return bytes.TrimSuffix(out.Bytes(), []byte("\n")), nil
 }
 
-// WriteID reads the write identity of a record of any schema; empty if it has
-// none.
+// WriteID returns the write ID of a record of any schema; empty if it has none.
 func WriteID(b []byte) string {
 	var r struct {
 		WriteID string `json:"write_id"`
--- a/internal/record/fuzz_test.go
+++ b/internal/record/fuzz_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Anybody with a token can send any bytes as a record, and the store hands them
-// to every entry. A panic would take down the fleet, and a record that reads
-// differently after the write identity was set would not be the operator's.
+// Any caller with a token can send arbitrary bytes as a record, and the store
+// distributes them to every entry. A panic would crash the whole fleet. Setting the
+// write ID must not change how the record parses.
 func FuzzParse(f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte) {
 		p, err := Parse(b)
@@ -15,19 +15,20 @@
 		}
 		withID, err := WithWriteID(b, "w")
 		if err != nil {
-			t.Fatalf("accepted record takes no write identity: %v", err)
+			t.Fatalf("cannot set the write ID of an accepted record: %v", err)
 		}
 		reparsed, err := ParseAs(p.Kind, p.Name, withID)
 		if err != nil && len(withID) <= MaxSize {
-			t.Fatalf("accepted record is refused with a write identity: %v", err)
+			t.Fatalf("accepted record is rejected after its write ID was set: %v", err)
 		}
 		if err == nil && (reparsed.WriteID != "w" || WriteID(withID) != "w") {
-			t.Fatalf("write identity is %q", reparsed.WriteID)
+			t.Fatalf("got write ID %q", reparsed.WriteID)
 		}
 	})
 }
 
-// A peer of another version, or a broken one, can send any bytes as a snapshot.
+// A peer that runs another version or is faulty can send arbitrary bytes as a
+// snapshot.
 func FuzzDecodeSnapshot(f *testing.F) {
 	s := Build(nil, []Raw{memberWithToken("ayni", "t"), rawRecord(KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":2}`, 2)}, 2)
 	b, err := s.Encode()
@@ -42,14 +43,14 @@
 	f.Add(guard)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if g, err := DecodeForGuard(b); err == nil && g.Revision <= 0 {
-			t.Fatalf("revision %d", g.Revision)
+			t.Fatalf("decoded an invalid revision: %d", g.Revision)
 		}
 		got, err := Decode(s, b)
 		if err != nil {
 			return
 		}
 		if _, err := got.Encode(); err != nil {
-			t.Fatalf("decoded snapshot does not encode: %v", err)
+			t.Fatalf("cannot encode the decoded snapshot: %v", err)
 		}
 		got.MemberByToken("t")
 		got.Services()
--- a/internal/record/guard.go
+++ b/internal/record/guard.go
@@ -6,26 +6,26 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// GuardConfig is what a guard holds of the configuration: its own service, and
-// the whole in a form that it cannot read, for entries that need it.
+// GuardConfig is the configuration that a guard holds: the record of its own
+// service, and the whole snapshot, sealed, for entries that need to load it.
 type GuardConfig struct {
 	Revision int64
-	// Service is nil if the guard's service is not in force or its record
-	// cannot be read by this version.
+	// Service is nil if the guard's service is not active or its record cannot
+	// be read by this version.
 	Service *Service
 	// Sealed is the sealed snapshot; empty if entries have no sealing key.
 	Sealed []byte
 }
 
-// encodedGuardConfig is a GuardConfig on the wire.
+// encodedGuardConfig is the wire form of a GuardConfig.
 type encodedGuardConfig struct {
 	Revision int64  `cbor:"1,keyasint"`
 	Service  Raw    `cbor:"2,keyasint,omitzero"`
 	Sealed   []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// EncodeForGuard gives the CBOR form of what a guard of a service holds, for
-// wire.Config.
+// EncodeForGuard returns the CBOR form of the configuration for a guard of a
+// service, for wire.Config. sealed is the sealed snapshot or nil.
 func (s *Snapshot) EncodeForGuard(service string, sealed []byte) ([]byte, error) {
 	e := encodedGuardConfig{Revision: s.Revision, Sealed: sealed}
 	if _, ok := s.Service(service); ok {
@@ -38,8 +38,8 @@
 	return b, nil
 }
 
-// OwnRecord gives the encoded record of the guard's own service in what
-// EncodeForGuard wrote; nil if there is none.
+// OwnRecord returns the encoded record of the guard's own service from the result
+// of EncodeForGuard; nil if there is none.
 func OwnRecord(b []byte) []byte {
 	var e struct {
 		Service cbor.RawMessage `cbor:"2,keyasint,omitempty"`
@@ -50,7 +50,7 @@
 	return e.Service
 }
 
-// DecodeForGuard reads what EncodeForGuard wrote.
+// DecodeForGuard decodes the result of EncodeForGuard.
 func DecodeForGuard(b []byte) (*GuardConfig, error) {
 	var e encodedGuardConfig
 	if err := decMode.Unmarshal(b, &e); err != nil {
--- a/internal/record/kinds.go
+++ b/internal/record/kinds.go
@@ -10,7 +10,7 @@
 	"wigeontray/internal/dispatch"
 )
 
-// Schema versions that this build understands: 1 up to these.
+// Highest schema version of each kind that this build can read; the lowest is 1.
 const (
 	maxMemberSchema  = 1
 	maxServiceSchema = 3
@@ -18,70 +18,71 @@
 	maxJobSchema     = 2
 )
 
-// Limits and defaults of fields.
+// Limits and defaults of record fields.
 const (
-	MaxTasks           = 500 // tasks in a job
-	maxTokens          = 2   // of tokens or guard keys; the second one while they are changed over
+	MaxTasks           = 500 // per job
+	maxTokens          = 2   // tokens or guard keys; two during a rotation
 	maxTeams           = 1000
 	maxDeadlineMs      = 3_600_000
 	maxBodyBytes       = 4 << 20
 	defaultBodyBytes   = 1 << 20
 	defaultDeadlineMs  = 10_000
 	millisPerSecond    = 1000
-	minStartsPerSecond = 0.001 // starts a second
-	maxQuotaValue      = 1e6
+	minStartsPerSecond = 0.001
+	maxQuotaValue      = 1e6 // starts per second, or burst
 	maxWeight          = 1000
 	maxQueued          = 1_000_000
 	maxGraceMs         = 60_000
-	maxAccelerators    = 64 // of one task
+	maxAccelerators    = 64 // for one task
 	maxMemoryMB        = 1 << 30
 )
 
-// TokenHash is the SHA-256 of a caller's token or a guard's key. A plain hash is
-// enough since both are random and long; they are no passwords.
+// TokenHash is the SHA-256 of a caller's token or a guard's key. A plain hash
+// suffices because both are long random values, not passwords.
 type TokenHash [32]byte
 
 // Member is one member of the consortium.
 type Member struct {
 	Name string
-	// HomeRegion serves the member's requests; empty for any region.
+	// HomeRegion is the region that serves the member's requests; empty for any.
 	HomeRegion string
-	// Tokens are the hashes of the tokens that are good now: two while one is
-	// being replaced by another.
+	// Tokens are the hashes of the valid tokens; there are two during a rotation.
 	Tokens []TokenHash
-	// GuardKeys are the hashes of the keys with which the member's guards may open
-	// links, two during a rotation; none leaves the fleet's key.
+	// GuardKeys are the hashes of the keys that the member's guards may use to
+	// open links; there are two during a rotation. If it is empty, the guards use
+	// the fleet's key.
 	GuardKeys []TokenHash
-	// Teams may be named in submissions.
+	// Teams are the team names that submissions may use.
 	Teams []string
 }
 
-// Service is one kind of request that a member's upstreams serve.
+// Service is a type of request that a member's upstreams serve.
 type Service struct {
 	Name              string // "member/service"
-	Path              string // path at the upstream
-	DefaultDeadlineMs int64  // deadline of a submission that names none
+	Path              string // request path at the upstream
+	DefaultDeadlineMs int64  // for submissions without a deadline
 	MaxTasks          int
-	MaxBody           int64 // bytes of one task's body
-	// DeclaredMs is the declared run time of a task; 0 for none.
+	MaxBody           int64 // maximum bytes of a task's body
+	// DeclaredMs is the declared run time of a task; 0 if not declared.
 	DeclaredMs int64
-	Need       dispatch.Need // of a task that names none
+	Need       dispatch.Need // for tasks that declare none
 }
 
-// Policy is how one service's work is admitted and placed.
+// Policy sets how tasks of one service are admitted and placed.
 type Policy struct {
-	Name     string // the service's
+	Name     string // "member/service", as the service
 	Dispatch dispatch.Policy
 }
 
-// Job is a declared kind of job: limits tighter than its service's.
+// Job is a declared type of job, with tighter limits than its service's.
 type Job struct {
 	Name       string // "member/job"
 	Service    string // "member/service"
 	DeadlineMs int64
 	MaxTasks   int
 	DeclaredMs int64
-	// Need of a task; a field that is 0 leaves the service's.
+	// Need is the resource requirement of a task; a zero field defaults to the
+	// service's.
 	Need dispatch.Need
 }
 
@@ -99,7 +100,8 @@
 	m.Tokens = readHashes(o, "token_sha256")
 	m.GuardKeys = readHashes(o, "guard_key_sha256")
 	for i, h := range m.GuardKeys {
-		// Whoever has the VM of an upstream could submit as the member.
+		// With the guard key, which is on every upstream's VM, anybody with
+		// access to the VM could submit jobs as the member.
 		if slices.Contains(m.Tokens, h) {
 			o.addError("guard_key_sha256."+strconv.Itoa(i), "is a caller's token as well")
 		}
@@ -113,7 +115,7 @@
 	return m
 }
 
-// readHashes reads the hashes of the secrets that are good now.
+// readHashes reads the hashes of the secrets that are valid now.
 func readHashes(o *objectReader, field string) []TokenHash {
 	var out []TokenHash
 	for i, text := range o.strings(field, maxTokens) {
@@ -134,8 +136,9 @@
 	return TokenHash(b), true
 }
 
-// readService reads all schemas. Schema 3 added the need of a task. Schema 1 had the deadline as "deadline_ms",
-// the run time in seconds as "run_s", and no limit on bodies.
+// readService reads a service of any schema. Schema 3 added the resource
+// requirements of a task. Schema 1 has the deadline as "deadline_ms", the run time
+// in seconds as "run_s", and no limit on bodies.
 func readService(o *objectReader, name string, schema int64) *Service {
 	s := &Service{Name: name, Path: o.stringField("path", "/"), MaxBody: defaultBodyBytes}
 	s.MaxTasks = int(o.intField("max_tasks", MaxTasks, 1, MaxTasks))
@@ -187,8 +190,8 @@
 			teams.addError(name, "not a team's name")
 		}
 		q := teams.objectReader(name)
-		// Without these two it would be open whether the team may start nothing
-		// or as much as it likes.
+		// A default for these would be ambiguous: no starts at all, or an
+		// unlimited number.
 		q.requireFields("starts_per_second", "burst")
 		out[name] = dispatch.Quota{
 			StartsPerSecond: q.floatField("starts_per_second", 0, minStartsPerSecond, maxQuotaValue),
@@ -211,7 +214,7 @@
 	if err := CheckName(KindService, j.Service); err != nil {
 		o.addError("service", "%q: want member/service", j.Service)
 	} else if Owner(j.Service) != Owner(name) {
-		// A job of one member on another's service would run a rival's work.
+		// Otherwise a member could run work on another member's service.
 		o.addError("service", "%q belongs to another member", j.Service)
 	}
 	return j
--- a/internal/record/object.go
+++ b/internal/record/object.go
@@ -11,14 +11,14 @@
 	"strconv"
 )
 
-// FieldError says what is wrong with one field. Path is the field's place in
-// the record, such as "teams.kiosk.burst"; empty for the record as a whole.
+// FieldError describes a problem with one field. Path is the field's path in the
+// record, such as "teams.kiosk.burst"; empty for the record as a whole.
 type FieldError struct {
 	Path    string
 	Problem string
 }
 
-// Error joins path and problem.
+// Error returns the path and the problem.
 func (e *FieldError) Error() string {
 	if e.Path == "" {
 		return e.Problem
@@ -26,16 +26,16 @@
 	return e.Path + ": " + e.Problem
 }
 
-// objectReader reads the fields of one JSON object strictly: a field that is read
-// counts as known, and done reports what is left over. A misspelt quota that
-// was passed over in silence would leave a team without its limit.
+// objectReader reads the fields of one JSON object strictly. Each read removes the
+// field, and checkNoFieldsLeft reports the rest as unknown. If a misspelt quota
+// were ignored, the team would have no limit.
 type objectReader struct {
 	path   string
 	fields map[string]json.RawMessage
 	errs   *[]error
 }
 
-// parseObject splits b into fields. Problems are added to errs.
+// parseObject returns a reader of the JSON object b. Problems are added to errs.
 func parseObject(path string, b []byte, errs *[]error) *objectReader {
 	o := &objectReader{path: path, errs: errs, fields: map[string]json.RawMessage{}}
 	if err := o.splitFields(b); err != nil {
@@ -44,8 +44,8 @@
 	return o
 }
 
-// splitFields does what json.Unmarshal into a map does, but refuses a field that
-// stands twice, since people and programs disagree about which one counts.
+// splitFields is like json.Unmarshal into a map, but rejects duplicate fields,
+// since people and programs disagree about which one counts.
 func (o *objectReader) splitFields(b []byte) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
@@ -56,7 +56,7 @@
 		if err != nil {
 			return fmt.Errorf("malformed JSON: %w", err)
 		}
-		name := t.(string) // a decoder gives nothing else in this place
+		name := t.(string) // the decoder only returns strings here
 		var value json.RawMessage
 		if err := d.Decode(&value); err != nil {
 			return fmt.Errorf("malformed JSON: %w", err)
@@ -89,8 +89,8 @@
 	*o.errs = append(*o.errs, &FieldError{Path: o.fieldPath(field), Problem: fmt.Sprintf(format, args...)})
 }
 
-// takeField removes a field and decodes it; it tells whether it was there. Null is
-// no value of any field.
+// takeField removes a field, decodes it into dest and reports whether it had a
+// valid value. Null is not valid for any field.
 func (o *objectReader) takeField(field string, dest any, wantedType string) bool {
 	raw, ok := o.fields[field]
 	if !ok {
@@ -104,7 +104,7 @@
 	return true
 }
 
-// requireFields reports fields that are missing.
+// requireFields adds an error for each missing field.
 func (o *objectReader) requireFields(fields ...string) {
 	for _, field := range fields {
 		if _, ok := o.fields[field]; !ok {
@@ -157,7 +157,7 @@
 	return v
 }
 
-// objectReader gives a nested object, empty if the field is missing.
+// objectReader returns a reader of a nested object, empty if the field is missing.
 func (o *objectReader) objectReader(field string) *objectReader {
 	raw, ok := o.fields[field]
 	if !ok {
@@ -167,7 +167,7 @@
 	return parseObject(o.fieldPath(field), raw, o.errs)
 }
 
-// fieldNames lists the fields in order.
+// fieldNames returns the sorted names of the remaining fields.
 func (o *objectReader) fieldNames() []string {
 	var out []string
 	for name := range o.fields {
@@ -177,7 +177,7 @@
 	return out
 }
 
-// checkNoFieldsLeft reports the fields that nothing has read.
+// checkNoFieldsLeft adds an error for each field that was not read.
 func (o *objectReader) checkNoFieldsLeft() {
 	for _, name := range o.fieldNames() {
 		o.addError(name, "unknown field")
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,11 +1,11 @@
-// Package record owns the operators' records: their kinds, their schema
-// versions, the checks on them, and the immutable snapshot of all records that
-// a process obeys.
+// Package record defines the operators' configuration records: their kinds, schema
+// versions and validation, and the immutable snapshot of all records that a process
+// uses.
 //
 // A record is a JSON object. Every kind has the fields "kind", "name" and
-// "schema"; the store keeps it under RecordPrefix + kind + "/" + name. Records
-// of several schema versions are in force side by side: each is upgraded on
-// reading to the one form that the code uses.
+// "schema". The store holds it under RecordPrefix + kind + "/" + name. Records of
+// several schema versions can be active at the same time; each is converted to the
+// current form when it is parsed.
 //
 // The package may import errkind, dispatch (for its Policy) and store (for the
 // names of keys), and does no input or output.
@@ -19,10 +19,10 @@
 	"wigeontray/internal/store"
 )
 
-// Kind names a kind of record.
+// Kind is a kind of record.
 type Kind string
 
-// The kinds of records.
+// Kinds of records.
 const (
 	KindMember  Kind = "member"
 	KindService Kind = "service"
@@ -30,22 +30,22 @@
 	KindJob     Kind = "job"
 )
 
-// Kinds lists all kinds.
+// Kinds returns all kinds.
 func Kinds() []Kind { return []Kind{KindMember, KindService, KindPolicy, KindJob} }
 
-// MaxSize bounds a record's JSON, in bytes. It is far below the megabyte that
-// the store takes, as every entry and guard holds all records.
+// MaxSize is the maximum size of a record's JSON, in bytes. It is far below the
+// megabyte that the store accepts, because every entry and guard holds all records.
 const MaxSize = 64 << 10
 
 const maxNamePartLen = 63
 
 var (
 	memberPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
-	// qualifiedPattern is "member/name".
+	// qualifiedPattern matches "member/name".
 	qualifiedPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*/[a-z0-9][a-z0-9-]*$`)
 )
 
-// CheckName tells what is wrong with the name of a record.
+// CheckName returns an error if name is not a valid name for a record of the kind.
 func CheckName(kind Kind, name string) error {
 	pattern, want := qualifiedPattern, "member/name"
 	switch kind {
@@ -66,12 +66,12 @@
 	return nil
 }
 
-// Key gives the store's key of a record.
+// Key returns the store key of a record.
 func Key(kind Kind, name string) string {
 	return store.RecordPrefix + string(kind) + "/" + name
 }
 
-// ParseKey takes a store's key apart.
+// ParseKey returns the kind and name in a record's store key.
 func ParseKey(key string) (Kind, string, error) {
 	rest, ok := strings.CutPrefix(key, store.RecordPrefix)
 	if !ok {
@@ -84,7 +84,7 @@
 	return Kind(kind), name, nil
 }
 
-// Owner gives the member that a record belongs to.
+// Owner returns the member that owns the record of the given name.
 func Owner(name string) string {
 	member, _, _ := strings.Cut(name, "/")
 	return member
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -72,9 +72,8 @@
 	c.Assert(s.PolicyFor("leeuwin/other"), qt.DeepEquals, dispatch.DefaultPolicy())
 }
 
-// A record is written by hand and has a slip in it. A slip that is passed over
-// leaves a team without its quota or a service with a default nobody chose; the
-// operator must be told the field.
+// An operator makes a mistake in a record. Ignoring it would leave a team without
+// its quota or a service with an unintended default; the error must name the field.
 func TestInvalidFieldsAreReportedByPath(t *testing.T) {
 	hexDigits := strings.Repeat("0a", len(TokenHash{}))
 	for value, want := range map[string]string{
@@ -107,8 +106,8 @@
 	}
 }
 
-// A token is being replaced. Both must be good until callers have changed over,
-// and the old one must end when the record drops it.
+// A token is being rotated. Both tokens must be valid until callers have switched,
+// and the old one must become invalid when it is removed from the record.
 func TestTokenRotationAcceptsBothTokens(t *testing.T) {
 	c := qt.New(t)
 	a, b := HashToken("first"), HashToken("second")
@@ -127,17 +126,17 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A member copies the hash of a rival's token into its own record. The rival's
-// requests must not be served as this member's, where it could read them.
+// A member copies the hash of another member's token into its own record. The other
+// member's requests must not be served as its own, since it could read them.
 func TestTokenHashClaimedByTwoMembersIsInvalid(t *testing.T) {
 	s := Build(nil, []Raw{memberWithToken("ayni", "same"), memberWithToken("leeuwin", "same")}, 1)
 	_, ok := s.MemberByToken("same")
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// A record in the store is spoilt, by hand or by a fault. The one accepted
-// before stays in force and is listed, through further changes and through the
-// form in which snapshots travel between processes.
+// A record in the store is corrupted, manually or by a fault. The version accepted
+// before must stay in use and the record must be listed as rejected, after further
+// changes and after encoding and decoding the snapshot.
 func TestCorruptRecordKeepsTheLastAcceptedOne(t *testing.T) {
 	c := qt.New(t)
 	good := rawRecord(KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":2,"max_tasks":7}`, 2)
@@ -185,7 +184,7 @@
 	c.Assert(WriteID(b), qt.Equals, "new")
 }
 
-// loadSamples reads the sample records of one member.
+// loadSamples returns a snapshot of one member's sample records.
 func loadSamples(t *testing.T, member string) *Snapshot {
 	files, err := filepath.Glob(filepath.Join("..", "..", "examples", member, "records", "*.json"))
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/record/seal.go
+++ b/internal/record/seal.go
@@ -8,19 +8,19 @@
 	"fmt"
 )
 
-// Derivation of the sealing key.
+// Parameters of the sealing key's derivation.
 const (
 	sealKeyInfo = "wigeontray configuration snapshot 1"
 	sealKeyLen  = 32 // bytes: AES-256
 )
 
-// Sealer encrypts and authenticates snapshots under a key that only entries
-// have. Guards run on the members' machines and hold a snapshot for entries
-// that start during an outage of the store. Unsealed, a member could read its
-// rivals' records there, or hand an entry a configuration of its own making.
+// Sealer encrypts and authenticates snapshots under a key that only entries have.
+// Guards run on members' machines and hold a snapshot for entries that start during
+// an outage of the store. Without sealing, a member could read other members'
+// records there, or give an entry a forged configuration.
 type Sealer struct{ aead cipher.AEAD }
 
-// NewSealer derives a Sealer from the entries' key.
+// NewSealer returns a Sealer with a key derived from the entries' key.
 func NewSealer(key string) (*Sealer, error) {
 	derived, err := hkdf.Key(sha256.New, []byte(key), nil, sealKeyInfo, sealKeyLen)
 	if err != nil {
@@ -37,10 +37,11 @@
 	return &Sealer{aead}, nil
 }
 
-// Seal gives the sealed form of an encoded snapshot.
+// Seal returns the encrypted form of an encoded snapshot.
 func (s *Sealer) Seal(b []byte) []byte { return s.aead.Seal(nil, nil, b, nil) }
 
-// Open gives what was sealed, or an error if it was not sealed under this key.
+// Open returns the encoded snapshot that was sealed, or an error if it was not
+// sealed under this key.
 func (s *Sealer) Open(b []byte) ([]byte, error) {
 	plain, err := s.aead.Open(nil, nil, b, nil)
 	if err != nil {
--- a/internal/record/snapshot.go
+++ b/internal/record/snapshot.go
@@ -13,35 +13,35 @@
 	"wigeontray/internal/store"
 )
 
-// Raw is one record as the store holds it.
+// Raw is a record as stored, not parsed.
 type Raw struct {
 	Key         string `cbor:"1,keyasint"`
 	Value       []byte `cbor:"2,keyasint"`
 	ModRevision int64  `cbor:"3,keyasint"`
 }
 
-// Rejected is a record that is not in force as the store holds it.
+// Rejected describes a record whose stored version is not used.
 type Rejected struct {
 	Key         string
 	ModRevision int64
 	Reason      string
-	// TooNew means that its schema is above what this software understands.
+	// TooNew means that the record's schema is newer than this build can read.
 	TooNew bool
-	// FallbackRevision is the revision of the record that is obeyed in its place; 0 if
-	// there is none.
+	// FallbackRevision is the revision of the earlier version that is used
+	// instead; 0 if there is none.
 	FallbackRevision int64
 }
 
-// Snapshot is the whole configuration at one revision of the store. It never
-// changes, and any goroutine may read it.
+// Snapshot is the whole configuration at one revision of the store. It is immutable
+// and safe for concurrent use.
 type Snapshot struct {
-	// Revision is the store's revision up to which the snapshot is complete.
+	// Revision is the store revision up to which the snapshot has all changes.
 	Revision int64
 
-	raw       map[string]Raw // as the store holds them
-	fallbacks map[string]Raw // obeyed in place of a rejected one
+	raw       map[string]Raw // as stored
+	fallbacks map[string]Raw // earlier versions used instead of rejected records
 	rejected  []Rejected
-	parsed    map[string]*Parsed // the records in force as the store holds them
+	parsed    map[string]*Parsed // valid records by key, as stored
 
 	members  map[string]*Member
 	services map[string]*Service
@@ -50,16 +50,16 @@
 	tokens   []tokenEntry
 }
 
-// tokenEntry is one good token of a member.
+// tokenEntry maps the hash of a valid token to its member.
 type tokenEntry struct {
 	hash   TokenHash
 	member *Member
 }
 
-// Build makes the snapshot of raw records at revision. Records that cannot be
-// read stay as they were in before, which may be nil: if a newer process
-// writes a schema that this one has never heard of, or a record is spoilt, the
-// service must go on under what was accepted last, and not under defaults.
+// Build returns the snapshot of raw records at revision. For a record that cannot be
+// read, the version accepted in previous, which may be nil, stays in use. If a newer
+// process writes a schema that this build cannot read, or a record is corrupt, the
+// service must continue under the last accepted version, not under defaults.
 func Build(previous *Snapshot, raw []Raw, revision int64) *Snapshot {
 	s := &Snapshot{
 		Revision: revision,
@@ -96,7 +96,7 @@
 	s.rejected = append(s.rejected, rejection)
 }
 
-// parseCached is parseRaw, but for a record that s has read already.
+// parseCached is like parseRaw but reuses the result for a record that s contains.
 func (s *Snapshot) parseCached(r Raw) (*Parsed, error) {
 	if s != nil && bytes.Equal(s.raw[r.Key].Value, r.Value) {
 		if p, ok := s.parsed[r.Key]; ok {
@@ -114,7 +114,7 @@
 	return ParseAs(kind, name, r.Value)
 }
 
-// acceptedRecord gives the record that s obeys under key.
+// acceptedRecord returns the record that s uses for key.
 func (s *Snapshot) acceptedRecord(key string) (Raw, bool) {
 	if s == nil {
 		return Raw{}, false
@@ -139,9 +139,9 @@
 	}
 }
 
-// indexTokens leaves out a hash that two members claim. Otherwise a member that
-// learned a rival's hash could copy it into its own record, and the rival's
-// callers would be served as the wrong member.
+// indexTokens builds the token index without hashes that two members claim.
+// Otherwise a member that obtained another member's hash could copy it into its own
+// record, and the other member's callers would be served as the wrong member.
 func (s *Snapshot) indexTokens() {
 	claims := map[TokenHash]int{}
 	for _, m := range s.members {
@@ -159,8 +159,8 @@
 	}
 }
 
-// CheckTokens refuses a hash that another member's record holds: no request
-// would be served under it, neither the one member's nor the other's.
+// CheckTokens returns an error if another member's record contains one of m's token
+// hashes: requests with that token would be rejected for both members.
 func (s *Snapshot) CheckTokens(m *Member) error {
 	for _, t := range s.tokens {
 		if t.member.Name != m.Name && slices.Contains(m.Tokens, t.hash) {
@@ -170,11 +170,12 @@
 	return nil
 }
 
-// HashToken gives what a member's record holds in place of a token.
+// HashToken returns the hash of a token, as it is stored in a member's record.
 func HashToken(text string) TokenHash { return sha256.Sum256([]byte(text)) }
 
-// MemberByToken finds the member that a caller's token belongs to. It compares
-// with every hash, so that its time tells nothing of how close a guess was.
+// MemberByToken returns the member that a caller's token belongs to. It compares the
+// token with every hash in constant time, so that the response time does not reveal
+// how close a guess was.
 func (s *Snapshot) MemberByToken(text string) (*Member, bool) {
 	h := HashToken(text)
 	found := -1
@@ -188,14 +189,14 @@
 	return s.tokens[found].member, true
 }
 
-// Member finds a member by name.
+// Member returns the member of the given name.
 func (s *Snapshot) Member(name string) (*Member, bool) {
 	m, ok := s.members[name]
 	return m, ok
 }
 
-// Service finds "member/service". A service whose member's record was deleted
-// is not in force; it comes back with the member.
+// Service returns the service "member/service". A service whose member's record was
+// deleted is not active until the member is recreated.
 func (s *Snapshot) Service(name string) (*Service, bool) {
 	if _, ok := s.members[Owner(name)]; !ok {
 		return nil, false
@@ -204,8 +205,8 @@
 	return v, ok
 }
 
-// PolicyFor gives the policy of a service, or the default one. The caller fills
-// in Entries and Domain, which no record holds.
+// PolicyFor returns the policy of a service, or the default policy. The caller sets
+// Entries and Domain, which are not part of records.
 func (s *Snapshot) PolicyFor(service string) dispatch.Policy {
 	if p, ok := s.policies[service]; ok {
 		return p.Dispatch
@@ -213,7 +214,7 @@
 	return dispatch.DefaultPolicy()
 }
 
-// Job finds "member/job". A job whose service is not in force is not either.
+// Job returns the job "member/job". A job is only active if its service is.
 func (s *Snapshot) Job(name string) (*Job, bool) {
 	j, ok := s.jobs[name]
 	if !ok {
@@ -223,7 +224,7 @@
 	return j, ok
 }
 
-// Services lists the names of the services in force, sorted.
+// Services returns the sorted names of the active services.
 func (s *Snapshot) Services() []string {
 	var out []string
 	for name := range s.services {
@@ -235,24 +236,24 @@
 	return out
 }
 
-// Members lists the names of all members, sorted.
+// Members returns the sorted names of all members.
 func (s *Snapshot) Members() []string { return slices.Sorted(maps.Keys(s.members)) }
 
-// Rejected lists the records that are not in force as the store holds them.
+// Rejected returns the records whose stored version is not used.
 func (s *Snapshot) Rejected() []Rejected { return slices.Clone(s.rejected) }
 
-// Raw gives a record as the store holds it, in force or not.
+// Raw returns a record as stored, whether it is used or rejected.
 func (s *Snapshot) Raw(kind Kind, name string) (Raw, bool) {
 	r, ok := s.raw[Key(kind, name)]
 	return r, ok
 }
 
-// List gives the records of one member as the store holds them, sorted by key.
+// List returns the stored records of one member, sorted by key.
 func (s *Snapshot) List(member string) []Raw {
 	return s.filterRecords(func(_ Kind, name string) bool { return Owner(name) == member })
 }
 
-// ListKind gives the records of one kind as the store holds them, sorted.
+// ListKind returns the stored records of one kind, sorted by key.
 func (s *Snapshot) ListKind(kind Kind) []Raw {
 	return s.filterRecords(func(k Kind, _ string) bool { return k == kind })
 }
@@ -268,10 +269,10 @@
 	return out
 }
 
-// Len is the number of records that the store holds.
+// Len returns the number of stored records.
 func (s *Snapshot) Len() int { return len(s.raw) }
 
-// Apply gives the snapshot after a batch of changes.
+// Apply returns the snapshot after a batch of changes.
 func (s *Snapshot) Apply(b store.Batch) *Snapshot {
 	raw := maps.Clone(s.raw)
 	for _, ev := range b.Events {
@@ -284,7 +285,8 @@
 	return Build(s, slices.Collect(maps.Values(raw)), b.Revision)
 }
 
-// HasSameRecords tells whether the snapshot holds exactly these records.
+// HasSameRecords reports whether the snapshot has exactly these records, by key and
+// revision.
 func (s *Snapshot) HasSameRecords(raw []Raw) bool {
 	if s == nil || len(raw) != len(s.raw) {
 		return false
