--- a/internal/recordapi/recordapi.go
+++ b/internal/recordapi/recordapi.go
@@ -1,16 +1,16 @@
-// Package recordapi serves the operators' API on records over HTTP: reading
-// from the snapshot in force, amending by compare-and-swap through confsync.
+// Package recordapi serves the operators' HTTP API for configuration records. It
+// reads from the current snapshot and writes by compare-and-swap through confsync.
 //
 //	GET    /v1/records?kind=service     the member's records
 //	GET    /v1/records/{kind}/{name}    one record, its revision in ETag
 //	PUT    /v1/records/{kind}/{name}    If-Match: "revision", or If-None-Match: *
 //	DELETE /v1/records/{kind}/{name}    If-Match: "revision"
 //
-// A PUT may carry an Idempotency-Key, which becomes the write identity of the
-// record: a client that did not get its answer finds it on reading back.
+// A PUT may carry an Idempotency-Key, which becomes the write ID of the record. A
+// client that got no response finds it when it reads the record back.
 //
-// A member sees and amends its own records alone. Records of others answer as
-// if they did not exist, whether they do or not.
+// A member can only read and write its own records. Requests for another member's
+// records get the same response whether they exist or not.
 //
 // The package may import confsync, errkind, httpserve and record.
 package recordapi
@@ -39,64 +39,63 @@
 	pathRecord = "/v1/records/{kind}/{name...}"
 )
 
-// Principal is who sends a request.
+// Principal is the authenticated sender of a request.
 type Principal struct {
-	// Member may read and amend its own records.
+	// Member is the member whose records the sender may read and write.
 	Member string
-	// Consortium is the consortium's own operator: it may list, read and amend
-	// records of kind member, and no other.
+	// Consortium is set for the consortium's operator, who may list, read and
+	// write records of kind member and no others.
 	Consortium bool
 }
 
-// Options of a Handler.
+// Options configures the API's handler.
 type Options struct {
 	Sync *confsync.Sync
-	// Authenticate finds out who sends a request, or fails with an error of
+	// Authenticate identifies the sender of a request, or returns an error of
 	// package errkind.
 	Authenticate func(*http.Request) (Principal, error)
-	// WriteError answers with an error; nil is the package's own form, an
-	// object with the field "error" as in ErrorBody.
+	// WriteError writes an error response; nil writes an ErrorBody.
 	WriteError func(http.ResponseWriter, *errkind.Error)
 }
 
-// Record is one record in an answer.
+// Record is one record in a response.
 type Record struct {
 	Kind     record.Kind `json:"kind"`
 	Name     string      `json:"name"`
 	Revision int64       `json:"revision"`
-	// Problem tells why the record is not in force, and FallbackRevision the revision
-	// of the one that is obeyed in its place, 0 for none.
+	// Problem is the reason why the stored version is not used, and
+	// FallbackRevision the revision of the version used instead, 0 for none.
 	Problem          string `json:"problem,omitempty"`
 	FallbackRevision int64  `json:"in_force,omitempty"`
-	// Value is the record itself; left out in answers to amendments.
+	// Value is the record's JSON; omitted in responses to writes.
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-// List answers a GET of PathList.
+// List is the response to a GET of PathList.
 type List struct {
-	// Revision is the revision in force at the entry that answers.
+	// Revision is the revision of the responding entry's current snapshot.
 	Revision int64    `json:"revision"`
 	Records  []Record `json:"records"`
 }
 
-// ErrorBody is the form of errors.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes an error of the closed list.
+// ErrorDetail describes an error of a kind defined in package errkind.
 type ErrorDetail struct {
 	Kind   string `json:"kind"`
 	Ran    string `json:"ran"`
 	Advice string `json:"advice"`
 	Detail string `json:"detail,omitempty"`
-	// Current is the record's revision in the store, with record_conflict.
+	// Current is the record's revision in the store, for record_conflict.
 	Current int64 `json:"current_revision,omitempty"`
 }
 
 type handler struct{ Options }
 
-// New makes the API's handler.
+// New returns the API's handler.
 func New(o Options) http.Handler {
 	if o.WriteError == nil {
 		o.WriteError = WriteError
@@ -110,7 +109,8 @@
 	return httpserve.Unmatched(mux, h.WriteError)
 }
 
-// authenticated authenticates, and answers with the error of f if there is one.
+// authenticated wraps next: it authenticates the sender, rejects requests until a
+// configuration is available, and writes the error that next returns.
 func (h *handler) authenticated(next func(http.ResponseWriter, *http.Request, Principal) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p, err := h.Authenticate(r)
@@ -126,7 +126,7 @@
 	}
 }
 
-// canAccess tells whether p may read and amend a record.
+// canAccess reports whether p may read and write a record.
 func (p Principal) canAccess(kind record.Kind, name string) bool {
 	if p.Consortium {
 		return kind == record.KindMember
@@ -134,8 +134,8 @@
 	return p.Member != "" && record.Owner(name) == p.Member
 }
 
-// canCreateOrDelete tells whether p may make a record come or go. A member
-// amends its own member record but cannot end its membership, nor begin one.
+// canCreateOrDelete reports whether p may create and delete records of a kind. A
+// member may change its own member record but neither create nor delete it.
 func (p Principal) canCreateOrDelete(kind record.Kind) bool {
 	return p.Consortium || kind != record.KindMember
 }
@@ -160,10 +160,10 @@
 	return snap.List(p.Member)
 }
 
-// toRecord puts a record into the form of an answer. A value that is no JSON
-// is left out; Problem then says so.
+// toRecord converts a stored record for a response. A value that is not valid JSON
+// is omitted; Problem then states the error.
 func toRecord(snap *record.Snapshot, raw record.Raw) Record {
-	kind, name, _ := record.ParseKey(raw.Key) // List gives only keys that parse
+	kind, name, _ := record.ParseKey(raw.Key) // List and Raw only return keys that parse
 	rec := Record{Kind: kind, Name: name, Revision: raw.ModRevision}
 	if json.Valid(raw.Value) {
 		rec.Value = raw.Value
@@ -176,8 +176,8 @@
 	return rec
 }
 
-// targetRecord is the record that a request names. A record of another member is
-// answered as one that does not exist, or its name would be told.
+// targetRecord returns the kind and name of the requested record. A record of
+// another member is reported as not found, so that its existence is not revealed.
 func targetRecord(r *http.Request, p Principal) (record.Kind, string, error) {
 	kind, name := record.Kind(r.PathValue("kind")), r.PathValue("name")
 	if err := record.CheckName(kind, name); err != nil {
@@ -236,7 +236,7 @@
 
 var writeIDPattern = regexp.MustCompile(`^[A-Za-z0-9_-]{16,64}$`)
 
-// writeID is the request's Idempotency-Key, or a new identity without one.
+// writeID returns the request's Idempotency-Key, or a new ID if there is none.
 func writeID(r *http.Request) (string, error) {
 	key := r.Header.Get("Idempotency-Key")
 	if key == "" {
@@ -274,9 +274,9 @@
 	return writeJSON(w, http.StatusOK, Record{Kind: kind, Name: name, Revision: revision})
 }
 
-// expectedRevision reads the revision that an amendment is based on; 0 for a record
-// that must not exist. A request without it is refused: it would overwrite
-// whatever another operator has done in the meantime.
+// expectedRevision returns the revision that a write is based on; 0 if the record
+// must not exist. A request without a condition is rejected, since it could
+// overwrite another operator's change.
 func expectedRevision(r *http.Request) (int64, error) {
 	match, none := r.Header.Get("If-Match"), r.Header.Get("If-None-Match")
 	switch {
@@ -301,11 +301,11 @@
 func writeJSON(w http.ResponseWriter, status int, v any) error {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the client has gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 	return nil
 }
 
-// WriteError answers with e as an ErrorBody.
+// WriteError writes e as an ErrorBody.
 func WriteError(w http.ResponseWriter, e *errkind.Error) {
 	answer := e.Kind.Answer()
 	body := ErrorBody{ErrorDetail{Kind: answer.Name, Ran: e.Ran.String(), Advice: answer.Advice.String(), Detail: e.Detail}}
--- a/internal/recordapi/recordapi_test.go
+++ b/internal/recordapi/recordapi_test.go
@@ -18,8 +18,8 @@
 	"wigeontray/internal/store/standin"
 )
 
-// api is the handler over a running Sync; the token in a request is the name
-// of the member, or "consortium".
+// api is the handler on a running Sync. A request's token is the name of the
+// member, or "consortium".
 type api struct {
 	*qt.C
 	handler http.Handler
@@ -52,7 +52,8 @@
 	}
 }
 
-// do sends a request; condition is the value of If-Match, or "*" to create.
+// do sends a request. condition is the value of If-Match, "*" to create a record,
+// or empty for no condition.
 func (a *api) do(who, method, path, condition, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", who)
@@ -65,7 +66,7 @@
 	}
 	w := httptest.NewRecorder()
 	a.handler.ServeHTTP(w, r)
-	synctest.Wait() // for the watch to deliver an amendment
+	synctest.Wait() // until the watch delivers a change
 	return w
 }
 
@@ -107,8 +108,8 @@
 	})
 }
 
-// A member guesses the names of a rival's records. It must learn nothing, not
-// even whether they exist, and amend nothing.
+// A member guesses the names of another member's records. The responses must not
+// reveal whether they exist, and no record may change.
 func TestRecordsOfOtherMembersAreHidden(t *testing.T) {
 	runWithAPI(t, func(a *api) {
 		a.createMember("ayni")
@@ -139,7 +140,8 @@
 	})
 }
 
-// A member changes its own tokens but tries to end or begin a membership.
+// A member may change its own record, for example its teams, but must not create or
+// delete a member record.
 func TestOnlyTheConsortiumCreatesAndDeletesMembers(t *testing.T) {
 	runWithAPI(t, func(a *api) {
 		etag := a.createMember("ayni")
@@ -151,8 +153,8 @@
 	})
 }
 
-// A member puts the hash of a rival's token into its own record; requests with
-// that token would be nobody's from then on.
+// A member puts the hash of another member's token into its own record. If this
+// were accepted, requests with that token would no longer belong to any member.
 func TestTokenHashOfAnotherMemberIsRejected(t *testing.T) {
 	runWithAPI(t, func(a *api) {
 		memberJSON := func(name string) string {
@@ -163,7 +165,7 @@
 	})
 }
 
-// Malformed requests get an error of the closed list, and change nothing.
+// Malformed requests must get an error of the defined kinds and change nothing.
 func TestBadRequests(t *testing.T) {
 	runWithAPI(t, func(a *api) {
 		a.createMember("ayni")
@@ -181,8 +183,8 @@
 	})
 }
 
-// The store is down. Reading goes on from the snapshot; an amendment is refused
-// with the certainty that nothing was written, and with when to come back.
+// The store is down. Reads must be served from the snapshot. A write must be
+// rejected with ran "no" and a Retry-After.
 func TestStoreOutage(t *testing.T) {
 	runWithAPI(t, func(a *api) {
 		etag := a.createMember("ayni")
@@ -194,7 +196,7 @@
 	})
 }
 
-// An entry that has obtained no configuration yet must not list it as empty.
+// An entry without a configuration must not return an empty list of records.
 func TestNotReady(t *testing.T) {
 	c := qt.New(t)
 	a := &api{C: c, handler: New(Options{Sync: confsync.New(confsync.Options{}), Authenticate: authenticate})}
