--- a/internal/confsync/amend_test.go
+++ b/internal/confsync/amend_test.go
@@ -17,12 +17,13 @@
 	"wigeontray/internal/store"
 )
 
-// putMember amends the member ayni through the Sync under test.
+// putMember writes the member ayni through the Sync under test.
 func (f *fixture) putMember(region string, expectedRevision int64) (int64, error) {
 	return f.writer.Put(f.t.Context(), record.KindMember, "ayni", memberJSON(region), expectedRevision)
 }
 
-// stored is the member ayni's region in the store itself; "" if it is not there.
+// stored returns the member ayni's region and revision in the store; "" and 0 if
+// it does not exist.
 func (f *fixture) stored() (region string, revision int64) {
 	f.server.SetDown(false)
 	f.server.SetDelay(0)
@@ -43,9 +44,9 @@
 	f.Assert(c.Current, qt.Equals, current)
 }
 
-// Two operators amend the same revision at the same moment. One must win and
-// the other be told so with the revision that is there now; were both told
-// "done", one amendment would be lost without anybody knowing.
+// Two operators write the same revision of a record concurrently. One must succeed
+// and the other must get a conflict with the current revision. If both were
+// confirmed, one write would be lost unnoticed.
 func TestConcurrentWritesOneWinsAndOneConflicts(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
@@ -74,8 +75,8 @@
 	})
 }
 
-// The write took effect and its answer was lost. An operator who is told that
-// it failed would amend again and meet a conflict with nobody.
+// A write takes effect but its response is lost. If it were reported as failed, the
+// operator would retry and get a conflict although nobody else wrote the record.
 func TestLostResponseIsResolvedByReadingBack(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		for _, expectedRevision := range []int64{0, 2} {
@@ -89,9 +90,9 @@
 	})
 }
 
-// The answer was lost and another operator has amended the record since. The
-// record carries the other's write identity, yet this write did take effect:
-// "conflict, nothing written" would be false.
+// The response is lost and another operator has overwritten the record since. The
+// record carries the other operator's write ID, but this write did take effect, so
+// a conflict would be wrong.
 func TestLostResponseThenOverwrittenByAnother(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
@@ -105,7 +106,7 @@
 	})
 }
 
-// sentChange is a change whose answer was lost, with the revision it got.
+// sentChange is a change whose response was lost, with its revision in the store.
 type sentChange struct {
 	change   *change
 	revision int64
@@ -120,9 +121,9 @@
 	return sentChange{c, f.server.Revision()}
 }
 
-// A new record was written, its answer was lost, and another operator deleted
-// it before it was looked up. To write it again would bring back what the other
-// operator was told is gone.
+// A record is created, the response is lost, and another operator deletes the
+// record before the outcome is resolved. Writing it again would undo the deletion
+// that was confirmed to the other operator.
 func TestLostResponseThenDeletedByAnother(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		f.server.LoseAnswers(1)
@@ -135,7 +136,7 @@
 	})
 }
 
-// resolveWithTimeout looks for a change for a limited time.
+// resolveWithTimeout resolves the outcome of c, for at most timeout.
 func (f *fixture) resolveWithTimeout(timeout time.Duration, c *change) outcome {
 	ctx, cancel := context.WithTimeout(f.t.Context(), timeout)
 	defer cancel()
@@ -143,9 +144,9 @@
 	return result
 }
 
-// The answer was lost, another operator deleted the record, and the store's
-// watches are silent, or open too late, so that its history cannot be seen. A
-// history that was not seen must not be read as one without this write.
+// The response is lost, another operator deletes the record, and the store's
+// watches deliver nothing or open too late, so that the history is unreadable. This
+// must not be taken for a history without the write.
 func TestUnreadableHistoryLeavesOutcomeUnknown(t *testing.T) {
 	for name, hide := range map[string]func(*fixture){
 		"silent": func(f *fixture) { f.server.StallWatches(true) },
@@ -153,7 +154,7 @@
 	} {
 		for _, create := range []bool{true, false} {
 			if name == "silent" && create {
-				continue // told from a history without events by nothing but time
+				continue // a stalled watch looks like an empty history; see Put
 			}
 			runWithStore(t, func(f *fixture) {
 				var expectedRevision int64
@@ -171,13 +172,13 @@
 	}
 }
 
-// A client uses one write identity for two amendments, and the second one never
-// arrives. The record as it was carries the same identity; it must not be taken
-// for the second amendment.
+// A client uses the same write ID for two writes, and the second one never reaches
+// the store. The first version of the record has this ID too and must not be taken
+// for the second write.
 func TestReusedWriteIDIsNotTakenForTheSecondWrite(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
-		put := func(region string, expect int64) (int64, error) {
-			return f.writer.PutWithWriteID(f.t.Context(), "one-for-both", record.KindMember, "ayni", memberJSON(region), expect)
+		put := func(region string, expectedRevision int64) (int64, error) {
+			return f.writer.PutWithWriteID(f.t.Context(), "one-for-both", record.KindMember, "ayni", memberJSON(region), expectedRevision)
 		}
 		base, err := put("lima", 0)
 		f.Assert(err, qt.IsNil)
@@ -191,8 +192,8 @@
 	})
 }
 
-// The connection breaks before the store has seen the write, and the store is
-// back a moment later. The write is sent again, and takes effect once.
+// The connection breaks before the store receives the write, and the store recovers
+// shortly after. The write must be retried and take effect once.
 func TestUndeliveredWriteIsRetried(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
@@ -204,8 +205,8 @@
 	})
 }
 
-// The connection breaks before the store has seen the write, and another
-// operator amends the record in the meantime: this write lost.
+// The connection breaks before the store receives the write, and another operator
+// writes the record in the meantime. The write must end in a conflict.
 func TestUndeliveredWriteConflictsWithAnotherWrite(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
@@ -214,7 +215,7 @@
 		go func() { _, err := f.putMember("cusco", base); result <- err }()
 		time.Sleep(2 * time.Second)
 		f.server.SetDown(false)
-		// The retry needs a moment; the other operator is faster.
+		// The retry has a delay, so the other operator writes first.
 		current, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindMember, "ayni"), memberJSON("tacna"), base, 0)
 		f.Assert(err, qt.IsNil)
 		f.assertConflict(<-result, current)
@@ -223,8 +224,9 @@
 	})
 }
 
-// The answer was lost and the store stays down. Neither "done" nor "conflict"
-// can be known; the operator is told so within the limit, and what may be done.
+// The response is lost and the store stays down, so neither success nor conflict
+// can be established. The operator must get this answer within the time limit,
+// with advice on how to proceed.
 func TestUnresolvableOutcomeIsReportedAsUnknown(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		f.server.LoseAnswers(1)
@@ -244,9 +246,9 @@
 	})
 }
 
-// The store hangs for longer than a call may take while two operators amend
-// the same record. Whoever is told "done" must be in the store, whoever is told
-// "conflict" must not, and nobody may be told both.
+// The store is slower than the call timeout while two operators write the same
+// record. A confirmed write must be in the store, and a write that ended in a
+// conflict must not.
 func TestConcurrentWritesWithSlowStoreAndLostResponses(t *testing.T) {
 	for seed := range 20 {
 		runWithStore(t, func(f *fixture) {
@@ -279,9 +281,9 @@
 	}
 }
 
-// A write sits in a queue of the store until its sender has given up on it, then
-// takes effect, just ahead of the same write sent again. The second meets the
-// first; to report that as a conflict would blame an operator who is not there.
+// The store executes a write only after its sender has timed out, just before the
+// retry of the same write arrives. The retry fails the comparison because of the
+// first attempt; it must not be reported as a conflict with another operator.
 func TestDelayedWriteDoesNotConflictWithItsRetry(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
@@ -292,7 +294,7 @@
 	})
 }
 
-// A deletion takes effect and its answer is lost.
+// A deletion takes effect but its response is lost.
 func TestLostResponseOfADeletion(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
@@ -307,8 +309,8 @@
 	})
 }
 
-// An operator sends a record that is spoilt or stands under another's name. It
-// must be refused before the store sees it, with the field that is wrong.
+// An operator sends a record that is malformed or has the name of another record.
+// It must be rejected before it is sent to the store, with the invalid field.
 func TestInvalidRecordIsNotWritten(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		for value, want := range map[string]string{
@@ -327,9 +329,9 @@
 	})
 }
 
-// An operator deletes a member whose services are in use. Its callers must be
-// refused everywhere, not served by a service without an owner; and when the
-// record comes back, so does the service.
+// An operator deletes a member whose services are in use. The services must stop
+// being available, since they have no owner, and become available again when the
+// member is recreated.
 func TestDeletingAMemberDisablesItsServices(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		revision := f.writeMember("lima", 0)
@@ -347,8 +349,8 @@
 	})
 }
 
-// An operator's client goes away in the middle of an amendment. The call ends
-// with it and says that the outcome is unknown.
+// An operator's client disconnects during a write. The call must end with its
+// context and report that the store is unavailable and the outcome unknown.
 func TestCallerTimeoutEndsTheWrite(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		f.server.SetDown(true)
@@ -359,8 +361,9 @@
 	})
 }
 
-// The store refuses connections. The write cannot have taken effect, and the
-// operator is told so at once, not after ten seconds and not as "unknown".
+// The store refuses connections, so the write cannot have taken effect. The
+// operator must get this answer immediately, not after the resolve timeout of ten
+// seconds and not with an unknown outcome.
 func TestRefusedConnectionMeansNotWritten(t *testing.T) {
 	c := qt.New(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -374,9 +377,9 @@
 	c.Assert(time.Since(start) < time.Second, qt.IsTrue)
 }
 
-// The store has been down for a while. An amendment is refused at once and for
-// certain, and says when to come back; it must not take ten seconds to end in
-// "unknown".
+// The store has been down for a while. A write must be rejected immediately, with
+// the certainty that nothing was written and the delay before a retry, instead of
+// ending with an unknown outcome after ten seconds.
 func TestWriteDuringAnOutageFailsImmediately(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		revision := f.writeMember("lima", 0)
@@ -396,9 +399,9 @@
 	})
 }
 
-// The store answers an operator's amendment before its watch tells the entry of it. He
-// reads the record at the same entry and finds the old value under the old revision, as
-// if he had not been told that his amendment took effect.
+// The store's response to a write arrives before the watch event at the entry. The
+// write must be visible at the same entry once it is confirmed; without a wait the
+// operator would read the old value at the old revision.
 func TestConfirmedWriteIsVisibleAtTheSameEntry(t *testing.T) {
 	const delay = 300 * time.Millisecond
 	runWithStore(t, func(f *fixture) {
@@ -413,8 +416,8 @@
 	})
 }
 
-// The watch of the entry is silent. The operator is told within a second or so that his
-// amendment took effect, and not only when the silent watch has been found out.
+// The entry's watch delivers nothing. The write must be confirmed within about a
+// second, without waiting for the stalled watch to be detected.
 func TestWriteIsConfirmedWhileTheWatchIsStalled(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		first := f.writeMember("lima", 0)
--- a/internal/confsync/share_test.go
+++ b/internal/confsync/share_test.go
@@ -9,16 +9,17 @@
 	"wigeontray/internal/record"
 )
 
-// newSealedSync gives a Sync with a sealing key that follows no store.
+// newSealedSync returns a Sync with a sealing key and without a running watch.
 func (f *fixture) newSealedSync(key string) *Sync {
 	sealer, err := record.NewSealer(key)
 	f.Assert(err, qt.IsNil)
 	return New(Options{Store: f.newStoreClient(), Sealer: sealer})
 }
 
-// Every entry and the store are gone; only guards still hold the configuration.
-// A new entry takes it from one of them, while the guard, on a member's machine,
-// can read its own service in it and nothing of a rival.
+// All entries and the store are gone, and only guards still hold the
+// configuration. A new entry must be able to load it from a guard. The guard runs
+// on a member's machine and must be able to read its own service's record but no
+// record of another member.
 func TestNewEntryLoadsSealedSnapshotFromGuard(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		_, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindService, "ayni/reserva"),
@@ -48,9 +49,9 @@
 	})
 }
 
-// A member makes up a configuration on the machine of its guard and offers it
-// with a revision above all others. An entry that took it would obey that member
-// in the place of the operators, for good.
+// A member forges a configuration on its guard's machine and offers it with a
+// revision above all others. An entry that accepted it would use the member's
+// configuration instead of the operators', permanently.
 func TestForgedSnapshotIsRejected(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		f.writeMember("lima", 0)
@@ -71,7 +72,7 @@
 		}
 		_, err = victim.Offer(plain)
 		f.Assert(err, qt.IsNotNil)
-		_, err = f.sync.OfferFromGuard(unsealed) // an entry without a key
+		_, err = f.sync.OfferFromGuard(unsealed) // no sealing key
 		f.Assert(err, qt.IsNotNil)
 		f.Assert(victim.Ready(), qt.IsFalse)
 		f.Assert(region(f.sync), qt.Equals, "lima")
--- a/internal/confsync/sync_test.go
+++ b/internal/confsync/sync_test.go
@@ -16,22 +16,22 @@
 	"wigeontray/internal/store/standin"
 )
 
-// maxPropagationDelay is the brief's limit for a change to be in force everywhere.
+// maxPropagationDelay is the required limit for a change to be applied everywhere.
 const maxPropagationDelay = 5 * time.Second
 
-// fixture is one entry's Sync and the stand-in that it follows.
+// fixture is one entry's Sync and the fake store server that it uses.
 type fixture struct {
 	*qt.C
 	t      *testing.T
 	server *standin.Server
 	sync   *Sync
-	// amender sends amendments and follows nothing, so that a fault meets it in
-	// the middle of a call.
+	// writer sends writes but does not watch the store, so that a fault only
+	// shows during a call.
 	writer  *Sync
 	cancels []context.CancelFunc
 }
 
-// runWithStore tests with a running Sync, in fake time.
+// runWithStore runs test with a running Sync, in fake time.
 func runWithStore(t *testing.T, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{C: qt.New(t), t: t, server: standin.New()}
@@ -50,7 +50,7 @@
 	})
 }
 
-// startEntry runs one more entry against the store until the test ends.
+// startEntry runs one more entry's Sync on the store until the test ends.
 func (f *fixture) startEntry() *Sync {
 	s := New(Options{Store: f.newStoreClient()})
 	ctx, cancel := context.WithCancel(f.t.Context())
@@ -64,16 +64,16 @@
 	return fmt.Appendf(nil, `{"kind":"member","name":"ayni","schema":1,"home_region":%q}`, region)
 }
 
-// writeMember amends the member ayni as another process would, past the faults of
-// the client under test, and gives the new revision.
+// writeMember writes the member ayni as another process would, with a client of its
+// own, and returns the new revision.
 func (f *fixture) writeMember(region string, expectedRevision int64) int64 {
 	revision, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindMember, "ayni"), memberJSON(region), expectedRevision, 0)
 	f.Assert(err, qt.IsNil)
-	synctest.Wait() // for the watch to deliver it
+	synctest.Wait() // until the watch delivers the change
 	return revision
 }
 
-// region is what s obeys for ayni; "" for nothing.
+// region returns ayni's region in the current snapshot of s; "" if there is none.
 func region(s *Sync) string {
 	if m, ok := s.Current().Member("ayni"); ok {
 		return m.HomeRegion
@@ -100,8 +100,8 @@
 	})
 }
 
-// The store is down for an hour. The entry must go on under what is in force,
-// and take the changes made since as soon as the store answers.
+// The store is down for an hour. The entry must keep its current configuration and
+// apply later changes as soon as the store answers again.
 func TestStoreOutageKeepsTheCurrentConfiguration(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		revision := f.writeMember("lima", 0)
@@ -117,9 +117,9 @@
 	})
 }
 
-// The store flaps: up for a second, down for a second, for ten minutes. Every
-// change is still in force within the limit, and the calls stay few, or the
-// entries together would keep the store from coming back.
+// The store is alternately up and down for a second each, for ten minutes. Every
+// change must still be applied within the limit, and with few calls: otherwise all
+// entries together could keep the store from recovering.
 func TestFlappingStore(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		revision := f.writeMember("lima", 0)
@@ -138,9 +138,9 @@
 	})
 }
 
-// An entry starts while the store is down. If it made up an empty configuration
-// it would refuse every caller as unknown; if it took an old one it would fall
-// behind what its peers obey. It is not ready until a peer's snapshot arrives.
+// An entry starts while the store is down. With an empty configuration it would
+// reject every caller as unknown, and with an old one it would fall behind its
+// peers. It must not be ready until it gets a snapshot from a peer.
 func TestEntryStartedDuringAnOutage(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		first := f.writeMember("lima", 0)
@@ -170,9 +170,9 @@
 	})
 }
 
-// A watch stays open but delivers nothing more, as when the server behind a
-// balancer has gone. Without a check of its own the entry would obey the old
-// configuration until somebody wonders why.
+// A watch stays open but delivers nothing, as after the failure of the server
+// behind a load balancer. Unless the entry checks for missed changes, it keeps
+// using the old configuration indefinitely.
 func TestStaleWatchIsDetected(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		first := f.writeMember("lima", 0)
@@ -189,9 +189,9 @@
 	})
 }
 
-// While the entry is cut off the store compacts its history, so that the watch
-// cannot be resumed. The entry must read everything again; a deletion in the
-// gap would otherwise never be seen.
+// The store compacts its history while the entry is disconnected, so the watch
+// cannot be resumed. The entry must read all records again; otherwise it would miss
+// a deletion made in the meantime.
 func TestCompactedWatchTriggersAFullRead(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		revision := f.writeMember("lima", 0)
@@ -207,9 +207,8 @@
 	})
 }
 
-// A replica of the store lags and answers with an old revision just when the
-// entry reads everything again. To obey it would bring back a configuration
-// that operators have replaced.
+// A lagging replica of the store answers with an old revision when the entry reads
+// all records again. Applying it would revert changes that operators have made.
 func TestOlderStoreRevisionIsRejected(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		first := f.writeMember("lima", 0)
@@ -229,9 +228,9 @@
 	})
 }
 
-// A peer that still watches hands on a newer snapshot while this entry's watch
-// lags; then the watch delivers what is in the snapshot already. The older
-// change must not come back in force for even a moment.
+// A peer sends a newer snapshot while this entry's watch lags. The watch then
+// delivers changes that the snapshot already contains; the older value must not
+// become current again, not even briefly.
 func TestLaggingWatchDoesNotRevertAPeerSnapshot(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		first := f.writeMember("lima", 0)
@@ -258,9 +257,9 @@
 	})
 }
 
-// A record of a schema that only a newer version knows reaches this entry. The
-// record accepted before must stay in force, and an entry that starts later,
-// which never saw that one, takes it over from a peer.
+// The store holds a record whose schema only a newer version of the software can
+// read. The version accepted before must stay in use. An entry that starts later
+// and has never read that version must take it from a peer.
 func TestRecordOfANewerSchemaKeepsTheLastAcceptedOne(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		first := f.writeMember("lima", 0)
@@ -289,9 +288,8 @@
 	})
 }
 
-// Watches break every second although nothing changes. Reading the same again
-// must not count as a new configuration, or every break would send the whole
-// of it to each guard.
+// Watches break every second although no record changes. Reading the same records
+// again must not count as a new configuration: it would be sent to every guard.
 func TestRereadingUnchangedRecordsDoesNotNotify(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		f.writeMember("lima", 0)
@@ -308,9 +306,8 @@
 	})
 }
 
-// The store takes longer for each call than a call may take, but goes on
-// delivering on watches that are open. Changes must still be in force, and the
-// entry must not give up the one channel that works.
+// Every call to the store times out, but open watches still deliver. Changes must
+// be applied, and the entry must not close the open watch.
 func TestSlowStoreKeepsTheOpenWatch(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		revision := f.writeMember("lima", 0)
@@ -324,8 +321,8 @@
 	})
 }
 
-// One of two endpoints of the store lags behind for hours. An entry that goes
-// on asking it would obey no change in all that time.
+// One of two store endpoints lags for hours. An entry that kept using it would not
+// apply any change in that time.
 func TestLaggingEndpointIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
