--- a/internal/confsync/amend.go
+++ b/internal/confsync/amend.go
@@ -138,6 +138,8 @@
 	return s.commitChange(ctx, &change{kind: kind, name: name, expectedRevision: expectedRevision})
 }
 
+// commitChange sends a change, and sends it again after a lost response, until its
+// outcome is known or the time is up. See Put for the errors.
 func (s *Sync) commitChange(ctx context.Context, c *change) (int64, error) {
 	if s.storeDown() {
 		// Nothing was sent yet, so the caller gets a definite answer immediately.
@@ -226,6 +228,7 @@
 	return errkind.New(errkind.StoreUnavailable, "%w", err).WithRan(errkind.RanNo)
 }
 
+// conflictError counts a conflict and returns the error for it.
 func (s *Sync) conflictError(err error) *errkind.Error {
 	s.incrementCounter("amend.conflict")
 	conflict := new(ConflictError)
--- a/internal/confsync/resolve.go
+++ b/internal/confsync/resolve.go
@@ -42,7 +42,7 @@
 		return outcomeUnknown, 0, 0
 	}
 	switch {
-	case stored.ModRevision != c.expectedRevision && c.isMadeBy(store.Event{KV: stored}):
+	case stored.ModRevision != c.expectedRevision && c.matches(store.Event{KV: stored}):
 		return outcomeApplied, stored.ModRevision, stored.ModRevision
 	case stored.ModRevision == c.expectedRevision && c.expectedRevision > 0:
 		return outcomeNotApplied, 0, stored.ModRevision
@@ -59,8 +59,8 @@
 	return outcomeConflict, 0, stored.ModRevision
 }
 
-// isMadeBy reports whether ev is the effect of c.
-func (c *change) isMadeBy(ev store.Event) bool {
+// matches reports whether ev is the event that c causes when it takes effect.
+func (c *change) matches(ev store.Event) bool {
 	if c.value == nil {
 		return ev.Deleted
 	}
@@ -95,7 +95,7 @@
 			if ev.Key != c.key() {
 				continue
 			}
-			if c.isMadeBy(ev) {
+			if c.matches(ev) {
 				return ev, true, nil
 			}
 			// A compare-and-swap on expectedRevision can only be the first change
