--- a/internal/confsync/amend.go
+++ b/internal/confsync/amend.go
@@ -91,7 +91,7 @@
 func (s *Sync) PutWithWriteID(ctx context.Context, writeID string, kind record.Kind, name string, value []byte, expectedRevision int64) (int64, error) {
 	value, err := s.prepareValue(writeID, kind, name, value)
 	if err != nil {
-		s.incrementCounter("amend.invalid")
+		s.count("amend.invalid")
 		return 0, errkind.New(errkind.RecordInvalid, "%w", err)
 	}
 	return s.commitChange(ctx, &change{kind: kind, name: name, value: value, expectedRevision: expectedRevision, writeID: writeID})
@@ -144,7 +144,7 @@
 	if s.storeDown() {
 		// Nothing was sent yet, so the caller gets a definite answer immediately.
 		// Once a request is sent, finding out its outcome would take seconds.
-		s.incrementCounter("amend.store_down")
+		s.count("amend.store_down")
 		return 0, errkind.New(errkind.StoreUnavailable, "the store does not answer now; nothing was sent").
 			WithRan(errkind.RanNo).WithAfter(s.opts.MaxBackoff)
 	}
@@ -159,12 +159,12 @@
 	for {
 		revision, err := s.send(ctx, c)
 		if err == nil {
-			s.incrementCounter("amend.done")
+			s.count("amend.done")
 			s.waitForRevision(ctx, revision)
 			return revision, nil
 		}
 		if errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrNotSent) && !mayBeApplied {
-			s.incrementCounter("amend.refused")
+			s.count("amend.refused")
 			return 0, unavailableError(err, mayBeApplied)
 		}
 		// Unless the response to an earlier attempt was lost, a conflict can
@@ -176,13 +176,13 @@
 		outcome, revision, current := s.resolveOutcome(ctx, c)
 		switch outcome {
 		case outcomeApplied:
-			s.incrementCounter("amend.recovered")
+			s.count("amend.recovered")
 			s.waitForRevision(ctx, revision)
 			return revision, nil
 		case outcomeConflict:
 			return 0, s.conflictError(&store.ConflictError{Current: store.KV{Key: c.key(), ModRevision: current}})
 		case outcomeUnknown:
-			s.incrementCounter("amend.unknown")
+			s.count("amend.unknown")
 			return 0, errkind.New(errkind.StoreUnavailable, "the outcome of the amendment is not known; read the record before amending it again: %w", err)
 		case outcomeNotApplied: // retry
 		}
@@ -206,7 +206,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			s.incrementCounter("amend.unseen")
+			s.count("amend.unseen")
 			return
 		}
 	}
@@ -230,7 +230,7 @@
 
 // conflictError counts a conflict and returns the error for it.
 func (s *Sync) conflictError(err error) *errkind.Error {
-	s.incrementCounter("amend.conflict")
+	s.count("amend.conflict")
 	conflict := new(ConflictError)
 	if c, ok := errors.AsType[*store.ConflictError](err); ok {
 		conflict.Current = c.Current.ModRevision
--- a/internal/confsync/follow.go
+++ b/internal/confsync/follow.go
@@ -111,7 +111,7 @@
 func (s *Sync) applyBatch(b store.Batch) {
 	previous := s.Current()
 	if b.Revision <= previous.Revision {
-		s.incrementCounter("watch.old")
+		s.count("watch.old")
 		return
 	}
 	s.install(previous.Apply(b))
@@ -130,7 +130,7 @@
 		return false
 	}
 	if err != nil {
-		s.incrementCounter("store.failed")
+		s.count("store.failed")
 		s.setStoreState(err)
 		return false
 	}
@@ -144,7 +144,7 @@
 }
 
 func (s *Sync) handleRevisionWentBack() {
-	s.incrementCounter("store.past")
+	s.count("store.past")
 	s.switchEndpoint()
 }
 
--- a/internal/confsync/share.go
+++ b/internal/confsync/share.go
@@ -70,7 +70,7 @@
 	if s.opts.Sealer != nil {
 		plain, err := s.opts.Sealer.Open(b)
 		if err != nil {
-			s.incrementCounter("offers.forged")
+			s.count("offers.forged")
 			return false, err
 		}
 		b = plain
@@ -83,11 +83,11 @@
 func (s *Sync) OfferFromGuard(b []byte) (bool, error) {
 	g, err := record.DecodeForGuard(b)
 	if err != nil {
-		s.incrementCounter("offers.malformed")
+		s.count("offers.malformed")
 		return false, err
 	}
 	if s.opts.Sealer == nil || len(g.Sealed) == 0 {
-		s.incrementCounter("offers.unsealed")
+		s.count("offers.unsealed")
 		return false, errNotSealed
 	}
 	return s.Offer(g.Sealed)
@@ -96,13 +96,13 @@
 func (s *Sync) installEncoded(encoded []byte) (bool, error) {
 	snap, err := record.Decode(s.current.Load(), encoded)
 	if err != nil {
-		s.incrementCounter("offers.malformed")
+		s.count("offers.malformed")
 		return false, err
 	}
 	if !s.install(snap) && !s.adoptFallbacks(encoded) {
-		s.incrementCounter("offers.old")
+		s.count("offers.old")
 		return false, nil
 	}
-	s.incrementCounter("offers.taken")
+	s.count("offers.taken")
 	return true, nil
 }
--- a/internal/confsync/sync.go
+++ b/internal/confsync/sync.go
@@ -192,17 +192,17 @@
 }
 
 func (s *Sync) reportInstalled(snap *record.Snapshot) {
-	s.setGauge("revision", snap.Revision)
-	s.setGauge("records", int64(snap.Len()))
+	s.gauge("revision", snap.Revision)
+	s.gauge("records", int64(snap.Len()))
 	rejected := snap.Rejected()
-	s.setGauge("records_rejected", int64(len(rejected)))
+	s.gauge("records_rejected", int64(len(rejected)))
 	var tooNew int64
 	for _, r := range rejected {
 		if r.TooNew {
 			tooNew++
 		}
 	}
-	s.setGauge("records_too_new", tooNew)
+	s.gauge("records_too_new", tooNew)
 	s.opts.Logger.Info("configuration in force", "revision", snap.Revision, "records", snap.Len(), "rejected", len(rejected))
 }
 
@@ -232,14 +232,14 @@
 func (s *Sync) handleFailure(err error) {
 	switch {
 	case errors.Is(err, store.ErrCompacted):
-		s.incrementCounter("watch.compacted")
+		s.count("watch.compacted")
 	case errors.Is(err, errWatchStale):
-		s.incrementCounter("watch.stale")
+		s.count("watch.stale")
 		s.switchEndpoint()
 	case errors.Is(err, errRevisionWentBack):
 		s.handleRevisionWentBack()
 	default:
-		s.incrementCounter("store.failed")
+		s.count("store.failed")
 		s.setStoreState(err)
 	}
 }
@@ -267,10 +267,10 @@
 	return d/2 + rand.N(d/2+1)
 }
 
-func (s *Sync) incrementCounter(name string) {
+func (s *Sync) count(name string) {
 	metrics.GetOrRegisterCounter("config."+name, s.opts.Registry).Inc(1)
 }
 
-func (s *Sync) setGauge(name string, value int64) {
+func (s *Sync) gauge(name string, value int64) {
 	metrics.GetOrRegisterGauge("config."+name, s.opts.Registry).Update(value)
 }
