--- a/internal/capacity/callers.go
+++ b/internal/capacity/callers.go
@@ -16,26 +16,26 @@
 	"github.com/google/uuid"
 )
 
-// callers submit jobs one after the other, each as soon as its last one is
+// loadGenerator submit jobs one after the other, each as soon as its last one is
 // answered, for the time of a load.
-type callers struct {
-	client  *http.Client
-	opts    *Options
-	tasks   int // per job
-	body    []byte
-	jobs    atomic.Int64 // answered in full
-	failed  atomic.Int64 // answered with an error
-	mu      sync.Mutex
-	latency []time.Duration // of answered jobs
-	last    string          // last error answer, for the report
+type loadGenerator struct {
+	client       *http.Client
+	opts         *Options
+	tasks        int // per job
+	body         []byte
+	answeredJobs atomic.Int64 // answered in full
+	failedJobs   atomic.Int64 // answered with an error
+	mu           sync.Mutex
+	latencies    []time.Duration // of answered jobs
+	lastFailure  string          // last error answer, for the report
 }
 
-func newCallers(client *http.Client, o *Options, tasks int) *callers {
-	return &callers{client: client, opts: o, tasks: tasks, body: submission(o.Target.Service, tasks)}
+func newLoadGenerator(client *http.Client, o *Options, tasks int) *loadGenerator {
+	return &loadGenerator{client: client, opts: o, tasks: tasks, body: jobBody(o.Target.Service, tasks)}
 }
 
-// submission is a job of n small tasks.
-func submission(service string, n int) []byte {
+// jobBody is a job of n small tasks.
+func jobBody(service string, n int) []byte {
 	task := json.RawMessage(`{"kind":"capacity"}`)
 	body := struct {
 		Service    string            `json:"service"`
@@ -49,21 +49,21 @@
 	return b
 }
 
-func (c *callers) run(ctx context.Context) error {
+func (c *loadGenerator) run(ctx context.Context) error {
 	end := time.Now().Add(c.opts.Load)
 	errs := make(chan error, c.opts.Callers)
 	for range c.opts.Callers {
-		go func() { errs <- c.loop(ctx, end) }()
+		go func() { errs <- c.submitUntil(ctx, end) }()
 	}
-	var all error
+	var joined error
 	for range c.opts.Callers {
-		all = errors.Join(all, <-errs)
+		joined = errors.Join(joined, <-errs)
 	}
-	return all
+	return joined
 }
 
-func (c *callers) loop(ctx context.Context, end time.Time) error {
-	var latency []time.Duration
+func (c *loadGenerator) submitUntil(ctx context.Context, end time.Time) error {
+	var latencies []time.Duration
 	for time.Now().Before(end) {
 		start := time.Now()
 		ok, err := c.submit(ctx)
@@ -71,17 +71,17 @@
 			return err
 		}
 		if ok {
-			latency = append(latency, time.Since(start))
+			latencies = append(latencies, time.Since(start))
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.latency = append(c.latency, latency...)
+	c.latencies = append(c.latencies, latencies...)
 	return nil
 }
 
 // submit sends one job and tells whether it was answered in full.
-func (c *callers) submit(ctx context.Context) (bool, error) {
+func (c *loadGenerator) submit(ctx context.Context) (bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.opts.Target.Callers+"/v1/jobs", bytes.NewReader(c.body))
 	if err != nil {
 		return false, fmt.Errorf("submit: %w", err)
@@ -102,25 +102,25 @@
 		return false, fmt.Errorf("submit: %w", err)
 	}
 	if resp.StatusCode == http.StatusOK {
-		c.jobs.Add(1)
+		c.answeredJobs.Add(1)
 		return true, nil
 	}
-	c.fail(resp.Status, body)
+	c.recordFailure(resp.Status, body)
 	return false, nil
 }
 
-func (c *callers) fail(status string, body []byte) {
-	c.failed.Add(1)
+func (c *loadGenerator) recordFailure(status string, body []byte) {
+	c.failedJobs.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = status + " " + string(body[:min(len(body), maxFailures)])
+	c.lastFailure = status + " " + string(body[:min(len(body), maxFailureBytes)])
 }
 
 // percentile gives the p-th part (0.5, 0.99) of the answered jobs' latencies.
-func (c *callers) percentile(p float64) time.Duration {
-	if len(c.latency) == 0 {
+func (c *loadGenerator) percentile(p float64) time.Duration {
+	if len(c.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(c.latency)
-	return c.latency[int(p*float64(len(c.latency)-1))]
+	slices.Sort(c.latencies)
+	return c.latencies[int(p*float64(len(c.latencies)-1))]
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -50,7 +50,7 @@
 	// Progress gets a line per step; nil for none.
 	Progress io.Writer
 
-	settle time.Duration // after the guards' arrival, before a window
+	settleDelay time.Duration // after the guards' arrival, before a window
 }
 
 // Defaults and bounds. The idle window is one ping period: each end of each
@@ -62,9 +62,9 @@
 	DefaultCallers = 32
 	MaxGuards      = 1000 // a link takes two descriptors and about 50 KB here
 
-	settleTime  = time.Second
-	linkTimeout = 20 * time.Second
-	slots       = 8 // of each worker, as in the brief
+	defaultSettleDelay = time.Second
+	linkTimeout        = 20 * time.Second
+	slotsPerWorker     = 8 // of each worker, as in the brief
 )
 
 // DefaultGuards and DefaultJobs are measured when nothing else is asked for.
@@ -89,8 +89,8 @@
 	if o.Callers <= 0 {
 		o.Callers = DefaultCallers
 	}
-	if o.settle <= 0 {
-		o.settle = settleTime
+	if o.settleDelay <= 0 {
+		o.settleDelay = defaultSettleDelay
 	}
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -145,25 +145,25 @@
 // resident memory is that of its links; then loads while the fleet shrinks.
 func (m *measurement) run(ctx context.Context) (*Report, error) {
 	for _, n := range m.opts.Guards {
-		idle, err := m.idle(ctx, n)
+		idleCost, err := m.idleCost(ctx, n)
 		if err != nil {
 			return nil, err
 		}
-		m.report.Sizes = append(m.report.Sizes, Size{Guards: n, Idle: *idle})
+		m.report.Sizes = append(m.report.Sizes, Size{Guards: n, Idle: *idleCost})
 	}
 	for i := len(m.opts.Guards) - 1; i >= 0; i-- {
-		loads, err := m.loads(ctx, m.opts.Guards[i])
+		loadCosts, err := m.loadCosts(ctx, m.opts.Guards[i])
 		if err != nil {
 			return nil, err
 		}
-		m.report.Sizes[i].Loads = loads
+		m.report.Sizes[i].Loads = loadCosts
 	}
-	m.report.fit()
+	m.report.fitSlopes()
 	return m.report, nil
 }
 
-func (m *measurement) idle(ctx context.Context, n int) (*Idle, error) {
-	m.progress("%d guards: linking, then idle for %v", n, m.opts.Idle)
+func (m *measurement) idleCost(ctx context.Context, n int) (*Idle, error) {
+	m.printProgress("%d guards: linking, then idle for %v", n, m.opts.Idle)
 	if err := m.resize(ctx, n); err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := pause(ctx, m.opts.Idle); err != nil {
+	if err := sleep(ctx, m.opts.Idle); err != nil {
 		return nil, err
 	}
 	after, err := m.sample(ctx)
@@ -181,14 +181,14 @@
 	return newIdle(n, before, after), nil
 }
 
-func (m *measurement) loads(ctx context.Context, n int) ([]Load, error) {
+func (m *measurement) loadCosts(ctx context.Context, n int) ([]Load, error) {
 	if err := m.resize(ctx, n); err != nil {
 		return nil, err
 	}
 	var out []Load
 	for _, tasks := range m.opts.Jobs {
-		m.progress("%d guards: jobs of %d tasks for %v", n, tasks, m.opts.Load)
-		l, err := m.load(ctx, tasks)
+		m.printProgress("%d guards: jobs of %d tasks for %v", n, tasks, m.opts.Load)
+		l, err := m.loadCost(ctx, tasks)
 		if err != nil {
 			return nil, err
 		}
@@ -197,12 +197,12 @@
 	return out, nil
 }
 
-func (m *measurement) load(ctx context.Context, tasks int) (*Load, error) {
+func (m *measurement) loadCost(ctx context.Context, tasks int) (*Load, error) {
 	before, err := m.sample(ctx)
 	if err != nil {
 		return nil, err
 	}
-	c := newCallers(m.client, &m.opts, tasks)
+	c := newLoadGenerator(m.client, &m.opts, tasks)
 	if err := c.run(ctx); err != nil {
 		return nil, err
 	}
@@ -220,10 +220,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
 	defer cancel()
-	if err := m.entry.awaitGuards(ctx, n); err != nil {
+	if err := m.entry.waitForGuards(ctx, n); err != nil {
 		return err
 	}
-	return pause(ctx, m.opts.settle)
+	return sleep(ctx, m.opts.settleDelay)
 }
 
 // sample reads both sides at about one moment.
@@ -235,11 +235,11 @@
 	return &sample{at: time.Now(), entry: *f, fleet: m.fleet.traffic()}, nil
 }
 
-func (m *measurement) progress(format string, args ...any) {
+func (m *measurement) printProgress(format string, args ...any) {
 	_, _ = fmt.Fprintf(m.opts.Progress, format+"\n", args...) // only a convenience
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -20,25 +20,25 @@
 
 func TestLeastSquares(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(leastSquares([]float64{10, 50, 200}, []float64{25, 105, 405}), qt.Equals, Line{At0: 5, Slope: 2})
-	c.Assert(leastSquares([]float64{10}, []float64{25}), qt.Equals, Line{At0: 25})
+	c.Assert(leastSquares([]float64{10, 50, 200}, []float64{25, 105, 405}), qt.Equals, Line{Intercept: 5, Slope: 2})
+	c.Assert(leastSquares([]float64{10}, []float64{25}), qt.Equals, Line{Intercept: 25})
 }
 
 // The entry is of a version that lacks a figure. A report that took it for zero
 // would claim that guards cost nothing.
-func TestMissingFigureIsAnError(t *testing.T) {
+func TestMissingMetricReturnsError(t *testing.T) {
 	c := qt.New(t)
 	var b bytes.Buffer
 	c.Assert(telemetry.New().WriteText(&b), qt.IsNil)
-	f, err := parseFigures(strings.NewReader(b.String()))
+	f, err := parseMetrics(strings.NewReader(b.String()))
 	c.Assert(err, qt.IsNil)
 	c.Assert(f.Resident > 0, qt.IsTrue)
 	cut := strings.ReplaceAll(b.String(), "process_cpu_seconds_total ", "other ")
-	_, err = parseFigures(strings.NewReader(cut))
+	_, err = parseMetrics(strings.NewReader(cut))
 	c.Assert(err, qt.ErrorMatches, ".*no process_cpu_seconds_total")
 }
 
-func TestMeterCountsBothDirectionsAndKeepsClosed(t *testing.T) {
+func TestMeterCountsBothDirectionsAndClosedConns(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -63,7 +63,7 @@
 	c.Assert(m.segments() >= before, qt.IsTrue)
 }
 
-const fakeID = "entry-0"
+const fakeIncarnation = "entry-0"
 
 // fakeEntry welcomes guards and hands each job's one task to one of them.
 type fakeEntry struct {
@@ -72,13 +72,13 @@
 	links   map[wire.Link]chan *wire.Result
 }
 
-func (e *fakeEntry) guard(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) serveGuard(w http.ResponseWriter, r *http.Request) {
 	l, err := wire.Accept(w, r, nil)
 	if err != nil {
 		return
 	}
 	defer l.Close("done")
-	if f, err := l.Recv(r.Context()); err != nil || f.Hello == nil || l.Send(&wire.Frame{Welcome: &wire.Welcome{Version: wire.Version, Incarnation: fakeID}}) != nil {
+	if f, err := l.Recv(r.Context()); err != nil || f.Hello == nil || l.Send(&wire.Frame{Welcome: &wire.Welcome{Version: wire.Version, Incarnation: fakeIncarnation}}) != nil {
 		return
 	}
 	results := make(chan *wire.Result, 1)
@@ -101,11 +101,11 @@
 	e.metrics.Set(telemetry.Guards, int64(len(e.links)))
 }
 
-func (e *fakeEntry) job(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) serveJob(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for l, results := range e.links {
-		_ = l.Send(&wire.Frame{Start: &wire.Start{Ref: wire.Ref{Key: r.Header.Get("Idempotency-Key")}, Of: 1, Home: fakeID, LeftMs: 1000}})
+		_ = l.Send(&wire.Frame{Start: &wire.Start{Ref: wire.Ref{Key: r.Header.Get("Idempotency-Key")}, Of: 1, Home: fakeIncarnation, LeftMs: 1000}})
 		if (<-results).Status != http.StatusOK {
 			w.WriteHeader(http.StatusBadGateway)
 		}
@@ -117,15 +117,15 @@
 	c := qt.New(t)
 	e := &fakeEntry{metrics: telemetry.New(), links: make(map[wire.Link]chan *wire.Result)}
 	mux := http.NewServeMux()
-	mux.HandleFunc(wire.GuardPath, e.guard)
-	mux.HandleFunc("POST /v1/jobs", e.job)
+	mux.HandleFunc(wire.GuardPath, e.serveGuard)
+	mux.HandleFunc("POST /v1/jobs", e.serveJob)
 	mux.Handle("GET /metrics", e.metrics)
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	var out bytes.Buffer
 	o := Options{
 		Target: Target{Inner: server.Listener.Addr().String(), Callers: server.URL, Admin: server.URL, Member: "m", Service: "s", Shared: true},
-		Guards: []int{5, 2}, Jobs: []int{1}, Idle: 10 * time.Millisecond, Load: 50 * time.Millisecond, Callers: 2, JSON: true, settle: time.Millisecond,
+		Guards: []int{5, 2}, Jobs: []int{1}, Idle: 10 * time.Millisecond, Load: 50 * time.Millisecond, Callers: 2, JSON: true, settleDelay: time.Millisecond,
 	}
 	c.Assert(Run(context.Background(), o, &out), qt.IsNil)
 	var r Report
@@ -136,15 +136,15 @@
 		l := r.Sizes[i].Loads[0]
 		c.Check(l.Tasks > 0 && l.FailedJobs == 0, qt.IsTrue)
 		c.Check(l.FramesPerTask, qt.Equals, 2.0)
-		c.Check(l.BytesPerTask > 50 && l.WirePerTask > l.BytesPerTask, qt.IsTrue)
-		c.Check(l.CPUPerTask > 0, qt.IsTrue)
+		c.Check(l.BytesPerTask > 50 && l.WireBytesPerTask > l.BytesPerTask, qt.IsTrue)
+		c.Check(l.CPUMicrosPerTask > 0, qt.IsTrue)
 	}
 	var table bytes.Buffer
 	c.Assert(r.writeTable(&table), qt.IsNil)
 	c.Assert(strings.Contains(table.String(), "5 guards"), qt.IsTrue)
 }
 
-func TestTooManyGuardsAreRefused(t *testing.T) {
+func TestTooManyGuardsReturnsError(t *testing.T) {
 	c := qt.New(t)
 	err := Run(context.Background(), Options{Guards: []int{MaxGuards + 1}}, new(bytes.Buffer))
 	c.Assert(err, qt.ErrorMatches, "capacity: want 1 to 1000 guards.*")
--- a/internal/capacity/conn.go
+++ b/internal/capacity/conn.go
@@ -22,8 +22,8 @@
 // wireBytes adds the headers below the socket.
 func (t traffic) wireBytes() int64 { return t.Bytes + segmentOverhead*t.Segments }
 
-func (t traffic) sub(o traffic) traffic {
-	return traffic{t.Frames - o.Frames, t.Bytes - o.Bytes, t.Segments - o.Segments}
+func (t traffic) sub(earlier traffic) traffic {
+	return traffic{t.Frames - earlier.Frames, t.Bytes - earlier.Bytes, t.Segments - earlier.Segments}
 }
 
 // meteredConn counts what passes a socket.
@@ -53,10 +53,10 @@
 
 // meter counts the traffic of many connections.
 type meter struct {
-	bytes  atomic.Int64
-	mu     sync.Mutex
-	open   map[*meteredConn]struct{}
-	closed int64 // segments of connections that have ended
+	bytes          atomic.Int64
+	mu             sync.Mutex
+	open           map[*meteredConn]struct{}
+	closedSegments int64 // segments of connections that have ended
 }
 
 func newMeter() *meter { return &meter{open: make(map[*meteredConn]struct{})} }
@@ -74,14 +74,14 @@
 	defer m.mu.Unlock()
 	if _, ok := m.open[c]; ok {
 		delete(m.open, c)
-		m.closed += segments(c.Conn)
+		m.closedSegments += segments(c.Conn)
 	}
 }
 
 func (m *meter) segments() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.closed
+	n := m.closedSegments
 	for c := range m.open {
 		n += segments(c.Conn)
 	}
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -12,8 +12,8 @@
 	"wigeontray/internal/wire"
 )
 
-// dialers bounds how many guards link at the same time.
-const dialers = 16
+// maxConcurrentDials bounds how many guards link at the same time.
+const maxConcurrentDials = 16
 
 // fleet is the set of lightweight guards.
 type fleet struct {
@@ -41,15 +41,15 @@
 // resize links or ends guards until there are n.
 func (f *fleet) resize(ctx context.Context, n int) error {
 	if n < len(f.guards) {
-		end(f.guards[n:])
+		closeGuards(f.guards[n:])
 		f.guards = f.guards[:n]
 		return nil
 	}
 	return f.grow(ctx, n)
 }
 
-// end closes guards' links, all at once: each close waits for its peer.
-func end(guards []*guard) {
+// closeGuards closes guards' links, all at once: each close waits for its peer.
+func closeGuards(guards []*guard) {
 	for _, g := range guards {
 		g.close()
 	}
@@ -60,22 +60,22 @@
 
 func (f *fleet) grow(ctx context.Context, n int) error {
 	first := len(f.guards)
-	fresh := make([]*guard, max(n-first, 0))
-	errs := make(chan error, len(fresh))
-	limit := make(chan struct{}, dialers)
+	added := make([]*guard, max(n-first, 0))
+	errs := make(chan error, len(added))
+	semaphore := make(chan struct{}, maxConcurrentDials)
 	var wg sync.WaitGroup
-	for i := range fresh {
-		limit <- struct{}{}
+	for i := range added {
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-limit }()
-			g, err := f.link(ctx, first+i)
-			fresh[i] = g
+			defer func() { <-semaphore }()
+			g, err := f.connectGuard(ctx, first+i)
+			added[i] = g
 			errs <- err
 		})
 	}
 	wg.Wait()
 	close(errs)
-	for _, g := range fresh {
+	for _, g := range added {
 		if g != nil {
 			f.guards = append(f.guards, g)
 		}
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// link dials the entry as guard number i and starts its goroutine.
-func (f *fleet) link(ctx context.Context, i int) (*guard, error) {
+// connectGuard dials the entry as guard number i and starts its goroutine.
+func (f *fleet) connectGuard(ctx context.Context, i int) (*guard, error) {
 	scheme := "ws://"
 	if f.target.InnerTLS != nil {
 		scheme = "wss://"
@@ -99,7 +99,7 @@
 		return nil, fmt.Errorf("guard %d: %w", i, err)
 	}
 	g := newGuard(l)
-	if err := g.greet(ctx, f.hello(i)); err != nil {
+	if err := g.handshake(ctx, f.hello(i)); err != nil {
 		l.Close("no welcome")
 		return nil, fmt.Errorf("guard %d: %w", i, err)
 	}
@@ -110,8 +110,8 @@
 // Shape of the fleet in the brief and letter 1: three workers to a rack, six
 // failure domains.
 const (
-	perRack = 3
-	domains = 6
+	workersPerRack = 3
+	domainCount    = 6
 )
 
 func (f *fleet) hello(i int) *wire.Hello {
@@ -122,9 +122,9 @@
 		Incarnation: identity.NewIncarnation(worker),
 		Service:     f.target.Member + "/" + f.target.Service,
 		Worker:      worker,
-		Rack:        fmt.Sprintf("rack-%d", i/perRack),
-		Domain:      fmt.Sprintf("domain-%d", i%domains),
-		Slots:       slots,
+		Rack:        fmt.Sprintf("rack-%d", i/workersPerRack),
+		Domain:      fmt.Sprintf("domain-%d", i%domainCount),
+		Slots:       slotsPerWorker,
 		Software:    telemetry.Version,
 		Key:         f.target.FleetKey,
 	}
@@ -139,6 +139,6 @@
 }
 
 func (f *fleet) close() {
-	end(f.guards)
+	closeGuards(f.guards)
 	f.guards = nil
 }
--- a/internal/capacity/guard.go
+++ b/internal/capacity/guard.go
@@ -14,14 +14,14 @@
 	"wigeontray/internal/wire"
 )
 
-// answer is the result body of every task.
-var answer = []byte(`{"ok":true}`)
+// resultBody is the result body of every task.
+var resultBody = []byte(`{"ok":true}`)
 
 // Memory of a lightweight guard. A real one remembers far more; here it would
 // only take memory from the measurement.
 const (
-	rememberedStarts = 1000
-	heldBytes        = 16 << 10
+	maxRememberedStarts = 1000
+	maxHeldBytes        = 16 << 10
 )
 
 // guard is one lightweight guard: a real ledger whose upstream answers in no
@@ -39,13 +39,13 @@
 func newGuard(link wire.Link) *guard {
 	now := time.Now()
 	g := &guard{link: link, done: make(chan struct{})}
-	g.ledger = ledger.New(now, ledger.Options{Slots: slots, Remembered: rememberedStarts, HeldBytes: heldBytes})
+	g.ledger = ledger.New(now, ledger.Options{Slots: slotsPerWorker, Remembered: maxRememberedStarts, HeldBytes: maxHeldBytes})
 	g.ledger.Health(now, true)
 	return g
 }
 
-// greet sends the Hello and waits for the Welcome.
-func (g *guard) greet(ctx context.Context, h *wire.Hello) error {
+// handshake sends the Hello and waits for the Welcome.
+func (g *guard) handshake(ctx context.Context, h *wire.Hello) error {
 	h.Load = g.ledger.Load()
 	if err := g.link.Send(&wire.Frame{Hello: h}); err != nil {
 		return fmt.Errorf("send hello: %w", err)
@@ -64,18 +64,18 @@
 // serve answers the entry until the link ends.
 func (g *guard) serve() {
 	defer close(g.done)
-	g.step(func(now time.Time) { g.ledger.LinkUp(now, g.entry) })
+	g.applyEvent(func(now time.Time) { g.ledger.LinkUp(now, g.entry) })
 	for {
 		f, err := g.link.Recv(context.Background())
 		if err != nil {
 			return
 		}
-		g.step(func(now time.Time) { g.take(now, f) })
+		g.applyEvent(func(now time.Time) { g.handleFrame(now, f) })
 	}
 }
 
-// take feeds one frame to the ledger.
-func (g *guard) take(now time.Time, f *wire.Frame) {
+// handleFrame feeds one frame to the ledger.
+func (g *guard) handleFrame(now time.Time, f *wire.Frame) {
 	switch {
 	case f.Start != nil:
 		g.ledger.Start(now, g.entry, f.Start)
@@ -92,34 +92,34 @@
 	}
 }
 
-// step feeds one event to the ledger and carries out its actions. A task that
+// applyEvent feeds one event to the ledger and carries out its actions. A task that
 // is to run has its result at once, which makes further actions.
-func (g *guard) step(event func(now time.Time)) {
+func (g *guard) applyEvent(event func(now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	event(now)
 	for actions := g.ledger.Actions(); len(actions) > 0; actions = g.ledger.Actions() {
 		for _, a := range actions {
-			g.act(now, a)
+			g.applyAction(now, a)
 		}
 	}
-	g.schedule(now)
+	g.scheduleTick(now)
 }
 
-func (g *guard) act(now time.Time, a ledger.Action) {
+func (g *guard) applyAction(now time.Time, a ledger.Action) {
 	if a.Send != nil {
 		g.send(a.Send.Frame)
 		return
 	}
-	g.ledger.Finished(now, wire.Result{Ref: a.Run.Ref, Ran: errkind.RanYes, Status: http.StatusOK, Body: answer})
+	g.ledger.Finished(now, wire.Result{Ref: a.Run.Ref, Ran: errkind.RanYes, Status: http.StatusOK, Body: resultBody})
 }
 
 // send queues a frame. A failed one has ended the link, which its reader sees.
 func (g *guard) send(f *wire.Frame) { _ = g.link.Send(f) }
 
-// schedule arranges for the ledger's next tick.
-func (g *guard) schedule(now time.Time) {
+// scheduleTick arranges for the ledger's next tick.
+func (g *guard) scheduleTick(now time.Time) {
 	next := g.ledger.NextTick()
 	switch {
 	case next.IsZero():
@@ -130,11 +130,11 @@
 	}
 }
 
-func (g *guard) tick() { g.step(g.ledger.Tick) }
+func (g *guard) tick() { g.applyEvent(g.ledger.Tick) }
 
 // close takes leave, so that the entry counts a planned stop and no loss. done
 // is closed when the link has ended.
 func (g *guard) close() {
-	g.step(func(now time.Time) { g.ledger.Drain(now, "measurement ends") })
+	g.applyEvent(func(now time.Time) { g.ledger.Drain(now, "measurement ends") })
 	g.link.Close("measurement ends")
 }
--- a/internal/capacity/line.go
+++ b/internal/capacity/line.go
@@ -2,11 +2,11 @@
 
 // Line is y = At0 + Slope*x.
 type Line struct {
-	At0   float64 `json:"at_0"`
-	Slope float64 `json:"per_guard"`
+	Intercept float64 `json:"at_0"`
+	Slope     float64 `json:"per_guard"`
 }
 
-func (l Line) at(x float64) float64 { return l.At0 + l.Slope*x }
+func (l Line) valueAt(x float64) float64 { return l.Intercept + l.Slope*x }
 
 // leastSquares fits a line through the points. With a single x the line is
 // flat.
@@ -21,8 +21,8 @@
 	}
 	d := n*sxx - sx*sx
 	if d == 0 {
-		return Line{At0: sy / n}
+		return Line{Intercept: sy / n}
 	}
 	slope := (n*sxy - sx*sy) / d
-	return Line{At0: (sy - slope*sx) / n, Slope: slope}
+	return Line{Intercept: (sy - slope*sx) / n, Slope: slope}
 }
--- a/internal/capacity/probe.go
+++ b/internal/capacity/probe.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// figures are what the entry tells of itself.
-type figures struct {
+// entryMetrics are what the entry tells of itself.
+type entryMetrics struct {
 	CPU      float64 // seconds of processor time
 	Resident float64 // bytes
 	Heap     float64 // bytes reachable at the last collection
 	Stacks   float64 // bytes of goroutines' stacks
 	Guards   float64
-	Held     float64 // job records
+	HeldJobs float64 // job records
 }
 
 // sample is both sides' state at one moment.
 type sample struct {
 	at    time.Time
-	entry figures
+	entry entryMetrics
 	fleet traffic
 }
 
@@ -34,7 +34,7 @@
 	client *http.Client
 }
 
-func (p *entryProbe) read(ctx context.Context) (*figures, error) {
+func (p *entryProbe) read(ctx context.Context) (*entryMetrics, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
 		return nil, fmt.Errorf("read figures: %w", err)
@@ -47,23 +47,23 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("read figures: %s", resp.Status)
 	}
-	return parseFigures(resp.Body)
+	return parseMetrics(resp.Body)
 }
 
-func parseFigures(r io.Reader) (*figures, error) {
-	f := new(figures)
-	want := map[string]*float64{
+func parseMetrics(r io.Reader) (*entryMetrics, error) {
+	f := new(entryMetrics)
+	destinations := map[string]*float64{
 		"process_cpu_seconds_total":     &f.CPU,
 		"process_resident_memory_bytes": &f.Resident,
 		"go_heap_live_bytes":            &f.Heap,
 		"go_stack_bytes":                &f.Stacks,
 		"wigeontray_guards":             &f.Guards,
-		"wigeontray_jobs_held":          &f.Held,
+		"wigeontray_jobs_held":          &f.HeldJobs,
 	}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), " ")
-		to, ok := want[name]
+		destination, ok := destinations[name]
 		if !ok {
 			continue
 		}
@@ -71,21 +71,21 @@
 		if err != nil {
 			return nil, fmt.Errorf("read figures: %s: %w", name, err)
 		}
-		*to = v
-		delete(want, name)
+		*destination = v
+		delete(destinations, name)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("read figures: %w", err)
 	}
-	for name := range want {
+	for name := range destinations {
 		return nil, fmt.Errorf("read figures: no %s", name)
 	}
 	return f, nil
 }
 
-// awaitGuards polls until the entry counts n guards.
-func (p *entryProbe) awaitGuards(ctx context.Context, n int) error {
-	const every = 50 * time.Millisecond
+// waitForGuards polls until the entry counts n guards.
+func (p *entryProbe) waitForGuards(ctx context.Context, n int) error {
+	const pollInterval = 50 * time.Millisecond
 	for {
 		f, err := p.read(ctx)
 		if err != nil {
@@ -94,7 +94,7 @@
 		if int(f.Guards) == n {
 			return nil
 		}
-		if err := pause(ctx, every); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return fmt.Errorf("the entry counts %v guards, want %d: %w", f.Guards, n, err)
 		}
 	}
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -32,43 +32,43 @@
 
 // Idle is the cost of guards that have nothing to do.
 type Idle struct {
-	Seconds          float64 `json:"seconds"`
-	FramesPerGuard   float64 `json:"frames_per_guard_second"`
-	BytesPerGuard    float64 `json:"bytes_per_guard_second"`      // on the sockets
-	WirePerGuard     float64 `json:"wire_bytes_per_guard_second"` // with TCP and IP headers
-	SegmentsPerGuard float64 `json:"segments_per_guard_second"`
-	EntryCPU         float64 `json:"entry_cpu"` // share of one core
-	EntryResident    float64 `json:"entry_resident_bytes"`
-	EntryHeap        float64 `json:"entry_heap_live_bytes"`
-	EntryStacks      float64 `json:"entry_stack_bytes"`
+	Seconds           float64 `json:"seconds"`
+	FramesPerGuard    float64 `json:"frames_per_guard_second"`
+	BytesPerGuard     float64 `json:"bytes_per_guard_second"`      // on the sockets
+	WireBytesPerGuard float64 `json:"wire_bytes_per_guard_second"` // with TCP and IP headers
+	SegmentsPerGuard  float64 `json:"segments_per_guard_second"`
+	EntryCPU          float64 `json:"entry_cpu"` // share of one core
+	EntryResident     float64 `json:"entry_resident_bytes"`
+	EntryHeap         float64 `json:"entry_heap_live_bytes"`
+	EntryStacks       float64 `json:"entry_stack_bytes"`
 }
 
 // Load is the cost of tasks.
 type Load struct {
-	TasksPerJob     int     `json:"tasks_per_job"`
-	Seconds         float64 `json:"seconds"`
-	Tasks           int64   `json:"tasks"`
-	FailedJobs      int64   `json:"failed_jobs"`
-	LastFailure     string  `json:"last_failure,omitempty"`
-	TasksPerSecond  float64 `json:"tasks_per_second"`
-	CPUPerTask      float64 `json:"entry_cpu_us_per_task"`
-	FramesPerTask   float64 `json:"frames_per_task"`
-	BytesPerTask    float64 `json:"bytes_per_task"`
-	WirePerTask     float64 `json:"wire_bytes_per_task"`
-	SegmentsPerTask float64 `json:"segments_per_task"`
-	JobP50Ms        float64 `json:"job_p50_ms"`
-	JobP99Ms        float64 `json:"job_p99_ms"`
-	EntryResident   float64 `json:"entry_resident_bytes"`
+	TasksPerJob      int     `json:"tasks_per_job"`
+	Seconds          float64 `json:"seconds"`
+	Tasks            int64   `json:"tasks"`
+	FailedJobs       int64   `json:"failed_jobs"`
+	LastFailure      string  `json:"last_failure,omitempty"`
+	TasksPerSecond   float64 `json:"tasks_per_second"`
+	CPUMicrosPerTask float64 `json:"entry_cpu_us_per_task"`
+	FramesPerTask    float64 `json:"frames_per_task"`
+	BytesPerTask     float64 `json:"bytes_per_task"`
+	WireBytesPerTask float64 `json:"wire_bytes_per_task"`
+	SegmentsPerTask  float64 `json:"segments_per_task"`
+	JobP50Ms         float64 `json:"job_p50_ms"`
+	JobP99Ms         float64 `json:"job_p99_ms"`
+	EntryResident    float64 `json:"entry_resident_bytes"`
 }
 
 // Slopes are least-squares lines over the number of guards.
 type Slopes struct {
-	IdleCPU      Line   `json:"idle_cpu"`             // share of a core
-	IdleWire     Line   `json:"idle_wire_bytes"`      // at the entry, per second
-	IdleResident Line   `json:"idle_resident_bytes"`  // at the entry
-	IdleHeap     Line   `json:"idle_heap_live_bytes"` // at the entry
-	IdleStacks   Line   `json:"idle_stack_bytes"`     // at the entry
-	CPUPerTask   []Line `json:"cpu_us_per_task"`      // one per load
+	IdleCPU          Line   `json:"idle_cpu"`             // share of a core
+	IdleWireBytes    Line   `json:"idle_wire_bytes"`      // at the entry, per second
+	IdleResident     Line   `json:"idle_resident_bytes"`  // at the entry
+	IdleHeap         Line   `json:"idle_heap_live_bytes"` // at the entry
+	IdleStacks       Line   `json:"idle_stack_bytes"`     // at the entry
+	CPUMicrosPerTask []Line `json:"cpu_us_per_task"`      // one per load
 }
 
 func newReport(o *Options) *Report {
@@ -78,52 +78,52 @@
 func newIdle(guards int, before, after *sample) *Idle {
 	seconds := after.at.Sub(before.at).Seconds()
 	t := after.fleet.sub(before.fleet)
-	each := func(n int64) float64 { return float64(n) / seconds / float64(guards) }
+	perGuardSecond := func(n int64) float64 { return float64(n) / seconds / float64(guards) }
 	return &Idle{
-		Seconds:          seconds,
-		FramesPerGuard:   each(t.Frames),
-		BytesPerGuard:    each(t.Bytes),
-		WirePerGuard:     each(t.wireBytes()),
-		SegmentsPerGuard: each(t.Segments),
-		EntryCPU:         (after.entry.CPU - before.entry.CPU) / seconds,
-		EntryResident:    after.entry.Resident,
-		EntryHeap:        after.entry.Heap,
-		EntryStacks:      after.entry.Stacks,
+		Seconds:           seconds,
+		FramesPerGuard:    perGuardSecond(t.Frames),
+		BytesPerGuard:     perGuardSecond(t.Bytes),
+		WireBytesPerGuard: perGuardSecond(t.wireBytes()),
+		SegmentsPerGuard:  perGuardSecond(t.Segments),
+		EntryCPU:          (after.entry.CPU - before.entry.CPU) / seconds,
+		EntryResident:     after.entry.Resident,
+		EntryHeap:         after.entry.Heap,
+		EntryStacks:       after.entry.Stacks,
 	}
 }
 
-func newLoad(c *callers, before, after *sample) *Load {
+func newLoad(c *loadGenerator, before, after *sample) *Load {
 	seconds := after.at.Sub(before.at).Seconds()
-	tasks := c.jobs.Load() * int64(c.tasks)
+	tasks := c.answeredJobs.Load() * int64(c.tasks)
 	t := after.fleet.sub(before.fleet)
-	each := func(n float64) float64 {
+	perTask := func(n float64) float64 {
 		if tasks == 0 {
 			return 0
 		}
 		return n / float64(tasks)
 	}
 	return &Load{
-		TasksPerJob:     c.tasks,
-		Seconds:         seconds,
-		Tasks:           tasks,
-		FailedJobs:      c.failed.Load(),
-		LastFailure:     c.last,
-		TasksPerSecond:  float64(tasks) / seconds,
-		CPUPerTask:      each((after.entry.CPU - before.entry.CPU) * 1e6),
-		FramesPerTask:   each(float64(t.Frames)),
-		BytesPerTask:    each(float64(t.Bytes)),
-		WirePerTask:     each(float64(t.wireBytes())),
-		SegmentsPerTask: each(float64(t.Segments)),
-		JobP50Ms:        milliseconds(c.percentile(0.5)),
-		JobP99Ms:        milliseconds(c.percentile(0.99)),
-		EntryResident:   after.entry.Resident,
+		TasksPerJob:      c.tasks,
+		Seconds:          seconds,
+		Tasks:            tasks,
+		FailedJobs:       c.failedJobs.Load(),
+		LastFailure:      c.lastFailure,
+		TasksPerSecond:   float64(tasks) / seconds,
+		CPUMicrosPerTask: perTask((after.entry.CPU - before.entry.CPU) * 1e6),
+		FramesPerTask:    perTask(float64(t.Frames)),
+		BytesPerTask:     perTask(float64(t.Bytes)),
+		WireBytesPerTask: perTask(float64(t.wireBytes())),
+		SegmentsPerTask:  perTask(float64(t.Segments)),
+		JobP50Ms:         milliseconds(c.percentile(0.5)),
+		JobP99Ms:         milliseconds(c.percentile(0.99)),
+		EntryResident:    after.entry.Resident,
 	}
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// fit computes the slopes.
-func (r *Report) fit() {
+// fitSlopes computes the slopes.
+func (r *Report) fitSlopes() {
 	line := func(y func(s *Size) float64) Line {
 		var xs, ys []float64
 		for i := range r.Sizes {
@@ -133,15 +133,15 @@
 		return leastSquares(xs, ys)
 	}
 	r.Slopes = Slopes{
-		IdleCPU:      line(func(s *Size) float64 { return s.Idle.EntryCPU }),
-		IdleWire:     line(func(s *Size) float64 { return s.Idle.WirePerGuard * float64(s.Guards) }),
-		IdleResident: line(func(s *Size) float64 { return s.Idle.EntryResident }),
-		IdleHeap:     line(func(s *Size) float64 { return s.Idle.EntryHeap }),
-		IdleStacks:   line(func(s *Size) float64 { return s.Idle.EntryStacks }),
+		IdleCPU:       line(func(s *Size) float64 { return s.Idle.EntryCPU }),
+		IdleWireBytes: line(func(s *Size) float64 { return s.Idle.WireBytesPerGuard * float64(s.Guards) }),
+		IdleResident:  line(func(s *Size) float64 { return s.Idle.EntryResident }),
+		IdleHeap:      line(func(s *Size) float64 { return s.Idle.EntryHeap }),
+		IdleStacks:    line(func(s *Size) float64 { return s.Idle.EntryStacks }),
 	}
 	for i := range r.Sizes[0].Loads {
-		l := line(func(s *Size) float64 { return s.Loads[i].CPUPerTask })
-		r.Slopes.CPUPerTask = append(r.Slopes.CPUPerTask, l)
+		l := line(func(s *Size) float64 { return s.Loads[i].CPUMicrosPerTask })
+		r.Slopes.CPUMicrosPerTask = append(r.Slopes.CPUMicrosPerTask, l)
 	}
 }
 
@@ -156,24 +156,24 @@
 
 func (r *Report) writeTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	p := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\n", args...) } // Flush reports
-	p("wigeontray %s, %d cores, entry in this process: %v\n", r.Software, r.Cores, r.Shared)
-	p("idle, per guard\tframes/s\tsegments/s\tsocket B/s\twire B/s\tentry core %%\tentry RSS MB\theap MB\tstacks MB\t")
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\n", args...) } // Flush reports
+	printf("wigeontray %s, %d cores, entry in this process: %v\n", r.Software, r.Cores, r.Shared)
+	printf("idle, per guard\tframes/s\tsegments/s\tsocket B/s\twire B/s\tentry core %%\tentry RSS MB\theap MB\tstacks MB\t")
 	for _, s := range r.Sizes {
 		i := s.Idle
-		p("%d guards\t%.3f\t%.3f\t%.2f\t%.2f\t%.3f\t%.1f\t%.1f\t%.1f\t", s.Guards, i.FramesPerGuard, i.SegmentsPerGuard,
-			i.BytesPerGuard, i.WirePerGuard, 100*i.EntryCPU, i.EntryResident/megabyte, i.EntryHeap/megabyte, i.EntryStacks/megabyte)
+		printf("%d guards\t%.3f\t%.3f\t%.2f\t%.2f\t%.3f\t%.1f\t%.1f\t%.1f\t", s.Guards, i.FramesPerGuard, i.SegmentsPerGuard,
+			i.BytesPerGuard, i.WireBytesPerGuard, 100*i.EntryCPU, i.EntryResident/megabyte, i.EntryHeap/megabyte, i.EntryStacks/megabyte)
 	}
-	p("\t\t\t\t\t\t\t\t\t")
-	p("load\ttasks/job\ttasks/s\tfailed jobs\tentry us/task\tframes/task\tsocket B/task\twire B/task\tjob p50 ms\tjob p99 ms\t")
+	printf("\t\t\t\t\t\t\t\t\t")
+	printf("load\ttasks/job\ttasks/s\tfailed jobs\tentry us/task\tframes/task\tsocket B/task\twire B/task\tjob p50 ms\tjob p99 ms\t")
 	for _, s := range r.Sizes {
 		for _, l := range s.Loads {
-			p("%d guards\t%d\t%.0f\t%d\t%.1f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t", s.Guards, l.TasksPerJob, l.TasksPerSecond,
-				l.FailedJobs, l.CPUPerTask, l.FramesPerTask, l.BytesPerTask, l.WirePerTask, l.JobP50Ms, l.JobP99Ms)
+			printf("%d guards\t%d\t%.0f\t%d\t%.1f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t", s.Guards, l.TasksPerJob, l.TasksPerSecond,
+				l.FailedJobs, l.CPUMicrosPerTask, l.FramesPerTask, l.BytesPerTask, l.WireBytesPerTask, l.JobP50Ms, l.JobP99Ms)
 		}
 	}
-	r.writeFailures(p)
-	r.writeSlopes(p)
+	r.writeFailures(printf)
+	r.writeSlopes(printf)
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("write report: %w", err)
 	}
@@ -182,34 +182,34 @@
 
 // writeFailures shows what failed jobs were answered, as their tasks are in no
 // figure above.
-func (r *Report) writeFailures(p func(format string, args ...any)) {
+func (r *Report) writeFailures(printf func(format string, args ...any)) {
 	for _, s := range r.Sizes {
 		for _, l := range s.Loads {
 			if l.FailedJobs > 0 {
-				p("\n%d guards, %d tasks a job, last failure: %s", s.Guards, l.TasksPerJob, l.LastFailure)
+				printf("\n%d guards, %d tasks a job, last failure: %s", s.Guards, l.TasksPerJob, l.LastFailure)
 			}
 		}
 	}
 }
 
 const (
-	megabyte    = 1e6
-	maxFailures = 300 // bytes of an answer that are shown
+	megabyte        = 1e6
+	maxFailureBytes = 300 // bytes of an answer that are shown
 )
 
-func (r *Report) writeSlopes(p func(format string, args ...any)) {
+func (r *Report) writeSlopes(printf func(format string, args ...any)) {
 	s := &r.Slopes
-	p("\t\t\t\t")
-	p("line over guards\tat 0\tper guard\tat 820\t")
+	printf("\t\t\t\t")
+	printf("line over guards\tat 0\tper guard\tat 820\t")
 	row := func(name, unit string, scale float64, l Line) {
-		p("%s\t%.3f\t%.6f\t%.3f\t%s", name, scale*l.At0, scale*l.Slope, scale*l.at(820), unit)
+		printf("%s\t%.3f\t%.6f\t%.3f\t%s", name, scale*l.Intercept, scale*l.Slope, scale*l.valueAt(820), unit)
 	}
 	row("idle processor time", "% of a core", 100, s.IdleCPU)
-	row("idle traffic", "KB/s", 1e-3, s.IdleWire)
+	row("idle traffic", "KB/s", 1e-3, s.IdleWireBytes)
 	row("idle resident memory", "MB", 1/megabyte, s.IdleResident)
 	row("idle live heap", "MB", 1/megabyte, s.IdleHeap)
 	row("idle stacks", "MB", 1/megabyte, s.IdleStacks)
-	for i, l := range s.CPUPerTask {
+	for i, l := range s.CPUMicrosPerTask {
 		row(fmt.Sprintf("processor time, %d tasks a job", r.Sizes[0].Loads[i].TasksPerJob), "us/task", 1, l)
 	}
 }
