--- a/internal/explain/drains.go
+++ b/internal/explain/drains.go
@@ -10,62 +10,62 @@
 
 // Texts of the lines that entries write about the drain of a failure domain.
 const (
-	textDrained   = "failure domain is drained"
-	textTakenBack = "failure domain is taken back"
-	fieldDomain   = "domain"
+	messageDrained    = "failure domain is drained"
+	messageReinstated = "failure domain is taken back"
+	fieldDomain       = "domain"
 )
 
-// aboutDrain tells whether a line may be about a drain.
-func aboutDrain(line []byte) bool {
-	return bytes.Contains(line, []byte(textDrained)) || bytes.Contains(line, []byte(textTakenBack))
+// mentionsDrain tells whether a line may be about a drain.
+func mentionsDrain(line []byte) bool {
+	return bytes.Contains(line, []byte(messageDrained)) || bytes.Contains(line, []byte(messageReinstated))
 }
 
 // splitDrains parts the lines about drains from the others.
-func splitDrains(lines []Line) (story, drains []Line) {
+func splitDrains(lines []Line) (jobLines, drains []Line) {
 	for _, l := range lines {
-		if l.Text == textDrained || l.Text == textTakenBack {
+		if l.Message == messageDrained || l.Message == messageReinstated {
 			drains = append(drains, l)
 		} else {
-			story = append(story, l)
+			jobLines = append(jobLines, l)
 		}
 	}
-	return story, drains
+	return jobLines, drains
 }
 
 // drainsDuring tells which failure domains were drained during a story, whose lines are in order
 // of time, and which entries knew it since when.
-func drainsDuring(story, drains []Line) []string {
-	if len(story) == 0 {
+func drainsDuring(jobLines, drains []Line) []string {
+	if len(jobLines) == 0 {
 		return nil
 	}
-	from, to := story[0].Time, story[len(story)-1].Time
+	from, to := jobLines[0].Time, jobLines[len(jobLines)-1].Time
 	slices.SortStableFunc(drains, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	knew := make(map[string]map[string]time.Time) // by domain, by entry
+	drainedSince := make(map[string]map[string]time.Time) // by domain, by entry
 	for i := range drains {
 		d := &drains[i]
 		domain := d.Fields[fieldDomain]
 		switch {
 		case d.Time.After(to):
-		case d.Text == textDrained:
-			if knew[domain] == nil {
-				knew[domain] = make(map[string]time.Time)
+		case d.Message == messageDrained:
+			if drainedSince[domain] == nil {
+				drainedSince[domain] = make(map[string]time.Time)
 			}
-			knew[domain][d.Node] = d.Time
+			drainedSince[domain][d.Node] = d.Time
 		case d.Time.Before(from):
-			delete(knew[domain], d.Node)
+			delete(drainedSince[domain], d.Node)
 		}
 	}
-	var out []string
-	for domain, entries := range knew {
-		var list []string
+	var summaries []string
+	for domain, entries := range drainedSince {
+		var reports []string
 		for node, at := range entries {
-			list = append(list, fmt.Sprintf("%s since %.3fs", node, at.Sub(from).Seconds()))
+			reports = append(reports, fmt.Sprintf("%s since %.3fs", node, at.Sub(from).Seconds()))
 		}
-		if len(list) > 0 {
-			slices.Sort(list)
-			out = append(out, domain+", known to "+strings.Join(list, ", "))
+		if len(reports) > 0 {
+			slices.Sort(reports)
+			summaries = append(summaries, domain+", known to "+strings.Join(reports, ", "))
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(summaries)
+	return summaries
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -19,7 +19,7 @@
 
 // Lines of several processes come out in the order in which things happened, not
 // in which they were written.
-func TestStoryIsInOrder(t *testing.T) {
+func TestWriteOrdersLinesByTime(t *testing.T) {
 	c := qt.New(t)
 	lines, bad, err := Read(nil, strings.NewReader(entryLog), "j1")
 	c.Assert(err, qt.IsNil)
@@ -36,7 +36,7 @@
 
 // A process was killed, or its log was not collected. The story says what is
 // missing; its reader would take what is there for all.
-func TestStorySaysWhatIsMissing(t *testing.T) {
+func TestWriteListsMissingLines(t *testing.T) {
 	c := qt.New(t)
 	lines, _, err := Read(nil, strings.NewReader(strings.Split(entryLog, "\n")[0]), "j1")
 	c.Assert(err, qt.IsNil)
@@ -51,7 +51,7 @@
 
 // An entry loses its power with a job under way and leaves no line of it. The
 // caller's name for the request leads to the job by the guards' lines alone.
-func TestRequestOfAnEntryThatIsGoneIsFound(t *testing.T) {
+func TestRequestIsFoundWithoutEntryLog(t *testing.T) {
 	c := qt.New(t)
 	const log = `{"time":"2026-01-01T00:00:01Z","level":"info","msg":"tasks taken","node":"side-1","job":"j1","request":"r1","tasks":2}
 {"time":"2026-01-01T00:00:02Z","level":"info","msg":"run ended","node":"side-1","job":"j1","outcome":"cancelled"}
@@ -68,7 +68,7 @@
 }
 
 // Guards against a refusal whose cause, a drain of a failure domain, stands in lines that do not name the job.
-func TestStoryTellsOfDrains(t *testing.T) {
+func TestWriteListsDrains(t *testing.T) {
 	c := qt.New(t)
 	const log = `{"time":"2026-01-01T00:00:00Z","msg":"failure domain is drained","node":"edge-1","domain":"z1"}
 {"time":"2026-01-01T00:00:00Z","msg":"failure domain is drained","node":"edge-1","domain":"z2"}
