--- a/internal/replay/clock.go
+++ b/internal/replay/clock.go
@@ -17,9 +17,9 @@
 }
 
 type event struct {
-	when time.Time
-	seq  uint64
-	run  func()
+	dueAt time.Time
+	seq   uint64
+	run   func()
 }
 
 // at runs f at the moment t, or now if t has passed.
@@ -28,18 +28,18 @@
 		t = c.now
 	}
 	c.seq++
-	heap.Push(&c.queue, event{when: t, seq: c.seq, run: f})
+	heap.Push(&c.queue, event{dueAt: t, seq: c.seq, run: f})
 }
 
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now.Add(d), f) }
 
 // step runs the next event that is due by end.
 func (c *clock) step(end time.Time) bool {
-	if len(c.queue) == 0 || c.queue[0].when.After(end) {
+	if len(c.queue) == 0 || c.queue[0].dueAt.After(end) {
 		return false
 	}
 	e := heap.Pop(&c.queue).(event)
-	c.now = e.when
+	c.now = e.dueAt
 	e.run()
 	return true
 }
@@ -48,8 +48,8 @@
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	if !h[i].when.Equal(h[j].when) {
-		return h[i].when.Before(h[j].when)
+	if !h[i].dueAt.Equal(h[j].dueAt) {
+		return h[i].dueAt.Before(h[j].dueAt)
 	}
 	return h[i].seq < h[j].seq
 }
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -18,8 +18,8 @@
 	dispatch.LeastKnown, dispatch.LateBinding, dispatch.Chosen,
 }
 
-// run is one cell of the comparison.
-type run struct {
+// runSpec is one cell of the comparison.
+type runSpec struct {
 	trace *Trace
 	opt   Options
 }
@@ -35,7 +35,7 @@
 // Compare replays every workload under every placement and writes the figures.
 // The same seed gives the same figures.
 func Compare(out io.Writer, opt CompareOptions) error {
-	reports, err := runAll(matrix(opt))
+	reports, err := runAll(comparisonRuns(opt))
 	if err != nil {
 		return err
 	}
@@ -45,47 +45,47 @@
 	return writeTable(out, reports)
 }
 
-// matrix lists the runs: each site's workloads under each placement with the
+// comparisonRuns lists the runs: each site's workloads under each placement with the
 // site's own weighting, and the chosen one under the other weighting too.
-func matrix(opt CompareOptions) []run {
-	var out []run
+func comparisonRuns(opt CompareOptions) []runSpec {
+	var specs []runSpec
 	for _, site := range []Site{Ayni, Leeuwin} {
 		for _, t := range Scenarios(site, opt.Seed) {
-			out = append(out, variants(t, opt)...)
+			specs = append(specs, comparisonVariants(t, opt)...)
 		}
 	}
 	for _, t := range opt.Traces {
-		out = append(out, variants(t, opt)...)
+		specs = append(specs, comparisonVariants(t, opt)...)
 	}
-	return out
+	return specs
 }
 
-func variants(t *Trace, opt CompareOptions) []run {
-	var out []run
-	other := dispatch.WeighMessages
-	if t.Policy.Weighting == other {
-		other = dispatch.WeighResponse
+func comparisonVariants(t *Trace, opt CompareOptions) []runSpec {
+	var specs []runSpec
+	otherWeighting := dispatch.WeighMessages
+	if t.Policy.Weighting == otherWeighting {
+		otherWeighting = dispatch.WeighResponse
 	}
 	for _, p := range placements {
 		if strings.Contains(t.Name, opt.Only) || strings.Contains(p.String(), opt.Only) {
-			out = append(out, run{t, Options{Seed: opt.Seed, Placement: &p}})
+			specs = append(specs, runSpec{t, Options{Seed: opt.Seed, Placement: &p}})
 		}
 	}
 	if strings.Contains(t.Name, opt.Only) {
-		out = append(out, run{t, Options{Seed: opt.Seed, Weighting: &other}})
+		specs = append(specs, runSpec{t, Options{Seed: opt.Seed, Weighting: &otherWeighting}})
 	}
-	return out
+	return specs
 }
 
 // runAll replays in parallel; the order of the reports is that of the runs.
-func runAll(runs []run) ([]*Report, error) {
+func runAll(runs []runSpec) ([]*Report, error) {
 	reports, errs := make([]*Report, len(runs)), make([]error, len(runs))
 	var wg sync.WaitGroup
-	turn := make(chan struct{}, runtime.GOMAXPROCS(0))
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, r := range runs {
 		wg.Go(func() {
-			turn <- struct{}{}
-			defer func() { <-turn }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			reports[i], errs[i] = Run(r.trace, r.opt)
 		})
 	}
@@ -109,27 +109,27 @@
 
 // Heads of the two tables. Their rows are the same runs in the same order.
 const (
-	headResponse = "trace\tplacement\tweighting\tjobs\tserved\tover ideal p50\tp95\tp99\tover fair ideal p50\tp99\tms p50\tp99\tmessages/task\twasted"
-	headCapacity = "trace\tplacement\tweighting\tused\tgoodput\tfairness\ton failing\tlate ms\teven after s\tpeak\tchecks\trefusals\tretries"
+	responseHeader = "trace\tplacement\tweighting\tjobs\tserved\tover ideal p50\tp95\tp99\tover fair ideal p50\tp99\tms p50\tp99\tmessages/task\twasted"
+	capacityHeader = "trace\tplacement\tweighting\tused\tgoodput\tfairness\ton failing\tlate ms\teven after s\tpeak\tchecks\trefusals\tretries"
 )
 
 // writeTable writes the reports as two tables: response and messages, then
 // capacity, recovery and what was refused or retried.
 func writeTable(out io.Writer, reports []*Report) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tw, headResponse)
+	fmt.Fprintln(tw, responseHeader)
 	for _, r := range reports {
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.2f%%\n",
 			r.Trace, r.Placement, r.Weighting, r.Jobs, r.Served,
-			r.OverIdeal.P50, r.OverIdeal.P95, r.OverIdeal.P99, r.OverFair.P50, r.OverFair.P99,
-			r.ResponseMs.P50, r.ResponseMs.P99, r.MessagesPerTask, 100*r.Wasted)
+			r.OverIdeal.P50, r.OverIdeal.P95, r.OverIdeal.P99, r.OverFairIdeal.P50, r.OverFairIdeal.P99,
+			r.ResponseMs.P50, r.ResponseMs.P99, r.MessagesPerTask, 100*r.MessageOverhead)
 	}
 	fmt.Fprintln(tw)
-	fmt.Fprintln(tw, headCapacity)
+	fmt.Fprintln(tw, capacityHeader)
 	for _, r := range reports {
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t%.2f%%\t%.0f\t%.0f\t%.2f\t%s\t%s\t%s\n",
 			r.Trace, r.Placement, r.Weighting, r.Utilisation, r.Goodput, r.Fairness, 100*r.FailingShare,
-			r.LateMs, r.EvenAfter, r.HerdPeak, r.checks(), counts(r.Refusals), counts(r.Retries))
+			r.MaxLateMs, r.EvenAfterSeconds, r.PeakStartRatio, r.checkSummary(), formatCounts(r.Refusals), formatCounts(r.Retries))
 	}
 	if err := tw.Flush(); err != nil {
 		return fmt.Errorf("write table: %w", err)
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// checks tells in a word whether the replay's promises and outcomes held.
-func (r *Report) checks() string {
+// checkSummary tells in a word whether the replay's promises and outcomes held.
+func (r *Report) checkSummary() string {
 	if r.OK() {
 		return "ok"
 	}
--- a/internal/replay/entry.go
+++ b/internal/replay/entry.go
@@ -13,91 +13,91 @@
 // entry is an entry process: the Core and a small registry of jobs.
 type entry struct {
 	process
-	w           *world
-	def         Entry
+	sim         *simulation
+	config      Entry
 	index       int
 	incarnation identity.Incarnation
 	core        *dispatch.Core
-	jobs        map[string]*held
+	jobs        map[string]*jobRecord
 	links       map[identity.Incarnation]*link // by guard, once it said Hello
 	takeovers   map[identity.Incarnation]*takeover
-	draining    bool
-	stoodAt     time.Time     // begin of the newest pause
-	stood       time.Duration // time spent paused
-	tick        time.Time
+	isDraining  bool
+	pausedAt    time.Time     // begin of the newest pause
+	pausedTime  time.Duration // time spent paused
+	nextTick    time.Time
 }
 
-// held is what the registry knows of one identity.
-type held struct {
-	answer  *answer // nil while the job runs
-	waiting []*call
+// jobRecord is what the registry knows of one identity.
+type jobRecord struct {
+	answer       *answer // nil while the job runs
+	waitingCalls []*call
 }
 
 // answer is what a caller gets.
 type answer struct {
-	kind     errkind.Kind
-	ran      errkind.Ran
-	after    time.Duration
-	results  []dispatch.TaskResult
-	failures []dispatch.TaskFailure
+	kind       errkind.Kind
+	ran        errkind.Ran
+	retryAfter time.Duration
+	results    []dispatch.TaskResult
+	failures   []dispatch.TaskFailure
 }
 
 func (e *entry) boot() {
 	e.start()
-	e.incarnation = identity.Incarnation(fmt.Sprintf("%s-%d", e.def.Name, e.life))
-	p := e.w.policy
-	p.Domain = e.def.Domain
-	p.Entries = len(e.w.entries)
-	e.core = dispatch.New(e.w.trace.Service, p, e.w.opt.Seed+uint64(e.index)*7919+uint64(e.life))
-	e.jobs = make(map[string]*held)
+	e.incarnation = identity.Incarnation(fmt.Sprintf("%s-%d", e.config.Name, e.generation))
+	p := e.sim.policy
+	p.Domain = e.config.Domain
+	p.Entries = len(e.sim.entries)
+	e.core = dispatch.New(e.sim.trace.Service, p, e.sim.opt.Seed+uint64(e.index)*7919+uint64(e.generation))
+	e.jobs = make(map[string]*jobRecord)
 	e.links = make(map[identity.Incarnation]*link)
 	e.takeovers = make(map[identity.Incarnation]*takeover)
-	e.draining = false
-	e.tick = time.Time{}
+	e.isDraining = false
+	e.nextTick = time.Time{}
 }
 
 func (e *entry) guardUp(h *wire.Hello) {
-	for _, l := range e.w.links {
+	for _, l := range e.sim.links {
 		if l.entry == e && l.guard.incarnation == h.Incarnation {
 			e.links[h.Incarnation] = l
 		}
 	}
-	e.core.GuardUp(e.w.clock.now, h)
-	e.flush()
+	e.core.GuardUp(e.sim.clock.now, h)
+	e.applyActions()
 }
 
 func (e *entry) guardDown(inc identity.Incarnation) {
-	e.core.GuardDown(e.w.clock.now, inc)
-	e.flush()
+	e.core.GuardDown(e.sim.clock.now, inc)
+	e.applyActions()
 }
 
 func (e *entry) receive(from identity.Incarnation, f *wire.Frame) {
-	now := e.w.clock.now
+	now := e.sim.clock.now
 	switch {
 	case f.Result != nil:
-		e.w.noteResult(f.Result)
+		e.sim.handleResult(f.Result)
 		e.core.Result(now, from, f.Result)
 	case f.Load != nil:
 		e.core.Load(now, from, f.Load)
 	case f.Offer != nil:
 		e.core.Offer(now, from, f.Offer)
 	case f.FenceReport != nil:
-		e.fenceReport(from, f.FenceReport)
+		e.handleFenceReport(from, f.FenceReport)
 	case f.Collected != nil:
-		e.collected(f.Collected)
+		e.handleCollected(f.Collected)
 	case f.Goodbye != nil:
 		e.core.GuardLeaving(now, from)
 	}
-	e.flush()
+	e.applyActions()
 }
 
 // submit takes a caller's request.
 func (e *entry) submit(c *call) {
-	if h := e.jobs[c.job.key]; h != nil {
-		if h.answer != nil {
-			e.w.answer(c, h.answer)
+	if record := e.jobs[c.job.key]; record != nil {
+		if record.answer != nil {
+			e.sim.answer(c, record.answer)
 		} else {
-			h.waiting = append(h.waiting, c)
+			record.waitingCalls = append(record.waitingCalls, c)
 		}
 		return
 	}
@@ -105,27 +105,27 @@
 		e.forward(c)
 		return
 	}
-	if e.draining {
-		e.jobs[c.job.key] = &held{answer: &answer{kind: errkind.Draining, ran: errkind.RanNo}}
-		e.w.answer(c, e.jobs[c.job.key].answer)
+	if e.isDraining {
+		e.jobs[c.job.key] = &jobRecord{answer: &answer{kind: errkind.Draining, ran: errkind.RanNo}}
+		e.sim.answer(c, e.jobs[c.job.key].answer)
 		return
 	}
-	h := &held{waiting: []*call{c}}
-	e.jobs[c.job.key] = h
-	if err := e.core.Submit(e.w.clock.now, e.spec(c)); err != nil {
-		e.settle(h, &answer{kind: err.Kind, ran: err.Ran, after: err.After})
+	record := &jobRecord{waitingCalls: []*call{c}}
+	e.jobs[c.job.key] = record
+	if err := e.core.Submit(e.sim.clock.now, e.jobSpec(c)); err != nil {
+		e.completeJob(record, &answer{kind: err.Kind, ran: err.Ran, retryAfter: err.After})
 	}
-	e.flush()
+	e.applyActions()
 }
 
-func (e *entry) spec(c *call) *dispatch.Spec {
+func (e *entry) jobSpec(c *call) *dispatch.Spec {
 	r := c.job.req
 	s := &dispatch.Spec{
-		ID: c.job.id(), Team: r.Team, Deadline: c.sent.Add(r.Deadline),
+		ID: c.job.id(), Team: r.Team, Deadline: c.sentAt.Add(r.Deadline),
 		Tasks: make([][]byte, len(r.Tasks)), DeclaredMs: r.Declared.Milliseconds(), Need: r.Need,
 	}
 	for i := range s.Tasks {
-		s.Tasks[i] = echo(wire.Ref{Key: c.job.key, Task: i})
+		s.Tasks[i] = echoBody(wire.Ref{Key: c.job.key, Task: i})
 	}
 	return s
 }
@@ -133,55 +133,55 @@
 // forward passes a request on to the entry that minted its identity. When that
 // incarnation is gone, its guards are asked.
 func (e *entry) forward(c *call) {
-	owner := e.w.entryOf(c.job.home)
-	if owner == nil || !owner.alive {
-		e.takeOver(c)
+	homeEntry := e.sim.entryByIncarnation(c.job.home)
+	if homeEntry == nil || !homeEntry.isAlive {
+		e.startTakeover(c)
 		return
 	}
-	if owner.paused {
-		e.w.answer(c, &answer{kind: errkind.HomeUnreachable, ran: errkind.RanUnknown})
+	if homeEntry.isPaused {
+		e.sim.answer(c, &answer{kind: errkind.HomeUnreachable, ran: errkind.RanUnknown})
 		return
 	}
-	delay := e.w.between(e.def.Domain, owner.def.Domain)
-	c.extra = delay
-	e.w.clock.after(delay, owner.later(func() { owner.submit(c) }))
+	delay := e.sim.networkDelay(e.config.Domain, homeEntry.config.Domain)
+	c.forwardDelay = delay
+	e.sim.clock.after(delay, homeEntry.inGeneration(func() { homeEntry.submit(c) }))
 }
 
 func (e *entry) cancel(job *jobState) {
-	e.core.Cancel(e.w.clock.now, job.id())
-	e.flush()
+	e.core.Cancel(e.sim.clock.now, job.id())
+	e.applyActions()
 }
 
-func (e *entry) settle(h *held, a *answer) {
-	h.answer = a
-	for _, c := range h.waiting {
-		e.w.answer(c, a)
+func (e *entry) completeJob(record *jobRecord, a *answer) {
+	record.answer = a
+	for _, c := range record.waitingCalls {
+		e.sim.answer(c, a)
 	}
-	h.waiting = nil
+	record.waitingCalls = nil
 }
 
-// flush carries out the core's actions and sets its next tick.
-func (e *entry) flush() {
+// applyActions carries out the core's actions and sets its next tick.
+func (e *entry) applyActions() {
 	for _, a := range e.core.Actions() {
-		e.carryOut(&a)
+		e.applyAction(&a)
 	}
 	next := e.core.NextTick()
-	if next.IsZero() || next.Equal(e.tick) {
+	if next.IsZero() || next.Equal(e.nextTick) {
 		return
 	}
-	e.tick = next
-	e.w.clock.at(next, e.later(func() {
-		if e.tick.Equal(next) {
-			e.tick = time.Time{}
-			e.core.Tick(e.w.clock.now)
-			e.flush()
+	e.nextTick = next
+	e.sim.clock.at(next, e.inGeneration(func() {
+		if e.nextTick.Equal(next) {
+			e.nextTick = time.Time{}
+			e.core.Tick(e.sim.clock.now)
+			e.applyActions()
 		}
 	}))
 }
 
-func (e *entry) carryOut(a *dispatch.Action) {
+func (e *entry) applyAction(a *dispatch.Action) {
 	if a.Finish != nil {
-		e.finish(a.Finish)
+		e.finishJob(a.Finish)
 		return
 	}
 	l := e.links[a.Guard]
@@ -191,27 +191,27 @@
 	switch {
 	case a.Start != nil:
 		a.Start.Home = e.incarnation
-		l.toGuard(&wire.Frame{Start: a.Start})
+		l.sendToGuard(&wire.Frame{Start: a.Start})
 	case a.Cancel != nil:
-		l.toGuard(&wire.Frame{Cancel: a.Cancel})
+		l.sendToGuard(&wire.Frame{Cancel: a.Cancel})
 	case a.Reserve != nil:
-		l.toGuard(&wire.Frame{Reserve: a.Reserve})
+		l.sendToGuard(&wire.Frame{Reserve: a.Reserve})
 	}
 }
 
-func (e *entry) finish(o *dispatch.Outcome) {
+func (e *entry) finishJob(o *dispatch.Outcome) {
 	a := &answer{results: o.Results, failures: o.Failures}
 	if o.Err != nil {
-		a.kind, a.ran, a.after = o.Err.Kind, o.Err.Ran, o.Err.After
+		a.kind, a.ran, a.retryAfter = o.Err.Kind, o.Err.Ran, o.Err.After
 	}
-	e.w.finished(o)
-	if h := e.jobs[o.ID.Key]; h != nil {
-		e.settle(h, a)
+	e.sim.checkOutcome(o)
+	if record := e.jobs[o.ID.Key]; record != nil {
+		e.completeJob(record, a)
 	}
 }
 
 func (e *entry) configure(p dispatch.Policy) {
-	p.Domain, p.Entries = e.def.Domain, len(e.w.entries)
-	e.core.Configure(e.w.clock.now, p)
-	e.flush()
+	p.Domain, p.Entries = e.config.Domain, len(e.sim.entries)
+	e.core.Configure(e.sim.clock.now, p)
+	e.applyActions()
 }
--- a/internal/replay/fairness.go
+++ b/internal/replay/fairness.go
@@ -7,14 +7,14 @@
 	"wigeontray/internal/dispatch"
 )
 
-// jain is Jain's index over what each team got of what it was entitled to: 1
+// jainIndex is Jain's index over what each team got of what it was entitled to: 1
 // when all got the same share, 1/n when one got all.
-func jain(got, entitled map[string]float64) float64 {
+func jainIndex(served, fairShares map[string]float64) float64 {
 	var sum, squares float64
 	n := 0
-	for _, team := range slices.Sorted(maps.Keys(entitled)) {
-		if e := entitled[team]; e > 0 {
-			x := got[team] / e
+	for _, team := range slices.Sorted(maps.Keys(fairShares)) {
+		if e := fairShares[team]; e > 0 {
+			x := served[team] / e
 			sum, squares, n = sum+x, squares+x*x, n+1
 		}
 	}
@@ -24,38 +24,38 @@
 	return sum * sum / (float64(n) * squares)
 }
 
-// entitled is the max-min fair share of the capacity by weight: nobody gets
+// fairShares is the max-min fair share of the capacity by weight: nobody gets
 // more than it offers, and what one leaves goes to the others.
-func entitled(offered map[string]float64, quotas map[string]dispatch.Quota, capacity float64) map[string]float64 {
-	out := make(map[string]float64)
-	open := slices.Sorted(maps.Keys(offered))
-	for len(open) > 0 {
-		var weights float64
-		for _, t := range open {
-			weights += weight(quotas, t)
+func fairShares(demand map[string]float64, quotas map[string]dispatch.Quota, capacity float64) map[string]float64 {
+	shares := make(map[string]float64)
+	unsatisfied := slices.Sorted(maps.Keys(demand))
+	for len(unsatisfied) > 0 {
+		var totalWeight float64
+		for _, t := range unsatisfied {
+			totalWeight += teamWeight(quotas, t)
 		}
-		var rest []string
-		left := capacity
-		for _, t := range open {
-			if fair := capacity * weight(quotas, t) / weights; offered[t] <= fair {
-				out[t] = offered[t]
-				left -= offered[t]
+		var limited []string
+		remaining := capacity
+		for _, t := range unsatisfied {
+			if share := capacity * teamWeight(quotas, t) / totalWeight; demand[t] <= share {
+				shares[t] = demand[t]
+				remaining -= demand[t]
 			} else {
-				rest = append(rest, t)
+				limited = append(limited, t)
 			}
 		}
-		if len(rest) == len(open) {
-			for _, t := range rest {
-				out[t] = capacity * weight(quotas, t) / weights
+		if len(limited) == len(unsatisfied) {
+			for _, t := range limited {
+				shares[t] = capacity * teamWeight(quotas, t) / totalWeight
 			}
-			return out
+			return shares
 		}
-		open, capacity = rest, left
+		unsatisfied, capacity = limited, remaining
 	}
-	return out
+	return shares
 }
 
-func weight(quotas map[string]dispatch.Quota, team string) float64 {
+func teamWeight(quotas map[string]dispatch.Quota, team string) float64 {
 	if w := quotas[team].Weight; w > 0 {
 		return w
 	}
--- a/internal/replay/faults.go
+++ b/internal/replay/faults.go
@@ -3,71 +3,71 @@
 import "fmt"
 
 // apply carries out one event of the trace.
-func (w *world) apply(ev *Event) error {
+func (sim *simulation) apply(ev *Event) error {
 	switch ev.Op {
 	case OpSubmit, OpResubmit:
-		w.submit(ev)
+		sim.submit(ev)
 		return nil
 	case OpCancel:
-		w.cancel(ev)
+		sim.cancel(ev)
 		return nil
 	case OpStoreDown, OpStoreUp, OpConfigure:
-		w.storeEvent(ev)
+		sim.applyStoreEvent(ev)
 		return nil
 	case OpCut, OpHeal, OpReset:
-		return w.linkEvent(ev)
+		return sim.applyLinkEvent(ev)
 	}
-	if e := w.entryNamed(ev.Target); e != nil {
+	if e := sim.findEntry(ev.Target); e != nil {
 		return e.apply(ev)
 	}
-	if g := w.guardNamed(ev.Target); g != nil {
+	if g := sim.findGuard(ev.Target); g != nil {
 		return g.apply(ev)
 	}
 	return fmt.Errorf("%s: no process %q", ev.Op, ev.Target)
 }
 
-func (w *world) entryNamed(name string) *entry {
-	for _, e := range w.entries {
-		if e.def.Name == name {
+func (sim *simulation) findEntry(name string) *entry {
+	for _, e := range sim.entries {
+		if e.config.Name == name {
 			return e
 		}
 	}
 	return nil
 }
 
-func (w *world) guardNamed(name string) *guard {
-	for _, g := range w.guards {
-		if g.def.Name == name {
+func (sim *simulation) findGuard(name string) *guard {
+	for _, g := range sim.guards {
+		if g.config.Name == name {
 			return g
 		}
 	}
 	return nil
 }
 
-func (w *world) cancel(ev *Event) {
-	e, j := w.entryNamed(ev.Other), w.jobs[ev.Target]
+func (sim *simulation) cancel(ev *Event) {
+	e, j := sim.findEntry(ev.Other), sim.jobs[ev.Target]
 	if e == nil || j == nil {
 		return
 	}
-	w.clock.after(w.trace.Delays.Client, e.later(func() { e.cancel(j) }))
+	sim.clock.after(sim.trace.Delays.Client, e.inGeneration(func() { e.cancel(j) }))
 }
 
 func (e *entry) apply(ev *Event) error {
 	switch ev.Op {
 	case OpKill:
 		e.kill()
-		e.w.loseCalls(e)
-		e.w.snapLinks(func(l *link) bool { return l.entry == e })
+		e.sim.dropCalls(e)
+		e.sim.disconnectLinks(func(l *link) bool { return l.entry == e })
 	case OpRestart:
 		e.boot()
 	case OpPause:
-		e.pauseFor(e.w, func(l *link) bool { return l.entry == e })
-		e.stoodAt = e.w.clock.now
+		e.pause(e.sim, func(l *link) bool { return l.entry == e })
+		e.pausedAt = e.sim.clock.now
 	case OpResume:
-		e.stood += e.w.clock.now.Sub(e.stoodAt)
+		e.pausedTime += e.sim.clock.now.Sub(e.pausedAt)
 		e.resume()
 	case OpDrain:
-		e.draining = true
+		e.isDraining = true
 	default:
 		return fmt.Errorf("%s does not apply to entry %s", ev.Op, ev.Target)
 	}
@@ -75,71 +75,71 @@
 }
 
 func (g *guard) apply(ev *Event) error {
-	now := g.w.clock.now
+	now := g.sim.clock.now
 	switch ev.Op {
 	case OpKill:
 		g.kill()
-		g.w.snapLinks(func(l *link) bool { return l.guard == g })
+		g.sim.disconnectLinks(func(l *link) bool { return l.guard == g })
 	case OpRestart:
 		g.boot()
 	case OpPause:
-		g.pauseFor(g.w, func(l *link) bool { return l.guard == g })
+		g.pause(g.sim, func(l *link) bool { return l.guard == g })
 	case OpResume:
 		g.resume()
 	case OpDrain:
-		g.do(func() { g.ledger.Drain(now, "planned stop"); g.flush() })
+		g.do(func() { g.ledger.Drain(now, "planned stop"); g.applyActions() })
 	case OpUnhealthy, OpHealthy:
-		g.do(func() { g.ledger.Health(now, ev.Op == OpHealthy); g.flush() })
+		g.do(func() { g.ledger.Health(now, ev.Op == OpHealthy); g.applyActions() })
 	case OpFailing:
-		g.failing, g.since = true, now
-		if g.w.tally.failFrom.IsZero() {
-			g.w.tally.failFrom = now
+		g.isFailing, g.failingSince = true, now
+		if g.sim.counters.firstFailureAt.IsZero() {
+			g.sim.counters.firstFailureAt = now
 		}
 	case OpWorking:
-		g.failing, g.factor = false, 1
+		g.isFailing, g.runTimeFactor = false, 1
 	case OpWarm:
-		g.factor = 1
+		g.runTimeFactor = 1
 	case OpSlow:
-		g.factor = ev.Factor
+		g.runTimeFactor = ev.SlowFactor
 	default:
 		return fmt.Errorf("%s does not apply to worker %s", ev.Op, ev.Target)
 	}
 	return nil
 }
 
-// pauseFor stops the process. Its peers close the links when it stays silent
+// pause stops the process. Its peers close the links when it stays silent
 // for linkTimeout.
-func (p *process) pauseFor(w *world, own func(*link) bool) {
-	p.paused = true
-	p.pauses++
-	n := p.pauses
-	w.clock.after(linkTimeout, func() {
-		if p.paused && p.pauses == n {
-			w.snapLinks(own)
+func (p *process) pause(sim *simulation, matches func(*link) bool) {
+	p.isPaused = true
+	p.pauseCount++
+	pauseNumber := p.pauseCount
+	sim.clock.after(linkTimeout, func() {
+		if p.isPaused && p.pauseCount == pauseNumber {
+			sim.disconnectLinks(matches)
 		}
 	})
 }
 
-func (w *world) snapLinks(which func(*link) bool) {
-	for _, l := range w.links {
-		if which(l) {
-			l.snap()
+func (sim *simulation) disconnectLinks(matches func(*link) bool) {
+	for _, l := range sim.links {
+		if matches(l) {
+			l.disconnect()
 		}
 	}
 }
 
-// linkEvent cuts, heals or resets the links between two processes; a failure
+// applyLinkEvent cuts, heals or resets the links between two processes; a failure
 // domain's name stands for all its processes, and "*" for all.
-func (w *world) linkEvent(ev *Event) error {
+func (sim *simulation) applyLinkEvent(ev *Event) error {
 	found := false
-	for _, l := range w.links {
-		if !l.joins(ev.Target, ev.Other) {
+	for _, l := range sim.links {
+		if !l.connects(ev.Target, ev.Other) {
 			continue
 		}
 		found = true
 		switch ev.Op {
 		case OpReset:
-			l.snap()
+			l.disconnect()
 		default:
 			l.setCut(ev.Op == OpCut)
 		}
@@ -150,37 +150,37 @@
 	return nil
 }
 
-func (l *link) joins(a, b string) bool {
-	return l.entryIs(a) && l.guardIs(b) || l.entryIs(b) && l.guardIs(a)
+func (l *link) connects(a, b string) bool {
+	return l.matchesEntry(a) && l.matchesGuard(b) || l.matchesEntry(b) && l.matchesGuard(a)
 }
 
-func (l *link) entryIs(name string) bool {
-	return name == "*" || name == l.entry.def.Name || name == l.entry.def.Domain
+func (l *link) matchesEntry(name string) bool {
+	return name == "*" || name == l.entry.config.Name || name == l.entry.config.Domain
 }
 
-func (l *link) guardIs(name string) bool {
-	return name == "*" || name == l.guard.def.Name || name == l.guard.def.Domain
+func (l *link) matchesGuard(name string) bool {
+	return name == "*" || name == l.guard.config.Name || name == l.guard.config.Domain
 }
 
-// storeEvent models the platform's store. An amendment during an outage is
+// applyStoreEvent models the platform's store. An amendment during an outage is
 // repeated by its operator until the store takes it.
-func (w *world) storeEvent(ev *Event) {
+func (sim *simulation) applyStoreEvent(ev *Event) {
 	switch ev.Op {
 	case OpStoreDown:
-		w.storeDown = true
+		sim.isStoreDown = true
 	case OpConfigure:
-		w.pending = append(w.pending, ev.Policy)
+		sim.pendingPolicies = append(sim.pendingPolicies, ev.Policy)
 	case OpStoreUp:
-		w.storeDown = false
+		sim.isStoreDown = false
 	}
-	if w.storeDown {
+	if sim.isStoreDown {
 		return
 	}
-	for _, p := range w.pending {
-		w.policy = *p
-		for _, e := range w.entries {
+	for _, p := range sim.pendingPolicies {
+		sim.policy = *p
+		for _, e := range sim.entries {
 			e.do(func() { e.configure(*p) })
 		}
 	}
-	w.pending = nil
+	sim.pendingPolicies = nil
 }
--- a/internal/replay/guard.go
+++ b/internal/replay/guard.go
@@ -10,30 +10,30 @@
 	"wigeontray/internal/wire"
 )
 
-// failTime is how long a broken upstream takes to fail a task.
-const failTime = time.Millisecond
+// failedTaskRunTime is how long a broken upstream takes to fail a task.
+const failedTaskRunTime = time.Millisecond
 
 // guard is a guard process with its upstream.
 type guard struct {
 	process
-	w           *world
-	def         Worker
+	sim         *simulation
+	config      Worker
 	incarnation identity.Incarnation
 	ledger      *ledger.Ledger
 	links       []*link
-	tick        time.Time // moment of the tick that is set
+	nextTick    time.Time // moment of the tick that is set
 
-	failing bool
-	factor  float64   // of run times
-	since   time.Time // since when it fails
+	isFailing     bool
+	runTimeFactor float64   // of run times
+	failingSince  time.Time // since when it fails
 }
 
 func (g *guard) boot() {
 	g.start()
-	g.incarnation = identity.Incarnation(fmt.Sprintf("%s-%d", g.def.Name, g.life))
-	g.ledger = ledger.New(g.w.clock.now, ledger.Options{Slots: g.def.Slots})
-	g.ledger.Health(g.w.clock.now, true)
-	g.tick = time.Time{}
+	g.incarnation = identity.Incarnation(fmt.Sprintf("%s-%d", g.config.Name, g.generation))
+	g.ledger = ledger.New(g.sim.clock.now, ledger.Options{Slots: g.config.Slots})
+	g.ledger.Health(g.sim.clock.now, true)
+	g.nextTick = time.Time{}
 	for _, l := range g.links {
 		l.dial()
 	}
@@ -42,23 +42,23 @@
 func (g *guard) hello() *wire.Hello {
 	return &wire.Hello{
 		Version: wire.Version, MinVersion: wire.MinVersion, Incarnation: g.incarnation,
-		Service: g.w.trace.Service, Worker: g.def.Name, Rack: g.def.Rack, Domain: g.def.Domain,
-		Slots: g.def.Slots, Accelerator: g.def.Accelerators, MemoryMB: g.def.MemoryMB, Load: g.ledger.Load(),
+		Service: g.sim.trace.Service, Worker: g.config.Name, Rack: g.config.Rack, Domain: g.config.Domain,
+		Slots: g.config.Slots, Accelerator: g.config.Accelerators, MemoryMB: g.config.MemoryMB, Load: g.ledger.Load(),
 	}
 }
 
 func (g *guard) linkUp(e identity.Incarnation) {
-	g.ledger.LinkUp(g.w.clock.now, e)
-	g.flush()
+	g.ledger.LinkUp(g.sim.clock.now, e)
+	g.applyActions()
 }
 
 func (g *guard) linkDown(e identity.Incarnation) {
-	g.ledger.LinkDown(g.w.clock.now, e)
-	g.flush()
+	g.ledger.LinkDown(g.sim.clock.now, e)
+	g.applyActions()
 }
 
 func (g *guard) receive(from identity.Incarnation, f *wire.Frame) {
-	now := g.w.clock.now
+	now := g.sim.clock.now
 	switch {
 	case f.Start != nil:
 		g.ledger.Start(now, from, f.Start)
@@ -71,56 +71,56 @@
 	case f.Collect != nil:
 		g.ledger.Collect(from, f.Collect)
 	}
-	g.flush()
+	g.applyActions()
 }
 
-// flush carries out the ledger's actions and sets its next tick.
-func (g *guard) flush() {
+// applyActions carries out the ledger's actions and sets its next tick.
+func (g *guard) applyActions() {
 	for _, a := range g.ledger.Actions() {
-		g.noteRefusal(a.Send)
+		g.reportRefusal(a.Send)
 		if a.Run != nil {
-			g.run(a.Run)
+			g.runTask(a.Run)
 			continue
 		}
 		for _, l := range g.links {
 			if l.entry.incarnation == a.Send.To {
-				l.toEntry(a.Send.Frame)
+				l.sendToEntry(a.Send.Frame)
 			}
 		}
 	}
 	next := g.ledger.NextTick()
-	if next.IsZero() || next.Equal(g.tick) {
+	if next.IsZero() || next.Equal(g.nextTick) {
 		return
 	}
-	g.tick = next
-	g.w.clock.at(next, g.later(func() {
-		if g.tick.Equal(next) {
-			g.tick = time.Time{}
-			g.ledger.Tick(g.w.clock.now)
-			g.flush()
+	g.nextTick = next
+	g.sim.clock.at(next, g.inGeneration(func() {
+		if g.nextTick.Equal(next) {
+			g.nextTick = time.Time{}
+			g.ledger.Tick(g.sim.clock.now)
+			g.applyActions()
 		}
 	}))
 }
 
-// run is the upstream.
-func (g *guard) run(r *ledger.Run) {
-	g.w.started(g, r.Ref)
-	took := time.Duration(float64(g.w.runTime(r.Ref)) * g.factor)
-	res := wire.Result{Ref: r.Ref, Status: 200, Body: echo(r.Ref)}
-	if g.failing {
-		took = failTime
-		res = wire.Result{Ref: r.Ref, Kind: errkind.UpstreamFailed, Ran: errkind.RanYes, Detail: "status 500"}
+// runTask is the upstream.
+func (g *guard) runTask(r *ledger.Run) {
+	g.sim.recordStart(g, r.Ref)
+	runDuration := time.Duration(float64(g.sim.runTime(r.Ref)) * g.runTimeFactor)
+	result := wire.Result{Ref: r.Ref, Status: 200, Body: echoBody(r.Ref)}
+	if g.isFailing {
+		runDuration = failedTaskRunTime
+		result = wire.Result{Ref: r.Ref, Kind: errkind.UpstreamFailed, Ran: errkind.RanYes, Detail: "status 500"}
 	}
-	res.RunMs = took.Milliseconds()
-	g.w.tally.ran(g, g.w.clock.now, took)
-	g.w.clock.after(took, g.later(func() {
-		g.ledger.Finished(g.w.clock.now, res)
-		g.flush()
+	result.RunMs = runDuration.Milliseconds()
+	g.sim.counters.recordRun(g, g.sim.clock.now, runDuration)
+	g.sim.clock.after(runDuration, g.inGeneration(func() {
+		g.ledger.Finished(g.sim.clock.now, result)
+		g.applyActions()
 	}))
 }
 
-func (g *guard) noteRefusal(s *ledger.Send) {
+func (g *guard) reportRefusal(s *ledger.Send) {
 	if s != nil && s.Frame.Result != nil && s.Frame.Result.Ran == errkind.RanNo {
-		g.w.check.refusedBy(g.incarnation, s.Frame.Result.Ref)
+		g.sim.checker.recordRefusal(g.incarnation, s.Frame.Result.Ref)
 	}
 }
--- a/internal/replay/ideal.go
+++ b/internal/replay/ideal.go
@@ -7,34 +7,34 @@
 	"wigeontray/internal/sched"
 )
 
-// ideal gives the response time of every job under one central queue with no
+// idealResponseTimes gives the response time of every job under one central queue with no
 // delay, no failure and no refusal, in order of arrival: the figure that no
 // real dispatcher with the same order reaches.
-func ideal(jobs []Event, slots int) map[string]time.Duration {
-	return central(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
+func idealResponseTimes(jobs []Event, slots int) map[string]time.Duration {
+	return simulateCentralQueue(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
 		for i := range j.req.Tasks {
-			q.Push("", 1, sched.Item[centralTask]{Value: centralTask{j, i}, Due: int64(j.arrived)})
+			q.Push("", 1, sched.Item[centralTask]{Value: centralTask{j, i}, Due: int64(j.arrivedAt)})
 		}
 	})
 }
 
-// idealFair is ideal with the order of the product's own queue: fair over
+// idealFairResponseTimes is ideal with the order of the product's own queue: fair over
 // teams, small jobs past the tail of big ones.
-func idealFair(jobs []Event, slots int) map[string]time.Duration {
-	return central(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
+func idealFairResponseTimes(jobs []Event, slots int) map[string]time.Duration {
+	return simulateCentralQueue(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
 		spacing := sched.Spacing(j.req.Deadline, len(j.req.Tasks))
 		for i := range j.req.Tasks {
-			due := int64(j.arrived + time.Duration(i)*spacing)
+			due := int64(j.arrivedAt + time.Duration(i)*spacing)
 			q.Push(j.req.Team, 1, sched.Item[centralTask]{Value: centralTask{j, i}, Due: due})
 		}
 	})
 }
 
 type centralJob struct {
-	name    string
-	req     *Request
-	arrived time.Duration
-	open    int
+	name       string
+	req        *Request
+	arrivedAt  time.Duration
+	unfinished int
 }
 
 type centralTask struct {
@@ -61,24 +61,24 @@
 	return c
 }
 
-func central(jobs []Event, slots int, push func(*sched.Queue[centralTask], *centralJob)) map[string]time.Duration {
+func simulateCentralQueue(jobs []Event, slots int, push func(*sched.Queue[centralTask], *centralJob)) map[string]time.Duration {
 	var (
-		queue   sched.Queue[centralTask]
-		running completions
-		out     = make(map[string]time.Duration, len(jobs))
+		queue         sched.Queue[centralTask]
+		running       completions
+		responseTimes = make(map[string]time.Duration, len(jobs))
 	)
-	fill := func(now time.Duration) {
+	startTasks := func(now time.Duration) {
 		for len(running) < slots && queue.Len() > 0 {
 			t, _ := queue.Pop()
 			heap.Push(&running, completion{now + t.job.req.Tasks[t.task], t.job})
 		}
 	}
-	finish := func() {
+	finishTask := func() {
 		c := heap.Pop(&running).(completion)
-		if c.job.open--; c.job.open == 0 {
-			out[c.job.name] = c.at - c.job.arrived
+		if c.job.unfinished--; c.job.unfinished == 0 {
+			responseTimes[c.job.name] = c.at - c.job.arrivedAt
 		}
-		fill(c.at)
+		startTasks(c.at)
 	}
 	for i := range jobs {
 		ev := &jobs[i]
@@ -86,13 +86,13 @@
 			continue
 		}
 		for len(running) > 0 && running[0].at <= ev.At {
-			finish()
+			finishTask()
 		}
 		push(&queue, &centralJob{ev.Target, ev.Request, ev.At, len(ev.Request.Tasks)})
-		fill(ev.At)
+		startTasks(ev.At)
 	}
 	for len(running) > 0 {
-		finish()
+		finishTask()
 	}
-	return out
+	return responseTimes
 }
--- a/internal/replay/link.go
+++ b/internal/replay/link.go
@@ -11,27 +11,27 @@
 	// linkTimeout is when a silent peer's link is closed. Package wire notices a
 	// peer that was given work much sooner, within wire.NoticeWithin; the stated
 	// outcomes of the traces are those of this longer time.
-	linkTimeout = 20 * time.Second
-	redialEvery = 100 * time.Millisecond
+	linkTimeout    = 20 * time.Second
+	redialInterval = 100 * time.Millisecond
 )
 
 // link joins an entry and a guard. Frames arrive in order, after a delay, and
 // are lost when the link breaks.
 type link struct {
-	w       *world
-	entry   *entry
-	guard   *guard
-	delay   time.Duration
-	up      bool
-	session int
-	cut     bool
-	cuts    int
-	held    []func() // frames that wait for the end of a cut
+	sim        *simulation
+	entry      *entry
+	guard      *guard
+	delay      time.Duration
+	isUp       bool
+	session    int
+	isCut      bool
+	cutCount   int
+	heldFrames []func() // frames that wait for the end of a cut
 }
 
-// carry delivers after the link's delay, unless the link breaks first.
-func (l *link) carry(to *process, deliver func()) {
-	if !l.up {
+// transmit delivers after the link's delay, unless the link breaks first.
+func (l *link) transmit(to *process, deliver func()) {
+	if !l.isUp {
 		return
 	}
 	session := l.session
@@ -40,83 +40,83 @@
 			to.do(deliver)
 		}
 	}
-	if l.cut {
-		l.held = append(l.held, arrive)
+	if l.isCut {
+		l.heldFrames = append(l.heldFrames, arrive)
 		return
 	}
-	l.w.clock.after(l.delay, func() {
-		if l.cut {
-			l.held = append(l.held, arrive)
+	l.sim.clock.after(l.delay, func() {
+		if l.isCut {
+			l.heldFrames = append(l.heldFrames, arrive)
 			return
 		}
 		arrive()
 	})
 }
 
-// toEntry and toGuard send one frame.
-func (l *link) toEntry(f *wire.Frame) {
-	l.w.count(f)
+// sendToEntry and sendToGuard send one frame.
+func (l *link) sendToEntry(f *wire.Frame) {
+	l.sim.recordFrame(f)
 	from := l.guard.incarnation
-	l.carry(&l.entry.process, func() { l.entry.receive(from, f) })
+	l.transmit(&l.entry.process, func() { l.entry.receive(from, f) })
 }
 
-func (l *link) toGuard(f *wire.Frame) {
-	l.w.count(f)
+func (l *link) sendToGuard(f *wire.Frame) {
+	l.sim.recordFrame(f)
 	from := l.entry.incarnation
-	l.carry(&l.guard.process, func() { l.guard.receive(from, f) })
+	l.transmit(&l.guard.process, func() { l.guard.receive(from, f) })
 }
 
 // dial opens the link as soon as both ends live and can reach each other.
 func (l *link) dial() {
-	if l.up {
+	if l.isUp {
 		return
 	}
-	if !l.reachable() {
-		l.w.clock.after(redialEvery, l.dial)
+	if !l.isReachable() {
+		l.sim.clock.after(redialInterval, l.dial)
 		return
 	}
-	l.up, l.session = true, l.session+1
+	l.isUp, l.session = true, l.session+1
 	hello := l.guard.hello()
-	l.carry(&l.entry.process, func() { l.entry.guardUp(hello) })
+	l.transmit(&l.entry.process, func() { l.entry.guardUp(hello) })
 	l.guard.linkUp(l.entry.incarnation)
 }
 
-func (l *link) reachable() bool {
+func (l *link) isReachable() bool {
 	e, g := &l.entry.process, &l.guard.process
-	return e.alive && g.alive && !e.paused && !g.paused && !l.cut
+	return e.isAlive && g.isAlive && !e.isPaused && !g.isPaused && !l.isCut
 }
 
-// snap ends the link at both ends, with what is on it.
-func (l *link) snap() {
-	if !l.up {
+// disconnect ends the link at both ends, with what is on it.
+func (l *link) disconnect() {
+	if !l.isUp {
 		return
 	}
-	l.up, l.held = false, nil
+	l.isUp, l.heldFrames = false, nil
 	l.session++
 	g, e := l.guard.incarnation, l.entry.incarnation
 	l.entry.do(func() { l.entry.guardDown(g) })
 	l.guard.do(func() { l.guard.linkDown(e) })
-	l.w.clock.after(redialEvery, l.dial)
+	l.sim.clock.after(redialInterval, l.dial)
 }
 
-func (l *link) setCut(cut bool) {
-	if l.cut == cut {
+func (l *link) setCut(isCut bool) {
+	if l.isCut == isCut {
 		return
 	}
-	l.cut = cut
-	l.cuts++
-	if cut {
-		n := l.cuts
-		l.w.clock.after(linkTimeout, func() {
-			if l.cut && l.cuts == n {
-				l.snap()
+	l.isCut = isCut
+	l.cutCount++
+	if isCut {
+		cutNumber := l.cutCount
+		l.sim.clock.after(linkTimeout, func() {
+			if l.isCut && l.cutCount == cutNumber {
+				l.disconnect()
 			}
 		})
 		return
 	}
-	held := l.held
-	l.held = nil
-	for _, arrive := range held {
-		l.w.clock.after(l.delay, arrive)
+	heldFrames := l.heldFrames
+	l.heldFrames = nil
+	for _, arrive := range heldFrames {
+		l.sim.clock.after(l.delay, arrive)
 	}
 }
--- a/internal/replay/main.go
+++ b/internal/replay/main.go
@@ -43,9 +43,9 @@
 	if err != nil {
 		return err
 	}
-	var runs []run
+	var runs []runSpec
 	for _, t := range traces {
-		runs = append(runs, run{t, Options{Seed: seed}})
+		runs = append(runs, runSpec{t, Options{Seed: seed}})
 	}
 	reports, err := runAll(runs)
 	if err != nil {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	return unmet(reports)
+	return checkReports(reports)
 }
 
 // writeOutcomes writes the table and then each broken promise and missed
@@ -76,12 +76,12 @@
 			fmt.Fprintf(out, "%s: unmet: %s\n", r.Trace, u)
 		}
 		fmt.Fprintf(out, "%s: %d stated outcomes, %d unmet, %d broken promises\n",
-			r.Trace, r.Stated, len(r.Unmet), len(r.Violations))
+			r.Trace, r.StatedCount, len(r.Unmet), len(r.Violations))
 	}
 	return nil
 }
 
-func unmet(reports []*Report) error {
+func checkReports(reports []*Report) error {
 	for _, r := range reports {
 		if !r.OK() {
 			return fmt.Errorf("%s: %w", r.Trace, ErrUnmet)
--- a/internal/replay/parse.go
+++ b/internal/replay/parse.go
@@ -19,7 +19,7 @@
 		if len(w) == 0 {
 			continue
 		}
-		if err := t.line(&w); err != nil {
+		if err := t.readLine(&w); err != nil {
 			return nil, fmt.Errorf("%s line %d: %w", name, n, err)
 		}
 	}
@@ -29,20 +29,20 @@
 	return t, nil
 }
 
-func (t *Trace) line(w *words) error {
+func (t *Trace) readLine(w *words) error {
 	word, _ := w.next()
 	var err error
 	switch word {
 	case "trace":
-		err = toString(&t.Name)(w)
+		err = intoString(&t.Name)(w)
 	case "service":
-		err = toString(&t.Service)(w)
+		err = intoString(&t.Service)(w)
 	case "delay":
-		err = w.settings(map[string]setting{
-			"client": toDuration(&t.Delays.Client), "domain": toDuration(&t.Delays.Domain), "local": toDuration(&t.Delays.Local),
+		err = w.readSettings(map[string]settingReader{
+			"client": intoDuration(&t.Delays.Client), "domain": intoDuration(&t.Delays.Domain), "local": intoDuration(&t.Delays.Local),
 		})
 	case "measure":
-		err = w.settings(map[string]setting{"from": toDuration(&t.From), "until": toDuration(&t.Until)})
+		err = w.readSettings(map[string]settingReader{"from": intoDuration(&t.MeasureFrom), "until": intoDuration(&t.MeasureUntil)})
 	case "policy":
 		err = readPolicy(w, &t.Policy)
 	case "team":
@@ -63,11 +63,11 @@
 	if err != nil {
 		return err
 	}
-	return w.done()
+	return w.expectEnd()
 }
 
 func readPolicy(w *words, p *dispatch.Policy) error {
-	return w.settings(map[string]setting{
+	return w.readSettings(map[string]settingReader{
 		"weighting": func(w *words) error {
 			s, err := w.next()
 			p.Weighting = dispatch.WeighResponse
@@ -76,7 +76,7 @@
 			}
 			return err
 		},
-		"grace": toDuration(&p.Grace), "max-queued": toInt(&p.MaxQueued), "retry-ratio": toFloat(&p.RetryRatio),
+		"grace": intoDuration(&p.Grace), "max-queued": intoInt(&p.MaxQueued), "retry-ratio": intoFloat(&p.RetryRatio),
 	})
 }
 
@@ -85,55 +85,55 @@
 	if err != nil {
 		return err
 	}
-	var q dispatch.Quota
+	var quota dispatch.Quota
 	if p.Teams == nil {
 		p.Teams = make(map[string]dispatch.Quota)
 	}
-	err = w.settings(map[string]setting{
-		"rate": toFloat(&q.StartsPerSecond), "burst": toFloat(&q.Burst), "weight": toFloat(&q.Weight),
+	err = w.readSettings(map[string]settingReader{
+		"rate": intoFloat(&quota.StartsPerSecond), "burst": intoFloat(&quota.Burst), "weight": intoFloat(&quota.Weight),
 	})
-	p.Teams[name] = q
+	p.Teams[name] = quota
 	return err
 }
 
 func (t *Trace) readEntry(w *words) error {
 	var e Entry
-	if err := toString(&e.Name)(w); err != nil {
+	if err := intoString(&e.Name)(w); err != nil {
 		return err
 	}
 	t.Entries = append(t.Entries, e)
-	return w.settings(map[string]setting{"domain": toString(&t.Entries[len(t.Entries)-1].Domain)})
+	return w.readSettings(map[string]settingReader{"domain": intoString(&t.Entries[len(t.Entries)-1].Domain)})
 }
 
 func (t *Trace) readWorker(w *words) error {
-	d := Worker{Slots: todaySlots}
-	if err := toString(&d.Name)(w); err != nil {
+	d := Worker{Slots: slotsPerWorker}
+	if err := intoString(&d.Name)(w); err != nil {
 		return err
 	}
-	err := w.settings(map[string]setting{
-		"rack": toString(&d.Rack), "domain": toString(&d.Domain), "slots": toInt(&d.Slots),
-		"accelerators": toInt(&d.Accelerators), "memory_mb": toInt(&d.MemoryMB),
+	err := w.readSettings(map[string]settingReader{
+		"rack": intoString(&d.Rack), "domain": intoString(&d.Domain), "slots": intoInt(&d.Slots),
+		"accelerators": intoInt(&d.Accelerators), "memory_mb": intoInt(&d.MemoryMB),
 	})
 	t.Workers = append(t.Workers, d)
 	return err
 }
 
 func (t *Trace) readLoad(w *words) error {
-	l := Load{MinTask: minTask, MaxTask: maxTask, Deadline: roomy}
+	l := Load{MinRunTime: minRunTime, MaxRunTime: maxRunTime, Deadline: looseDeadline}
 	var seed int
-	err := w.settings(map[string]setting{
-		"from": toDuration(&l.From), "for": toDuration(&l.For), "offered": toFloat(&l.Offered), "seed": toInt(&seed),
-		"deadline": toDuration(&l.Deadline), "most": toInt(&l.MaxJob), "cancel": toFloat(&l.Cancel), "wave": toDuration(&l.Wave),
+	err := w.readSettings(map[string]settingReader{
+		"from": intoDuration(&l.Start), "for": intoDuration(&l.Duration), "offered": intoFloat(&l.OfferedShare), "seed": intoInt(&seed),
+		"deadline": intoDuration(&l.Deadline), "most": intoInt(&l.MaxTasksPerJob), "cancel": intoFloat(&l.CancelShare), "wave": intoDuration(&l.CancelInterval),
 		"teams": func(w *words) error {
 			s, err := w.next()
 			l.Teams = strings.Split(s, ",")
 			return err
 		},
 		"tasks": func(w *words) error {
-			if err := toDuration(&l.MinTask)(w); err != nil {
+			if err := intoDuration(&l.MinRunTime)(w); err != nil {
 				return err
 			}
-			return toDuration(&l.MaxTask)(w)
+			return intoDuration(&l.MaxRunTime)(w)
 		},
 	})
 	l.Seed = uint64(seed)
@@ -143,7 +143,7 @@
 
 func (t *Trace) readLimit(w *words) error {
 	var l Limit
-	if err := toString(&l.Measure)(w); err != nil {
+	if err := intoString(&l.Measure)(w); err != nil {
 		return err
 	}
 	sign, err := w.next()
@@ -154,10 +154,10 @@
 		return fmt.Errorf("want >= or <=, got %q", sign)
 	}
 	l.AtLeast = sign == ">="
-	if _, ok := new(Report).measure(l.Measure); !ok {
+	if _, ok := new(Report).measureValue(l.Measure); !ok {
 		return fmt.Errorf("unknown measure %q", l.Measure)
 	}
-	err = toFloat(&l.Value)(w)
+	err = intoFloat(&l.Value)(w)
 	t.Limits = append(t.Limits, l)
 	return err
 }
--- a/internal/replay/parse_event.go
+++ b/internal/replay/parse_event.go
@@ -12,8 +12,8 @@
 	"wigeontray/internal/errkind"
 )
 
-// faults are the operations that name one process.
-var faults = []Op{OpKill, OpRestart, OpPause, OpResume, OpDrain, OpFailing, OpWorking, OpUnhealthy, OpHealthy, OpSlow, OpWarm}
+// processOps are the operations that name one process.
+var processOps = []Op{OpKill, OpRestart, OpPause, OpResume, OpDrain, OpFailing, OpWorking, OpUnhealthy, OpHealthy, OpSlow, OpWarm}
 
 func (t *Trace) readEvent(w *words) error {
 	at, err := w.duration()
@@ -31,16 +31,16 @@
 	case ev.Op == OpCancel:
 		err = readCancel(w, &ev)
 	case ev.Op == OpCut, ev.Op == OpHeal, ev.Op == OpReset:
-		if err = toString(&ev.Target)(w); err == nil {
-			err = toString(&ev.Other)(w)
+		if err = intoString(&ev.Target)(w); err == nil {
+			err = intoString(&ev.Other)(w)
 		}
 	case ev.Op == OpStoreDown, ev.Op == OpStoreUp:
 	case ev.Op == OpConfigure:
 		err = t.readConfigure(w, &ev)
-	case slices.Contains(faults, ev.Op):
-		err = toString(&ev.Target)(w)
+	case slices.Contains(processOps, ev.Op):
+		err = intoString(&ev.Target)(w)
 		if err == nil && ev.Op == OpSlow {
-			err = toFloat(&ev.Factor)(w)
+			err = intoFloat(&ev.SlowFactor)(w)
 		}
 	default:
 		return fmt.Errorf("unknown event %q", word)
@@ -50,13 +50,13 @@
 }
 
 func readCancel(w *words, ev *Event) error {
-	if err := toString(&ev.Target)(w); err != nil {
+	if err := intoString(&ev.Target)(w); err != nil {
 		return err
 	}
-	if err := w.skip("at"); err != nil {
+	if err := w.expect("at"); err != nil {
 		return err
 	}
-	return toString(&ev.Other)(w)
+	return intoString(&ev.Other)(w)
 }
 
 // readConfigure reads an amendment of the policy that the trace begins with.
@@ -82,17 +82,17 @@
 }
 
 func readSubmission(w *words, ev *Event) error {
-	if err := toString(&ev.Target)(w); err != nil {
+	if err := intoString(&ev.Target)(w); err != nil {
 		return err
 	}
-	if err := w.skip("to"); err != nil {
+	if err := w.expect("to"); err != nil {
 		return err
 	}
-	if err := toString(&ev.Other)(w); err != nil {
+	if err := intoString(&ev.Other)(w); err != nil {
 		return err
 	}
 	if ev.Op == OpSubmit {
-		ev.Request = &Request{Job: ev.Target, Deadline: roomy}
+		ev.Request = &Request{Job: ev.Target, Deadline: looseDeadline}
 		if err := readRequest(w, ev.Request); err != nil {
 			return err
 		}
@@ -100,16 +100,16 @@
 	if len(*w) == 0 {
 		return nil
 	}
-	if err := w.skip("expect"); err != nil {
+	if err := w.expect("expect"); err != nil {
 		return err
 	}
-	return readWant(w, ev)
+	return readExpected(w, ev)
 }
 
 func readRequest(w *words, r *Request) error {
-	err := w.settings(map[string]setting{
-		"team": toString(&r.Team), "deadline": toDuration(&r.Deadline), "declared": toDuration(&r.Declared),
-		"accelerators": toInt(&r.Need.Accelerators), "memory_mb": toInt(&r.Need.MemoryMB),
+	err := w.readSettings(map[string]settingReader{
+		"team": intoString(&r.Team), "deadline": intoDuration(&r.Deadline), "declared": intoDuration(&r.Declared),
+		"accelerators": intoInt(&r.Need.Accelerators), "memory_mb": intoInt(&r.Need.MemoryMB),
 		"tasks": func(w *words) error { return readTasks(w, r) },
 	})
 	if err == nil && len(r.Tasks) == 0 {
@@ -121,49 +121,49 @@
 // readTasks reads run times, each as "80ms" or, for several, "80ms*3".
 func readTasks(w *words, r *Request) error {
 	for len(*w) > 0 && (*w)[0] != "expect" {
-		text, times, repeated := strings.Cut((*w)[0], "*")
-		n := 1
-		d, err := time.ParseDuration(text)
+		text, countText, repeated := strings.Cut((*w)[0], "*")
+		count := 1
+		runTime, err := time.ParseDuration(text)
 		if err == nil && repeated {
-			n, err = strconv.Atoi(times)
+			count, err = strconv.Atoi(countText)
 		}
 		if err != nil {
 			return fmt.Errorf("want run times: %w", err)
 		}
-		for range n {
-			r.Tasks = append(r.Tasks, d)
+		for range count {
+			r.Tasks = append(r.Tasks, runTime)
 		}
 		*w = (*w)[1:]
 	}
 	return nil
 }
 
-// wordOK and wordLost stand for a whole answer and for a broken connection.
+// outcomeOK and outcomeLost stand for a whole answer and for a broken connection.
 const (
-	wordOK   = "ok"
-	wordLost = "lost"
+	outcomeOK   = "ok"
+	outcomeLost = "lost"
 )
 
-// readWant reads the stated outcome: kinds joined by "|", or ok, or lost.
-func readWant(w *words, ev *Event) error {
+// readExpected reads the stated outcome: kinds joined by "|", or ok, or lost.
+func readExpected(w *words, ev *Event) error {
 	ev.Want = &Want{AnyRan: true}
 	kinds, err := w.next()
 	if err != nil {
 		return err
 	}
 	for _, name := range strings.Split(kinds, "|") {
-		if name == wordLost {
+		if name == outcomeLost {
 			ev.Want.Lost = true
 			continue
 		}
-		k, ok := kindNamed(name)
+		k, ok := parseKind(name)
 		if !ok {
 			return fmt.Errorf("unknown outcome %q", name)
 		}
 		ev.Want.Kinds = append(ev.Want.Kinds, k)
 	}
-	return w.settings(map[string]setting{
-		"before": toDuration(&ev.Want.Before),
+	return w.readSettings(map[string]settingReader{
+		"before": intoDuration(&ev.Want.Before),
 		"ran": func(w *words) error {
 			s, err := w.next()
 			if err != nil {
@@ -180,8 +180,8 @@
 	})
 }
 
-func kindNamed(name string) (errkind.Kind, bool) {
-	if name == wordOK {
+func parseKind(name string) (errkind.Kind, bool) {
+	if name == outcomeOK {
 		return errkind.None, true
 	}
 	for _, k := range errkind.All() {
--- a/internal/replay/recovery.go
+++ b/internal/replay/recovery.go
@@ -2,65 +2,65 @@
 
 import "time"
 
-// evenWithin is how close a returned worker's starts in a second must come to
+// evenShareTolerance is how close a returned worker's starts in a second must come to
 // the mean of all workers to count as even. At 40 starts a second, chance alone
 // makes a difference of a sixth.
-const evenWithin = 0.35
+const evenShareTolerance = 0.35
 
-// recovery measures what follows the last return of workers: how long until
+// measureRecovery measures what follows the last return of workers: how long until
 // each of them gets its even share, and the highest rate that hit one.
-func (w *world) recovery(r *Report, events []Event) {
-	var at time.Duration
-	var back []string
+func (sim *simulation) measureRecovery(r *Report, events []Event) {
+	var returnedAt time.Duration
+	var returned []string
 	for i := range events {
 		ev := &events[i]
 		switch ev.Op {
 		case OpRestart, OpHeal, OpResume, OpHealthy, OpWorking:
-			if ev.At != at {
-				back = nil
+			if ev.At != returnedAt {
+				returned = nil
 			}
-			at, back = ev.At, append(back, ev.Target, ev.Other)
+			returnedAt, returned = ev.At, append(returned, ev.Target, ev.Other)
 		}
 	}
-	for _, g := range w.guards {
-		if g.isAny(back) {
-			w.returned(r, g.def.Name, at)
+	for _, g := range sim.guards {
+		if g.matchesAny(returned) {
+			sim.measureReturn(r, g.config.Name, returnedAt)
 		}
 	}
 }
 
-func (g *guard) isAny(names []string) bool {
+func (g *guard) matchesAny(names []string) bool {
 	for _, n := range names {
-		if n == g.def.Name || n == g.def.Domain {
+		if n == g.config.Name || n == g.config.Domain {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) returned(r *Report, name string, at time.Duration) {
-	even := -1
-	for s := int(at / second); s < int(w.trace.lastArrival()/second); s++ {
-		mean := 0.0
-		for _, g := range w.guards {
-			mean += float64(bucket(w.tally.starts[g.def.Name], s)) / float64(len(w.guards))
+func (sim *simulation) measureReturn(r *Report, name string, returnedAt time.Duration) {
+	evenSecond := -1
+	for sec := int(returnedAt / second); sec < int(sim.trace.lastArrival()/second); sec++ {
+		meanStarts := 0.0
+		for _, g := range sim.guards {
+			meanStarts += float64(countAt(sim.counters.startsPerSecond[g.config.Name], sec)) / float64(len(sim.guards))
 		}
-		ratio := float64(bucket(w.tally.starts[name], s)) / max(1, mean)
-		r.HerdPeak = max(r.HerdPeak, ratio)
-		if even < 0 && ratio >= 1-evenWithin && ratio <= 1+evenWithin {
-			even = s
+		ratio := float64(countAt(sim.counters.startsPerSecond[name], sec)) / max(1, meanStarts)
+		r.PeakStartRatio = max(r.PeakStartRatio, ratio)
+		if evenSecond < 0 && ratio >= 1-evenShareTolerance && ratio <= 1+evenShareTolerance {
+			evenSecond = sec
 		}
 	}
-	if even >= 0 {
-		r.EvenAfter = max(r.EvenAfter, (time.Duration(even+1)*second - at).Seconds())
+	if evenSecond >= 0 {
+		r.EvenAfterSeconds = max(r.EvenAfterSeconds, (time.Duration(evenSecond+1)*second - returnedAt).Seconds())
 	} else {
-		r.EvenAfter = w.trace.lastArrival().Seconds()
+		r.EvenAfterSeconds = sim.trace.lastArrival().Seconds()
 	}
 }
 
-func bucket(s []int, i int) int {
-	if i < len(s) {
-		return s[i]
+func countAt(counts []int, i int) int {
+	if i < len(counts) {
+		return counts[i]
 	}
 	return 0
 }
@@ -71,7 +71,7 @@
 		last = max(last, t.Events[i].At)
 	}
 	for i := range t.Loads {
-		last = max(last, t.Loads[i].From+t.Loads[i].For)
+		last = max(last, t.Loads[i].Start+t.Loads[i].Duration)
 	}
 	return last
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -37,7 +37,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, r.Violations, qt.HasLen, 0)
 			qt.Check(t, r.Unmet, qt.HasLen, 0)
-			qt.Check(t, r.Stated > 0, qt.IsTrue)
+			qt.Check(t, r.StatedCount > 0, qt.IsTrue)
 		})
 	}
 }
@@ -45,12 +45,12 @@
 // A promise that holds with one seed and one placement only would be broken by
 // the next change of either. The promises hold in every failure workload under
 // every placement and weighting.
-func TestPromisesHoldUnderEveryPlacement(t *testing.T) {
-	traces := []*Trace{Ayni.guardRestart(), Ayni.cancelWaves(), Leeuwin.domainReturn(), Leeuwin.overload()}
+func TestInvariantsHoldForEveryPlacement(t *testing.T) {
+	traces := []*Trace{Ayni.guardRestart(), Ayni.cancelWaves(), Leeuwin.domainReturn(), Leeuwin.overload200()}
 	for _, trace := range traces {
-		trace.Loads[0].For = warmUp + 5*second
-		if trace.Loads[0].Offered > 1 {
-			trace.Loads[0].For = 2 * second // every refused task costs eleven messages
+		trace.Loads[0].Duration = warmUpTime + 5*second
+		if trace.Loads[0].OfferedShare > 1 {
+			trace.Loads[0].Duration = 2 * second // every refused task costs eleven messages
 		}
 		for i, p := range placements {
 			t.Run(trace.Name+"/"+p.String(), func(t *testing.T) {
@@ -65,7 +65,7 @@
 
 // Figures that change from run to run cannot be compared, and a failure that a
 // replay shows once and not again cannot be mended.
-func TestSameSeedSameReport(t *testing.T) {
+func TestReplayIsDeterministic(t *testing.T) {
 	var first string
 	files := traceFiles(t)
 	for range 2 {
@@ -79,8 +79,8 @@
 	}
 }
 
-// busyWorld is a small world with a job of two tasks running.
-func busyWorld(t *testing.T) (*world, *call) {
+// newBusySimulation is a small world with a job of two tasks running.
+func newBusySimulation(t *testing.T) (*simulation, *call) {
 	trace, err := Parse("busy", strings.NewReader(`
 service ayni/reserva
 entry e1 domain a
@@ -88,61 +88,61 @@
 worker w02 rack r2 domain b slots 1
 `))
 	qt.Assert(t, err, qt.IsNil)
-	w := newWorld(trace, Options{Seed: testSeed})
-	for w.clock.step(w.begin) {
+	sim := newSimulation(trace, Options{Seed: testSeed})
+	for sim.clock.step(sim.traceStart) {
 	}
-	w.clock.now = w.begin
-	w.submit(&Event{Op: OpSubmit, Target: "job", Other: "e1", Request: &Request{
+	sim.clock.now = sim.traceStart
+	sim.submit(&Event{Op: OpSubmit, Target: "job", Other: "e1", Request: &Request{
 		Job: "job", Deadline: time.Second, Tasks: []time.Duration{300 * time.Millisecond, 300 * time.Millisecond},
 	}})
-	for w.clock.step(w.begin.Add(100 * time.Millisecond)) {
+	for sim.clock.step(sim.traceStart.Add(100 * time.Millisecond)) {
 	}
-	qt.Assert(t, w.tally.runs, qt.Equals, 2)
-	return w, w.calls[0]
+	qt.Assert(t, sim.counters.runs, qt.Equals, 2)
+	return sim, sim.calls[0]
 }
 
 // The checks are worth what they notice. A rule that resends a running task to
 // another guard, claims "not run" of what runs, answers in part, answers twice
 // or late must each be seen.
-func TestSabotageIsNoticed(t *testing.T) {
+func TestCheckerDetectsViolations(t *testing.T) {
 	ref := func(c *call) wire.Ref { return wire.Ref{Member: "ayni", Key: c.job.key, Task: 0} }
-	cases := map[string]func(*world, *call){
-		"started on": func(w *world, c *call) {
-			for _, g := range w.guards {
-				g.ledger.Drain(w.clock.now, "") // frees nothing; both slots are taken
-				w.started(g, ref(c))
+	cases := map[string]func(*simulation, *call){
+		"started on": func(sim *simulation, c *call) {
+			for _, g := range sim.guards {
+				g.ledger.Drain(sim.clock.now, "") // frees nothing; both slots are taken
+				sim.recordStart(g, ref(c))
 			}
 		},
-		"told that it did not": func(w *world, c *call) {
-			w.finished(&dispatch.Outcome{ID: c.job.id(), Err: notRunError, Failures: []dispatch.TaskFailure{{Task: 0, Ran: notRunError.Ran}}})
+		"told that it did not": func(sim *simulation, c *call) {
+			sim.checkOutcome(&dispatch.Outcome{ID: c.job.id(), Err: notRunError, Failures: []dispatch.TaskFailure{{Task: 0, Ran: notRunError.Ran}}})
 		},
-		"of 2 results": func(w *world, c *call) { w.answer(c, &answer{results: make([]dispatch.TaskResult, 1)}) },
-		"2 times": func(w *world, c *call) {
-			w.answer(c, unknownAnswer)
-			w.answer(c, unknownAnswer)
+		"of 2 results": func(sim *simulation, c *call) { sim.answer(c, &answer{results: make([]dispatch.TaskResult, 1)}) },
+		"2 times": func(sim *simulation, c *call) {
+			sim.answer(c, unknownAnswer)
+			sim.answer(c, unknownAnswer)
 		},
-		"after deadline": func(w *world, c *call) {
-			w.clock.after(3*time.Second, func() { w.answer(c, unknownAnswer) })
+		"after deadline": func(sim *simulation, c *call) {
+			sim.clock.after(3*time.Second, func() { sim.answer(c, unknownAnswer) })
 		},
-		"never answered": func(w *world, _ *call) { w.check.unanswered(w.calls) },
-		"held back": func(w *world, c *call) {
-			w.finished(&dispatch.Outcome{ID: c.job.id(), Results: make([]dispatch.TaskResult, 2)})
+		"never answered": func(sim *simulation, _ *call) { sim.checker.checkUnanswered(sim.calls) },
+		"held back": func(sim *simulation, c *call) {
+			sim.checkOutcome(&dispatch.Outcome{ID: c.job.id(), Results: make([]dispatch.TaskResult, 2)})
 		},
 	}
-	for want, sabotage := range cases {
+	for want, inject := range cases {
 		t.Run(want, func(t *testing.T) {
-			w, c := busyWorld(t)
-			sabotage(w, c)
-			for w.clock.step(w.begin.Add(5 * time.Second)) {
+			sim, c := newBusySimulation(t)
+			inject(sim, c)
+			for sim.clock.step(sim.traceStart.Add(5 * time.Second)) {
 			}
-			qt.Assert(t, strings.Join(w.check.violations, "\n"), qt.Contains, want)
+			qt.Assert(t, strings.Join(sim.checker.violations, "\n"), qt.Contains, want)
 		})
 	}
 }
 
 // A trace that people bring has a slip of the pen. Passed over, it would state
 // less than its author believes; the error names the line.
-func TestParseNamesTheLine(t *testing.T) {
+func TestParseErrorsIncludeLineNumber(t *testing.T) {
 	for text, want := range map[string]string{
 		"entry e1 domain a\nworkers w1":                    "line 2: unknown line",
 		"at soon submit j to e1 tasks 1s":                  "line 1: want a duration",
@@ -159,12 +159,12 @@
 
 // An unmet outcome must fail the command that replays it; else CI stays green
 // beside a table that nobody reads.
-func TestUnmetOutcomeFails(t *testing.T) {
+func TestUnmetOutcomeReturnsError(t *testing.T) {
 	trace, err := Parse("x", strings.NewReader("service a/b\nentry e1 domain a\nat 1s submit j to e1 tasks 10ms expect ok\nworker w1 domain a"))
 	qt.Assert(t, err, qt.IsNil)
 	trace.Events[0].Want.Before = time.Millisecond
 	r, err := Run(trace, Options{})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.Unmet, qt.HasLen, 1)
-	qt.Assert(t, unmet([]*Report{r}), qt.ErrorIs, ErrUnmet)
+	qt.Assert(t, checkReports([]*Report{r}), qt.ErrorIs, ErrUnmet)
 }
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -15,45 +15,45 @@
 		return nil, fmt.Errorf("replay %s: needs an entry and a worker", t.Name)
 	}
 	events := t.timeline()
-	w := newWorld(t, opt)
-	var failed error
-	last := w.begin
+	sim := newSimulation(t, opt)
+	var applyErr error
+	lastDeadline := sim.traceStart
 	for i := range events {
 		ev := &events[i]
-		at := w.begin.Add(ev.At)
-		w.clock.at(at, func() {
-			if err := w.apply(ev); err != nil && failed == nil {
-				failed = fmt.Errorf("replay %s at %v: %w", t.Name, ev.At, err)
+		at := sim.traceStart.Add(ev.At)
+		sim.clock.at(at, func() {
+			if err := sim.apply(ev); err != nil && applyErr == nil {
+				applyErr = fmt.Errorf("replay %s at %v: %w", t.Name, ev.At, err)
 			}
 		})
 		if ev.Request != nil {
 			at = at.Add(ev.Request.Deadline)
 		}
-		if at.After(last) {
-			last = at
+		if at.After(lastDeadline) {
+			lastDeadline = at
 		}
 	}
-	for w.clock.step(last.Add(tailTime)) && failed == nil {
+	for sim.clock.step(lastDeadline.Add(endDelay)) && applyErr == nil {
 	}
-	if failed != nil {
-		return nil, failed
+	if applyErr != nil {
+		return nil, applyErr
 	}
-	w.check.unanswered(w.calls)
-	return w.report(events), nil
+	sim.checker.checkUnanswered(sim.calls)
+	return sim.buildReport(events), nil
 }
 
 // timeline joins the events of the trace and its loads in order of time.
 func (t *Trace) timeline() []Event {
 	out := slices.Clone(t.Events)
 	for i := range t.Loads {
-		out = append(out, t.Loads[i].expand(i, t)...)
+		out = append(out, t.Loads[i].events(i, t)...)
 	}
 	slices.SortStableFunc(out, func(a, b Event) int { return int(a.At - b.At) })
-	return resolve(out)
+	return resolveResubmissions(out)
 }
 
-// resolve lets each resubmission carry the request of its first submission.
-func resolve(events []Event) []Event {
+// resolveResubmissions lets each resubmission carry the request of its first submission.
+func resolveResubmissions(events []Event) []Event {
 	first := make(map[string]*Request)
 	for i := range events {
 		ev := &events[i]
@@ -67,37 +67,37 @@
 	return events
 }
 
-// window is the measured interval.
-func (w *world) window() (from, until time.Time) {
-	until = w.begin.Add(w.trace.Until)
-	if w.trace.Until == 0 {
-		until = w.begin.Add(time.Hour)
+// measuredWindow is the measured interval.
+func (sim *simulation) measuredWindow() (from, until time.Time) {
+	until = sim.traceStart.Add(sim.trace.MeasureUntil)
+	if sim.trace.MeasureUntil == 0 {
+		until = sim.traceStart.Add(time.Hour)
 	}
-	return w.begin.Add(w.trace.From), until
+	return sim.traceStart.Add(sim.trace.MeasureFrom), until
 }
 
-// slack is the time after the deadline by which an answer must have come: one
+// answerSlack is the time after the deadline by which an answer must have come: one
 // task length, and the way to the caller and back.
-func (w *world) slack(j *jobState) time.Duration {
-	return slices.Max(j.req.Tasks) + 2*w.trace.Delays.Client
+func (sim *simulation) answerSlack(j *jobState) time.Duration {
+	return slices.Max(j.req.Tasks) + 2*sim.trace.Delays.Client
 }
 
-// unmet checks what the trace states of one submission.
-func (c *call) unmet() string {
-	if c.want == nil {
+// unmetReason checks what the trace states of one submission.
+func (c *call) unmetReason() string {
+	if c.expected == nil {
 		return ""
 	}
 	kind, ran := c.outcome()
-	took := c.answered.Sub(c.sent)
+	responseTime := c.answered.Sub(c.sentAt)
 	switch {
-	case c.answers == 0 && !c.lost:
+	case c.answerCount == 0 && !c.isConnectionLost:
 		return "no answer"
-	case !c.want.has(kind, c.lost):
+	case !c.expected.accepts(kind, c.isConnectionLost):
 		return fmt.Sprintf("answered %v ran %v", kind, ran)
-	case !c.want.AnyRan && !c.lost && kind != errkind.None && ran != c.want.Ran:
-		return fmt.Sprintf("answered %v ran %v, want ran %v", kind, ran, c.want.Ran)
-	case c.want.Before > 0 && took > c.want.Before:
-		return fmt.Sprintf("answered after %v, want %v", took, c.want.Before)
+	case !c.expected.AnyRan && !c.isConnectionLost && kind != errkind.None && ran != c.expected.Ran:
+		return fmt.Sprintf("answered %v ran %v, want ran %v", kind, ran, c.expected.Ran)
+	case c.expected.Before > 0 && responseTime > c.expected.Before:
+		return fmt.Sprintf("answered after %v, want %v", responseTime, c.expected.Before)
 	}
 	return ""
 }
@@ -109,8 +109,8 @@
 	return c.answer.kind, c.answer.ran
 }
 
-// has tells whether the outcome is one of those wanted.
-func (w *Want) has(kind errkind.Kind, lost bool) bool {
+// accepts tells whether the outcome is one of those wanted.
+func (w *Want) accepts(kind errkind.Kind, lost bool) bool {
 	if lost {
 		return w.Lost
 	}
--- a/internal/replay/takeover.go
+++ b/internal/replay/takeover.go
@@ -12,68 +12,68 @@
 // takeover answers for the jobs of an entry that died: guards fence it, and tell
 // what they started for it. Nothing is ever started again.
 type takeover struct {
-	gone    identity.Incarnation
-	asked   []identity.Incarnation // guards that were sent the fence
-	reports map[identity.Incarnation]*wire.FenceReport
-	calls   []*call
-	collect map[string]*collection // by key
+	deadHome     identity.Incarnation
+	fencedGuards []identity.Incarnation // guards that were sent the fence
+	reports      map[identity.Incarnation]*wire.FenceReport
+	calls        []*call
+	collections  map[string]*collection // by key
 }
 
 // collection gathers the results of one job from the guards that hold them.
 type collection struct {
-	call    *call
-	open    int // guards that have not answered
-	results map[int]wire.Result
+	call          *call
+	pendingGuards int // guards that have not answered
+	results       map[int]wire.Result
 }
 
-// takeOver asks all guards about the dead home of c's job.
-func (e *entry) takeOver(c *call) {
+// startTakeover asks all guards about the dead home of c's job.
+func (e *entry) startTakeover(c *call) {
 	t := e.takeovers[c.job.home]
 	if t != nil {
 		t.calls = append(t.calls, c)
 		return
 	}
-	t = &takeover{gone: c.job.home, calls: []*call{c},
-		reports: make(map[identity.Incarnation]*wire.FenceReport), collect: make(map[string]*collection)}
+	t = &takeover{deadHome: c.job.home, calls: []*call{c},
+		reports: make(map[identity.Incarnation]*wire.FenceReport), collections: make(map[string]*collection)}
 	e.takeovers[c.job.home] = t
-	for _, g := range e.w.guards {
-		if l := e.links[g.incarnation]; l != nil && l.up {
-			t.asked = append(t.asked, g.incarnation)
-			l.toGuard(&wire.Frame{Fence: &wire.Fence{Gone: t.gone}})
+	for _, g := range e.sim.guards {
+		if l := e.links[g.incarnation]; l != nil && l.isUp {
+			t.fencedGuards = append(t.fencedGuards, g.incarnation)
+			l.sendToGuard(&wire.Frame{Fence: &wire.Fence{Gone: t.deadHome}})
 		}
 	}
-	if len(t.asked) == 0 {
-		delete(e.takeovers, t.gone)
-		e.w.answer(c, unknownAnswer)
+	if len(t.fencedGuards) == 0 {
+		delete(e.takeovers, t.deadHome)
+		e.sim.answer(c, unknownAnswer)
 	}
 }
 
-// fenceReport takes a guard's report; the last one decides all waiting calls.
-func (e *entry) fenceReport(from identity.Incarnation, r *wire.FenceReport) {
+// handleFenceReport takes a guard's report; the last one decides all waiting calls.
+func (e *entry) handleFenceReport(from identity.Incarnation, r *wire.FenceReport) {
 	t := e.takeovers[r.Gone]
 	if t == nil {
 		return
 	}
-	if t.reports[from] = r; len(t.reports) < len(t.asked) {
+	if t.reports[from] = r; len(t.reports) < len(t.fencedGuards) {
 		return
 	}
 	for _, c := range t.calls {
-		e.decide(t, c)
+		e.answerFromReports(t, c)
 	}
 	t.calls = nil
-	if len(t.collect) == 0 {
+	if len(t.collections) == 0 {
 		delete(e.takeovers, r.Gone)
 	}
 }
 
-// decide answers one call from the reports: the result if guards hold all of
+// answerFromReports answers one call from the reports: the result if guards hold all of
 // it, "not run" if all guards that ever were deny a start, else unknown.
-func (e *entry) decide(t *takeover, c *call) {
+func (e *entry) answerFromReports(t *takeover, c *call) {
 	started, finished, holders := 0, 0, []identity.Incarnation{}
-	proof := len(t.asked) == len(e.w.guards)
-	for _, inc := range t.asked {
+	provesNotRun := len(t.fencedGuards) == len(e.sim.guards)
+	for _, inc := range t.fencedGuards {
 		r := t.reports[inc]
-		proof = proof && r.FloorMs <= c.job.birthMs
+		provesNotRun = provesNotRun && r.FloorMs <= c.job.createdMs
 		for _, s := range r.Started {
 			if s.Ref.Key != c.job.key {
 				continue
@@ -87,44 +87,44 @@
 	}
 	holders = slices.Compact(holders)
 	switch {
-	case started == 0 && proof:
-		e.jobs[c.job.key] = &held{answer: &answer{kind: errkind.NotRun, ran: errkind.RanNo}}
-		e.w.answer(c, e.jobs[c.job.key].answer)
+	case started == 0 && provesNotRun:
+		e.jobs[c.job.key] = &jobRecord{answer: &answer{kind: errkind.NotRun, ran: errkind.RanNo}}
+		e.sim.answer(c, e.jobs[c.job.key].answer)
 	case finished == len(c.job.req.Tasks):
-		e.startCollect(t, c, holders)
+		e.collectResults(t, c, holders)
 	default:
-		e.w.answer(c, unknownAnswer)
+		e.sim.answer(c, unknownAnswer)
 	}
 }
 
 // unknownAnswer is what can be said of a job whose tasks cannot all be traced.
 var unknownAnswer = &answer{kind: errkind.OutcomeUnknown, ran: errkind.RanUnknown}
 
-func (e *entry) startCollect(t *takeover, c *call, holders []identity.Incarnation) {
-	t.collect[c.job.key] = &collection{call: c, open: len(holders), results: make(map[int]wire.Result)}
+func (e *entry) collectResults(t *takeover, c *call, holders []identity.Incarnation) {
+	t.collections[c.job.key] = &collection{call: c, pendingGuards: len(holders), results: make(map[int]wire.Result)}
 	for _, inc := range holders {
-		e.links[inc].toGuard(&wire.Frame{Collect: &wire.Collect{Member: c.job.member, Key: c.job.key}})
+		e.links[inc].sendToGuard(&wire.Frame{Collect: &wire.Collect{Member: c.job.member, Key: c.job.key}})
 	}
 }
 
-// collected takes the results that one guard holds.
-func (e *entry) collected(msg *wire.Collected) {
-	for gone, t := range e.takeovers {
-		col := t.collect[msg.Key]
+// handleCollected takes the results that one guard holds.
+func (e *entry) handleCollected(msg *wire.Collected) {
+	for deadHome, t := range e.takeovers {
+		col := t.collections[msg.Key]
 		if col == nil {
 			continue
 		}
 		for _, r := range msg.Results {
 			col.results[r.Ref.Task] = r
 		}
-		if col.open--; col.open > 0 {
+		if col.pendingGuards--; col.pendingGuards > 0 {
 			return
 		}
-		delete(t.collect, msg.Key)
-		if len(t.collect)+len(t.calls) == 0 {
-			delete(e.takeovers, gone)
+		delete(t.collections, msg.Key)
+		if len(t.collections)+len(t.calls) == 0 {
+			delete(e.takeovers, deadHome)
 		}
-		e.w.answer(col.call, col.answer())
+		e.sim.answer(col.call, col.answer())
 		return
 	}
 }
--- a/internal/replay/tally.go
+++ b/internal/replay/tally.go
@@ -9,28 +9,28 @@
 // second is the width of the buckets in which starts are counted by worker.
 const second = time.Second
 
-// tally counts what a replay's measures are made of.
-type tally struct {
-	w        *world
-	messages map[string]int
-	runs     int
-	busy     time.Duration // time on upstreams inside the measured window
-	failed   int           // runs on a failing upstream after failSettle
-	after    int           // all runs in that time
-	retries  map[string]int
-	starts   map[string][]int // by worker and second
-	failFrom time.Time        // first moment at which an upstream failed
+// counters counts what a replay's measures are made of.
+type counters struct {
+	sim              *simulation
+	messages         map[string]int
+	runs             int
+	busyTime         time.Duration // time on upstreams inside the measured window
+	failedRuns       int           // runs on a failing upstream after failureDetectionDelay
+	runsAfterFailure int           // all runs in that time
+	retries          map[string]int
+	startsPerSecond  map[string][]int // by worker and second
+	firstFailureAt   time.Time        // first moment at which an upstream failed
 }
 
-func (t *tally) init(w *world) {
-	t.w = w
+func (t *counters) init(sim *simulation) {
+	t.sim = sim
 	t.messages = make(map[string]int)
 	t.retries = make(map[string]int)
-	t.starts = make(map[string][]int)
+	t.startsPerSecond = make(map[string][]int)
 }
 
-// frame counts a message between an entry and a guard.
-func (t *tally) frame(f *wire.Frame) {
+// recordFrame counts a message between an entry and a guard.
+func (t *counters) countFrame(f *wire.Frame) {
 	kind := "other"
 	switch {
 	case f.Start != nil:
@@ -49,7 +49,7 @@
 	t.messages[kind]++
 }
 
-func (t *tally) total() int {
+func (t *counters) totalMessages() int {
 	sum := 0
 	for _, n := range t.messages {
 		sum += n
@@ -57,27 +57,27 @@
 	return sum
 }
 
-// ran notes a run that begins now.
-func (t *tally) ran(g *guard, now time.Time, took time.Duration) {
+// recordRun notes a run that begins now.
+func (t *counters) recordRun(g *guard, now time.Time, runTime time.Duration) {
 	t.runs++
-	from, until := t.w.window()
-	t.busy += overlap(now, now.Add(took), from, until)
-	if !t.failFrom.IsZero() && now.Sub(t.failFrom) > failSettle {
-		t.after++
-		if g.failing {
-			t.failed++
+	from, until := t.sim.measuredWindow()
+	t.busyTime += overlap(now, now.Add(runTime), from, until)
+	if !t.firstFailureAt.IsZero() && now.Sub(t.firstFailureAt) > failureDetectionDelay {
+		t.runsAfterFailure++
+		if g.isFailing {
+			t.failedRuns++
 		}
 	}
-	at := int(now.Sub(t.w.begin) / second)
-	if at < 0 {
+	sec := int(now.Sub(t.sim.traceStart) / second)
+	if sec < 0 {
 		return
 	}
-	s := t.starts[g.def.Name]
-	for len(s) <= at {
-		s = append(s, 0)
+	starts := t.startsPerSecond[g.config.Name]
+	for len(starts) <= sec {
+		starts = append(starts, 0)
 	}
-	s[at]++
-	t.starts[g.def.Name] = s
+	starts[sec]++
+	t.startsPerSecond[g.config.Name] = starts
 }
 
 // overlap is the time that two intervals share.
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -28,7 +28,7 @@
 	Limits  []Limit
 	// From and Until bound the arrivals that the measures count; a zero Until
 	// counts to the end. What comes earlier warms the learned figures up.
-	From, Until time.Duration
+	MeasureFrom, MeasureUntil time.Duration
 }
 
 // Delays of messages, one way.
@@ -81,14 +81,14 @@
 
 // Event is one thing that happens at a moment.
 type Event struct {
-	At      time.Duration
-	Op      Op
-	Target  string // process, worker or job
-	Other   string // second process, or the entry that is asked
-	Factor  float64
-	Request *Request
-	Want    *Want
-	Policy  *dispatch.Policy
+	At         time.Duration
+	Op         Op
+	Target     string // process, worker or job
+	Other      string // second process, or the entry that is asked
+	SlowFactor float64
+	Request    *Request
+	Want       *Want
+	Policy     *dispatch.Policy
 }
 
 // Request is one submission of a job.
@@ -120,14 +120,14 @@
 
 // Load is generated background traffic.
 type Load struct {
-	From, For time.Duration
-	Offered   float64 // share of all slots that the work needs
-	Seed      uint64
-	Teams     []string // drawn evenly; empty for none
-	Deadline  time.Duration
-	MinTask   time.Duration
-	MaxTask   time.Duration
-	MaxJob    int     // most tasks in a job; 0 for the usual mix
-	Cancel    float64 // share of jobs that are cancelled
-	Wave      time.Duration
+	Start, Duration time.Duration
+	OfferedShare    float64 // share of all slots that the work needs
+	Seed            uint64
+	Teams           []string // drawn evenly; empty for none
+	Deadline        time.Duration
+	MinRunTime      time.Duration
+	MaxRunTime      time.Duration
+	MaxTasksPerJob  int     // most tasks in a job; 0 for the usual mix
+	CancelShare     float64 // share of jobs that are cancelled
+	CancelInterval  time.Duration
 }
--- a/internal/replay/words.go
+++ b/internal/replay/words.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// errEnd reports a line that ends too early.
-var errEnd = errors.New("the line ends too early")
+// errLineTooShort reports a line that ends too early.
+var errLineTooShort = errors.New("the line ends too early")
 
 // words are the words of one line that were not read yet.
 type words []string
 
 func (w *words) next() (string, error) {
 	if len(*w) == 0 {
-		return "", errEnd
+		return "", errLineTooShort
 	}
 	first := (*w)[0]
 	*w = (*w)[1:]
@@ -46,8 +46,8 @@
 	return f, nil
 }
 
-// skip passes over a word that must come next.
-func (w *words) skip(word string) error {
+// expect passes over a word that must come next.
+func (w *words) expect(word string) error {
 	s, err := w.next()
 	if err == nil && s != word {
 		err = fmt.Errorf("want %q, got %q", word, s)
@@ -55,22 +55,22 @@
 	return err
 }
 
-// setting reads the value of one named setting.
-type setting func(*words) error
+// settingReader reads the value of one named setting.
+type settingReader func(*words) error
 
-func toDuration(d *time.Duration) setting {
+func intoDuration(d *time.Duration) settingReader {
 	return func(w *words) (err error) { *d, err = w.duration(); return err }
 }
 
-func toFloat(f *float64) setting {
+func intoFloat(f *float64) settingReader {
 	return func(w *words) (err error) { *f, err = w.number(); return err }
 }
 
-func toString(s *string) setting {
+func intoString(s *string) settingReader {
 	return func(w *words) (err error) { *s, err = w.next(); return err }
 }
 
-func toInt(n *int) setting {
+func intoInt(n *int) settingReader {
 	return func(w *words) error {
 		f, err := w.number()
 		*n = int(f)
@@ -78,11 +78,11 @@
 	}
 }
 
-// settings reads pairs of a name and its value until the line ends or a word
+// readSettings reads pairs of a name and its value until the line ends or a word
 // comes that is no name.
-func (w *words) settings(known map[string]setting) error {
+func (w *words) readSettings(readers map[string]settingReader) error {
 	for len(*w) > 0 {
-		read, ok := known[(*w)[0]]
+		read, ok := readers[(*w)[0]]
 		if !ok {
 			return nil
 		}
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// done fails if words are left.
-func (w *words) done() error {
+// expectEnd fails if words are left.
+func (w *words) expectEnd() error {
 	if len(*w) > 0 {
 		return fmt.Errorf("unknown word %q", (*w)[0])
 	}
--- a/internal/replay/workload.go
+++ b/internal/replay/workload.go
@@ -7,105 +7,105 @@
 	"time"
 )
 
-// tailIndex of the bounded Pareto distribution of run times: with 50 ms to 1 s
+// paretoShape of the bounded Pareto distribution of run times: with 50 ms to 1 s
 // the mean is 147 ms and the median 90 ms.
-const tailIndex = 1.1
+const paretoShape = 1.1
 
 // Job sizes of the usual mix.
 const (
-	singleShare = 0.5 // jobs of one task
-	smallShare  = 0.4 // jobs of 2 to smallMost tasks; the rest are big
-	smallMost   = 8
-	bigMost     = 40
+	singleTaskShare  = 0.5 // jobs of one task
+	smallJobShare    = 0.4 // jobs of 2 to maxSmallJobTasks tasks; the rest are big
+	maxSmallJobTasks = 8
+	maxLargeJobTasks = 40
 )
 
-// meanJobTasks is the mean of the usual mix.
-const meanJobTasks = singleShare + smallShare*(2+smallMost)/2 + (1-singleShare-smallShare)*(smallMost+1+bigMost)/2
+// meanTasksPerJob is the mean of the usual mix.
+const meanTasksPerJob = singleTaskShare + smallJobShare*(2+maxSmallJobTasks)/2 + (1-singleTaskShare-smallJobShare)*(maxSmallJobTasks+1+maxLargeJobTasks)/2
 
-// drawTime draws a run time.
-func drawTime(rng *rand.Rand, lo, hi time.Duration) time.Duration {
+// sampleRunTime draws a run time.
+func sampleRunTime(rng *rand.Rand, lo, hi time.Duration) time.Duration {
 	if lo >= hi {
 		return lo
 	}
-	r := math.Pow(float64(lo)/float64(hi), tailIndex)
+	r := math.Pow(float64(lo)/float64(hi), paretoShape)
 	u := rng.Float64()
-	return time.Duration(float64(lo) * math.Pow(1-u*(1-r), -1/tailIndex)).Round(time.Microsecond)
+	return time.Duration(float64(lo) * math.Pow(1-u*(1-r), -1/paretoShape)).Round(time.Microsecond)
 }
 
-// meanTime is the mean of drawTime, in seconds.
-func meanTime(lo, hi time.Duration) float64 {
+// meanRunTime is the mean of sampleRunTime, in seconds.
+func meanRunTime(lo, hi time.Duration) float64 {
 	l, h := lo.Seconds(), hi.Seconds()
 	if l >= h {
 		return l
 	}
-	a := tailIndex
+	a := paretoShape
 	la := math.Pow(l, a)
 	return la / (1 - math.Pow(l/h, a)) * a / (a - 1) * (math.Pow(l, 1-a) - math.Pow(h, 1-a))
 }
 
-func drawJobSize(rng *rand.Rand, most int) int {
-	n, u := 1, rng.Float64()
+func sampleJobSize(rng *rand.Rand, maxTasks int) int {
+	tasks, u := 1, rng.Float64()
 	switch {
-	case u < singleShare:
-	case u < singleShare+smallShare:
-		n = 2 + rng.IntN(smallMost-1)
+	case u < singleTaskShare:
+	case u < singleTaskShare+smallJobShare:
+		tasks = 2 + rng.IntN(maxSmallJobTasks-1)
 	default:
-		n = smallMost + 1 + rng.IntN(bigMost-smallMost)
+		tasks = maxSmallJobTasks + 1 + rng.IntN(maxLargeJobTasks-maxSmallJobTasks)
 	}
-	if most > 0 {
-		n = min(n, most)
+	if maxTasks > 0 {
+		tasks = min(tasks, maxTasks)
 	}
-	return n
+	return tasks
 }
 
-// declaredError is the factor by which declared run times are off, either way.
-const declaredError = 8
+// maxDeclaredError is the factor by which declared run times are off, either way.
+const maxDeclaredError = 8
 
-// expand turns a load into submissions: Poisson arrivals, entries drawn evenly
+// events turns a load into submissions: Poisson arrivals, entries drawn evenly
 // as by a balancer, run times declared that are far off.
-func (l *Load) expand(index int, t *Trace) []Event {
+func (l *Load) events(index int, t *Trace) []Event {
 	rng := rand.New(rand.NewPCG(l.Seed, uint64(index)))
 	var slots int
 	for _, w := range t.Workers {
 		slots += w.Slots
 	}
-	mean := meanJobTasks
-	if l.MaxJob == 1 {
-		mean = 1
+	meanTasks := meanTasksPerJob
+	if l.MaxTasksPerJob == 1 {
+		meanTasks = 1
 	}
-	perSecond := l.Offered * float64(slots) / (mean * meanTime(l.MinTask, l.MaxTask))
+	jobsPerSecond := l.OfferedShare * float64(slots) / (meanTasks * meanRunTime(l.MinRunTime, l.MaxRunTime))
 	var out []Event
-	for at := l.From; ; {
-		at += time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))
-		if at >= l.From+l.For {
+	for at := l.Start; ; {
+		at += time.Duration(rng.ExpFloat64() / jobsPerSecond * float64(time.Second))
+		if at >= l.Start+l.Duration {
 			return out
 		}
-		out = append(out, l.submission(rng, t, at, fmt.Sprintf("load%d-%d", index, len(out)))...)
+		out = append(out, l.jobEvents(rng, t, at, fmt.Sprintf("load%d-%d", index, len(out)))...)
 	}
 }
 
-func (l *Load) submission(rng *rand.Rand, t *Trace, at time.Duration, name string) []Event {
+func (l *Load) jobEvents(rng *rand.Rand, t *Trace, at time.Duration, name string) []Event {
 	r := &Request{Job: name, Deadline: l.Deadline}
 	if len(l.Teams) > 0 {
 		r.Team = l.Teams[rng.IntN(len(l.Teams))]
 	}
-	for range drawJobSize(rng, l.MaxJob) {
-		r.Tasks = append(r.Tasks, drawTime(rng, l.MinTask, l.MaxTask))
+	for range sampleJobSize(rng, l.MaxTasksPerJob) {
+		r.Tasks = append(r.Tasks, sampleRunTime(rng, l.MinRunTime, l.MaxRunTime))
 	}
-	r.Declared = time.Duration(float64(r.Tasks[0]) * math.Pow(declaredError, 2*rng.Float64()-1))
+	r.Declared = time.Duration(float64(r.Tasks[0]) * math.Pow(maxDeclaredError, 2*rng.Float64()-1))
 	entry := t.Entries[rng.IntN(len(t.Entries))].Name
 	out := []Event{{At: at, Op: OpSubmit, Target: name, Other: entry, Request: r}}
-	if rng.Float64() < l.Cancel {
-		out = append(out, Event{At: l.cancelAt(at, rng), Op: OpCancel, Target: name, Other: entry})
+	if rng.Float64() < l.CancelShare {
+		out = append(out, Event{At: l.sampleCancelTime(at, rng), Op: OpCancel, Target: name, Other: entry})
 	}
 	return out
 }
 
-// cancelAt draws the moment of a cancel: with waves, all cancels of a period
+// sampleCancelTime draws the moment of a cancel: with waves, all cancels of a period
 // come together at its end.
-func (l *Load) cancelAt(at time.Duration, rng *rand.Rand) time.Duration {
-	if l.Wave > 0 {
-		return (at/l.Wave + 1) * l.Wave
+func (l *Load) sampleCancelTime(at time.Duration, rng *rand.Rand) time.Duration {
+	if l.CancelInterval > 0 {
+		return (at/l.CancelInterval + 1) * l.CancelInterval
 	}
-	return at + time.Duration(rng.Int64N(int64(l.MaxTask)))
+	return at + time.Duration(rng.Int64N(int64(l.MaxRunTime)))
 }
