--- a/internal/replay/clock.go
+++ b/internal/replay/clock.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// epoch is the moment zero of every replay.
+// epoch is the simulated time at which every replay starts.
 var epoch = time.Unix(1_790_000_000, 0)
 
-// clock is the event queue: it runs events in order of time, and equal times
-// in the order in which they were added.
+// clock is the simulated clock and its event queue. It runs events in order of
+// time, and events of the same time in the order in which they were added.
 type clock struct {
 	now   time.Time
 	queue eventHeap
@@ -22,7 +22,7 @@
 	run   func()
 }
 
-// at runs f at the moment t, or now if t has passed.
+// at schedules f for time t, or for the current time if t has passed.
 func (c *clock) at(t time.Time, f func()) {
 	if t.Before(c.now) {
 		t = c.now
@@ -31,9 +31,10 @@
 	heap.Push(&c.queue, event{dueAt: t, seq: c.seq, run: f})
 }
 
+// after schedules f to run after d.
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now.Add(d), f) }
 
-// step runs the next event that is due by end.
+// step runs the next event that is due by end and reports whether there was one.
 func (c *clock) step(end time.Time) bool {
 	if len(c.queue) == 0 || c.queue[0].dueAt.After(end) {
 		return false
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -12,28 +12,29 @@
 	"wigeontray/internal/dispatch"
 )
 
-// Placements in the order of the comparison.
+// placements lists the placement policies in the order of the comparison.
 var placements = []dispatch.Placement{
 	dispatch.Random, dispatch.TwoChoices, dispatch.TwoChoicesLoad,
 	dispatch.LeastKnown, dispatch.LateBinding, dispatch.Chosen,
 }
 
-// runSpec is one cell of the comparison.
+// runSpec is one replay to run: a trace and its options.
 type runSpec struct {
 	trace *Trace
 	opt   Options
 }
 
-// CompareOptions chooses what Compare runs. Zero means everything.
+// CompareOptions selects what Compare runs. The zero value selects all
+// generated workloads and placements.
 type CompareOptions struct {
 	Seed   uint64
-	Only   string   // part of a trace's or placement's name
-	Traces []*Trace // besides the generated workloads
+	Only   string   // substring of the trace or placement names to run
+	Traces []*Trace // run in addition to the generated workloads
 	JSON   bool
 }
 
-// Compare replays every workload under every placement and writes the figures.
-// The same seed gives the same figures.
+// Compare replays every workload with every placement and writes the measured
+// values. The same seed gives the same values.
 func Compare(out io.Writer, opt CompareOptions) error {
 	reports, err := runAll(comparisonRuns(opt))
 	if err != nil {
@@ -45,8 +46,9 @@
 	return writeTable(out, reports)
 }
 
-// comparisonRuns lists the runs: each site's workloads under each placement with the
-// site's own weighting, and the chosen one under the other weighting too.
+// comparisonRuns lists the replays of a comparison: the workloads of each site
+// with each placement and the weighting of the site, and with the default
+// placement and the other weighting.
 func comparisonRuns(opt CompareOptions) []runSpec {
 	var specs []runSpec
 	for _, site := range []Site{Ayni, Leeuwin} {
@@ -60,6 +62,7 @@
 	return specs
 }
 
+// comparisonVariants lists the replays of one trace.
 func comparisonVariants(t *Trace, opt CompareOptions) []runSpec {
 	var specs []runSpec
 	otherWeighting := dispatch.WeighMessages
@@ -77,7 +80,8 @@
 	return specs
 }
 
-// runAll replays in parallel; the order of the reports is that of the runs.
+// runAll runs replays in parallel, at most GOMAXPROCS at a time. The reports are
+// in the order of runs.
 func runAll(runs []runSpec) ([]*Report, error) {
 	reports, errs := make([]*Report, len(runs)), make([]error, len(runs))
 	var wg sync.WaitGroup
@@ -107,14 +111,14 @@
 	return nil
 }
 
-// Heads of the two tables. Their rows are the same runs in the same order.
+// Headers of the two tables. Both tables have the same replays in the same order.
 const (
 	responseHeader = "trace\tplacement\tweighting\tjobs\tserved\tover ideal p50\tp95\tp99\tover fair ideal p50\tp99\tms p50\tp99\tmessages/task\twasted"
 	capacityHeader = "trace\tplacement\tweighting\tused\tgoodput\tfairness\ton failing\tlate ms\teven after s\tpeak\tchecks\trefusals\tretries"
 )
 
-// writeTable writes the reports as two tables: response and messages, then
-// capacity, recovery and what was refused or retried.
+// writeTable writes the reports as two tables: response times and messages, then
+// capacity, recovery, refusals and retries.
 func writeTable(out io.Writer, reports []*Report) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, responseHeader)
@@ -137,7 +141,8 @@
 	return nil
 }
 
-// checkSummary tells in a word whether the replay's promises and outcomes held.
+// checkSummary returns "ok", or the counts of violated invariants and unmet
+// outcomes.
 func (r *Report) checkSummary() string {
 	if r.OK() {
 		return "ok"
--- a/internal/replay/entry.go
+++ b/internal/replay/entry.go
@@ -10,7 +10,7 @@
 	"wigeontray/internal/wire"
 )
 
-// entry is an entry process: the Core and a small registry of jobs.
+// entry simulates an entry process: a dispatch.Core and a simplified job registry.
 type entry struct {
 	process
 	sim         *simulation
@@ -19,21 +19,21 @@
 	incarnation identity.Incarnation
 	core        *dispatch.Core
 	jobs        map[string]*jobRecord
-	links       map[identity.Incarnation]*link // by guard, once it said Hello
+	links       map[identity.Incarnation]*link // by guard, from the receipt of its Hello
 	takeovers   map[identity.Incarnation]*takeover
 	isDraining  bool
-	pausedAt    time.Time     // begin of the newest pause
-	pausedTime  time.Duration // time spent paused
+	pausedAt    time.Time     // start of the latest pause
+	pausedTime  time.Duration // total time of the ended pauses
 	nextTick    time.Time
 }
 
-// jobRecord is what the registry knows of one identity.
+// jobRecord is the registry entry of one job key.
 type jobRecord struct {
 	answer       *answer // nil while the job runs
 	waitingCalls []*call
 }
 
-// answer is what a caller gets.
+// answer is the response to a caller.
 type answer struct {
 	kind       errkind.Kind
 	ran        errkind.Ran
@@ -42,6 +42,7 @@
 	failures   []dispatch.TaskFailure
 }
 
+// boot starts a new incarnation of the entry with empty state.
 func (e *entry) boot() {
 	e.start()
 	e.incarnation = identity.Incarnation(fmt.Sprintf("%s-%d", e.config.Name, e.generation))
@@ -91,7 +92,8 @@
 	e.applyActions()
 }
 
-// submit takes a caller's request.
+// submit handles the request of a caller. A job with a record is not dispatched
+// again: the call gets the stored answer or waits for it.
 func (e *entry) submit(c *call) {
 	if record := e.jobs[c.job.key]; record != nil {
 		if record.answer != nil {
@@ -130,8 +132,8 @@
 	return s
 }
 
-// forward passes a request on to the entry that minted its identity. When that
-// incarnation is gone, its guards are asked.
+// forward sends a request to the home of its job, the entry that issued the job
+// key. If that incarnation has terminated, the outcome is collected from the guards.
 func (e *entry) forward(c *call) {
 	homeEntry := e.sim.entryByIncarnation(c.job.home)
 	if homeEntry == nil || !homeEntry.isAlive {
@@ -152,6 +154,7 @@
 	e.applyActions()
 }
 
+// completeJob stores the answer of a job and sends it to all waiting calls.
 func (e *entry) completeJob(record *jobRecord, a *answer) {
 	record.answer = a
 	for _, c := range record.waitingCalls {
@@ -160,7 +163,7 @@
 	record.waitingCalls = nil
 }
 
-// applyActions carries out the core's actions and sets its next tick.
+// applyActions performs the pending actions of the core and schedules its next tick.
 func (e *entry) applyActions() {
 	for _, a := range e.core.Actions() {
 		e.applyAction(&a)
@@ -186,7 +189,7 @@
 	}
 	l := e.links[a.Guard]
 	if l == nil || l.guard.incarnation != a.Guard {
-		return // the guard was restarted meanwhile
+		return // the guard was restarted in the meantime
 	}
 	switch {
 	case a.Start != nil:
--- a/internal/replay/fairness.go
+++ b/internal/replay/fairness.go
@@ -7,8 +7,9 @@
 	"wigeontray/internal/dispatch"
 )
 
-// jainIndex is Jain's index over what each team got of what it was entitled to: 1
-// when all got the same share, 1/n when one got all.
+// jainIndex returns Jain's fairness index over the ratio of served work to fair
+// share of each team: 1 if all ratios are equal, 1/n if one of n teams got
+// everything.
 func jainIndex(served, fairShares map[string]float64) float64 {
 	var sum, squares float64
 	n := 0
@@ -24,8 +25,9 @@
 	return sum * sum / (float64(n) * squares)
 }
 
-// fairShares is the max-min fair share of the capacity by weight: nobody gets
-// more than it offers, and what one leaves goes to the others.
+// fairShares returns the weighted max-min fair shares of the capacity. No team
+// gets more than its demand, and the capacity that a team leaves unused is
+// divided among the others.
 func fairShares(demand map[string]float64, quotas map[string]dispatch.Quota, capacity float64) map[string]float64 {
 	shares := make(map[string]float64)
 	unsatisfied := slices.Sorted(maps.Keys(demand))
@@ -55,6 +57,7 @@
 	return shares
 }
 
+// teamWeight returns the weight of a team in its quota, or 1 if none is set.
 func teamWeight(quotas map[string]dispatch.Quota, team string) float64 {
 	if w := quotas[team].Weight; w > 0 {
 		return w
--- a/internal/replay/faults.go
+++ b/internal/replay/faults.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// apply carries out one event of the trace.
+// apply performs one event of the trace.
 func (sim *simulation) apply(ev *Event) error {
 	switch ev.Op {
 	case OpSubmit, OpResubmit:
@@ -23,7 +23,7 @@
 	if g := sim.findGuard(ev.Target); g != nil {
 		return g.apply(ev)
 	}
-	return fmt.Errorf("%s: no process %q", ev.Op, ev.Target)
+	return fmt.Errorf("%s: unknown process %q", ev.Op, ev.Target)
 }
 
 func (sim *simulation) findEntry(name string) *entry {
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// pause stops the process. Its peers close the links when it stays silent
-// for linkTimeout.
+// pause suspends the process. Its links are closed if it is still suspended
+// after linkTimeout, as its peers then receive nothing from it.
 func (p *process) pause(sim *simulation, matches func(*link) bool) {
 	p.isPaused = true
 	p.pauseCount++
@@ -128,8 +128,8 @@
 	}
 }
 
-// applyLinkEvent cuts, heals or resets the links between two processes; a failure
-// domain's name stands for all its processes, and "*" for all.
+// applyLinkEvent cuts, heals or resets the links between two processes. The name
+// of a failure domain selects all its processes, and "*" all processes.
 func (sim *simulation) applyLinkEvent(ev *Event) error {
 	found := false
 	for _, l := range sim.links {
@@ -162,8 +162,9 @@
 	return name == "*" || name == l.guard.config.Name || name == l.guard.config.Domain
 }
 
-// applyStoreEvent models the platform's store. An amendment during an outage is
-// repeated by its operator until the store takes it.
+// applyStoreEvent simulates the configuration store of the platform. An update
+// during an outage takes effect at its end, as operators retry it until the
+// store accepts it.
 func (sim *simulation) applyStoreEvent(ev *Event) {
 	switch ev.Op {
 	case OpStoreDown:
--- a/internal/replay/guard.go
+++ b/internal/replay/guard.go
@@ -10,10 +10,10 @@
 	"wigeontray/internal/wire"
 )
 
-// failedTaskRunTime is how long a broken upstream takes to fail a task.
+// failedTaskRunTime is the run time of a task on a failing upstream.
 const failedTaskRunTime = time.Millisecond
 
-// guard is a guard process with its upstream.
+// guard simulates a guard process and its upstream.
 type guard struct {
 	process
 	sim         *simulation
@@ -21,13 +21,15 @@
 	incarnation identity.Incarnation
 	ledger      *ledger.Ledger
 	links       []*link
-	nextTick    time.Time // moment of the tick that is set
+	nextTick    time.Time // scheduled tick of the ledger; zero if none
 
 	isFailing     bool
-	runTimeFactor float64   // of run times
-	failingSince  time.Time // since when it fails
+	runTimeFactor float64   // multiplies run times; above 1 on a slow upstream
+	failingSince  time.Time // start of the latest failure
 }
 
+// boot starts a new incarnation of the guard with an empty ledger and dials all
+// entries.
 func (g *guard) boot() {
 	g.start()
 	g.incarnation = identity.Incarnation(fmt.Sprintf("%s-%d", g.config.Name, g.generation))
@@ -74,7 +76,7 @@
 	g.applyActions()
 }
 
-// applyActions carries out the ledger's actions and sets its next tick.
+// applyActions performs the pending actions of the ledger and schedules its next tick.
 func (g *guard) applyActions() {
 	for _, a := range g.ledger.Actions() {
 		g.reportRefusal(a.Send)
@@ -102,7 +104,7 @@
 	}))
 }
 
-// runTask is the upstream.
+// runTask simulates the upstream: it reports the result of a task after its run time.
 func (g *guard) runTask(r *ledger.Run) {
 	g.sim.recordStart(g, r.Ref)
 	runDuration := time.Duration(float64(g.sim.runTime(r.Ref)) * g.runTimeFactor)
@@ -119,6 +121,7 @@
 	}))
 }
 
+// reportRefusal records a result that reports a task as not run for the checks.
 func (g *guard) reportRefusal(s *ledger.Send) {
 	if s != nil && s.Frame.Result != nil && s.Frame.Result.Ran == errkind.RanNo {
 		g.sim.checker.recordRefusal(g.incarnation, s.Frame.Result.Ref)
--- a/internal/replay/ideal.go
+++ b/internal/replay/ideal.go
@@ -7,9 +7,9 @@
 	"wigeontray/internal/sched"
 )
 
-// idealResponseTimes gives the response time of every job under one central queue with no
-// delay, no failure and no refusal, in order of arrival: the figure that no
-// real dispatcher with the same order reaches.
+// idealResponseTimes returns the response time of each job with one central FIFO
+// queue and no delays, failures or refusals. It is a lower bound for dispatchers
+// that use the same order.
 func idealResponseTimes(jobs []Event, slots int) map[string]time.Duration {
 	return simulateCentralQueue(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
 		for i := range j.req.Tasks {
@@ -18,8 +18,9 @@
 	})
 }
 
-// idealFairResponseTimes is ideal with the order of the product's own queue: fair over
-// teams, small jobs past the tail of big ones.
+// idealFairResponseTimes is like idealResponseTimes, but with the order of the
+// dispatch queue: fair between teams, and with small jobs ahead of the last tasks
+// of large ones.
 func idealFairResponseTimes(jobs []Event, slots int) map[string]time.Duration {
 	return simulateCentralQueue(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
 		spacing := sched.Spacing(j.req.Deadline, len(j.req.Tasks))
@@ -42,7 +43,7 @@
 	task int
 }
 
-// completion is a run that ends at a moment.
+// completion is the end of a task run.
 type completion struct {
 	at  time.Duration
 	job *centralJob
@@ -61,6 +62,9 @@
 	return c
 }
 
+// simulateCentralQueue runs the submissions in jobs on the given number of slots
+// and returns the response times by job name. The order of the queue follows from
+// push.
 func simulateCentralQueue(jobs []Event, slots int, push func(*sched.Queue[centralTask], *centralJob)) map[string]time.Duration {
 	var (
 		queue         sched.Queue[centralTask]
--- a/internal/replay/link.go
+++ b/internal/replay/link.go
@@ -8,15 +8,16 @@
 
 // Timing of links.
 const (
-	// linkTimeout is when a silent peer's link is closed. Package wire notices a
-	// peer that was given work much sooner, within wire.NoticeWithin; the stated
-	// outcomes of the traces are those of this longer time.
+	// linkTimeout is the time without messages after which the link to a peer is
+	// closed. Package wire detects a peer that does not respond to work much
+	// sooner, within wire.NoticeWithin; the outcomes stated in the traces hold for
+	// this longer timeout.
 	linkTimeout    = 20 * time.Second
 	redialInterval = 100 * time.Millisecond
 )
 
-// link joins an entry and a guard. Frames arrive in order, after a delay, and
-// are lost when the link breaks.
+// link connects an entry and a guard. Frames arrive in order, after a delay, and
+// are lost if the link breaks.
 type link struct {
 	sim        *simulation
 	entry      *entry
@@ -26,10 +27,11 @@
 	session    int
 	isCut      bool
 	cutCount   int
-	heldFrames []func() // frames that wait for the end of a cut
+	heldFrames []func() // frames to deliver after the end of a cut
 }
 
-// transmit delivers after the link's delay, unless the link breaks first.
+// transmit runs deliver at the receiver after the delay of the link, or after the
+// end of a cut. It drops the frame if the link is down or breaks before then.
 func (l *link) transmit(to *process, deliver func()) {
 	if !l.isUp {
 		return
@@ -53,20 +55,22 @@
 	})
 }
 
-// sendToEntry and sendToGuard send one frame.
+// sendToEntry sends a frame from the guard to the entry.
 func (l *link) sendToEntry(f *wire.Frame) {
 	l.sim.recordFrame(f)
 	from := l.guard.incarnation
 	l.transmit(&l.entry.process, func() { l.entry.receive(from, f) })
 }
 
+// sendToGuard sends a frame from the entry to the guard.
 func (l *link) sendToGuard(f *wire.Frame) {
 	l.sim.recordFrame(f)
 	from := l.entry.incarnation
 	l.transmit(&l.guard.process, func() { l.guard.receive(from, f) })
 }
 
-// dial opens the link as soon as both ends live and can reach each other.
+// dial opens the link, and retries every redialInterval until both processes run
+// and can reach each other.
 func (l *link) dial() {
 	if l.isUp {
 		return
@@ -86,7 +90,8 @@
 	return e.isAlive && g.isAlive && !e.isPaused && !g.isPaused && !l.isCut
 }
 
-// disconnect ends the link at both ends, with what is on it.
+// disconnect closes the link at both ends, drops the frames in transit and
+// schedules a new dial.
 func (l *link) disconnect() {
 	if !l.isUp {
 		return
@@ -99,6 +104,8 @@
 	l.sim.clock.after(redialInterval, l.dial)
 }
 
+// setCut starts or ends a cut, during which frames are delayed. The link is
+// closed if the cut lasts for linkTimeout.
 func (l *link) setCut(isCut bool) {
 	if l.isCut == isCut {
 		return
--- a/internal/replay/main.go
+++ b/internal/replay/main.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// ErrUnmet reports a replay that broke a promise or missed a stated outcome.
-// Commands exit with a non-zero code on it.
+// ErrUnmet is returned if a replay violated an invariant or did not meet a stated
+// outcome. Commands exit with a non-zero code on it.
 var ErrUnmet = errors.New("stated outcomes were not met")
 
 // LoadFile reads a trace from a file.
@@ -36,8 +36,8 @@
 	return out, nil
 }
 
-// Main replays trace files, writes the reports as a table or as JSON, and
-// returns ErrUnmet when any of them broke a promise or missed what it states.
+// Main replays trace files, writes the reports as a table or as JSON, and returns
+// ErrUnmet if any replay violated an invariant or did not meet a stated outcome.
 func Main(out io.Writer, paths []string, seed uint64, asJSON bool) error {
 	traces, err := LoadFiles(paths)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return checkReports(reports)
 }
 
-// writeOutcomes writes the table and then each broken promise and missed
-// outcome on a line of its own.
+// writeOutcomes writes the table, followed by one line for each violated
+// invariant and each unmet outcome.
 func writeOutcomes(out io.Writer, reports []*Report) error {
 	if err := writeTable(out, reports); err != nil {
 		return err
@@ -81,6 +81,7 @@
 	return nil
 }
 
+// checkReports returns ErrUnmet for the first report that is not OK.
 func checkReports(reports []*Report) error {
 	for _, r := range reports {
 		if !r.OK() {
--- a/internal/replay/parse.go
+++ b/internal/replay/parse.go
@@ -9,7 +9,7 @@
 	"wigeontray/internal/dispatch"
 )
 
-// Parse reads the text form of a trace. Errors name the line.
+// Parse reads a trace in its text form. Errors contain the line number.
 func Parse(name string, r io.Reader) (*Trace, error) {
 	t := &Trace{Name: name, Policy: dispatch.DefaultPolicy(), Delays: DefaultDelays}
 	sc := bufio.NewScanner(r)
@@ -29,6 +29,7 @@
 	return t, nil
 }
 
+// readLine parses one line of a trace.
 func (t *Trace) readLine(w *words) error {
 	word, _ := w.next()
 	var err error
@@ -58,7 +59,7 @@
 	case "at":
 		err = t.readEvent(w)
 	default:
-		err = fmt.Errorf("unknown line %q", word)
+		err = fmt.Errorf("unknown statement %q", word)
 	}
 	if err != nil {
 		return err
--- a/internal/replay/parse_event.go
+++ b/internal/replay/parse_event.go
@@ -12,7 +12,7 @@
 	"wigeontray/internal/errkind"
 )
 
-// processOps are the operations that name one process.
+// processOps are the operations on a single process.
 var processOps = []Op{OpKill, OpRestart, OpPause, OpResume, OpDrain, OpFailing, OpWorking, OpUnhealthy, OpHealthy, OpSlow, OpWarm}
 
 func (t *Trace) readEvent(w *words) error {
@@ -59,7 +59,7 @@
 	return intoString(&ev.Other)(w)
 }
 
-// readConfigure reads an amendment of the policy that the trace begins with.
+// readConfigure reads a change to the initial policy of the trace.
 func (t *Trace) readConfigure(w *words, ev *Event) error {
 	p := t.Policy
 	ev.Policy = &p
@@ -113,12 +113,12 @@
 		"tasks": func(w *words) error { return readTasks(w, r) },
 	})
 	if err == nil && len(r.Tasks) == 0 {
-		err = errors.New("a submission without tasks")
+		err = errors.New("submission has no tasks")
 	}
 	return err
 }
 
-// readTasks reads run times, each as "80ms" or, for several, "80ms*3".
+// readTasks reads the run times of tasks: "80ms" for one task, "80ms*3" for three.
 func readTasks(w *words, r *Request) error {
 	for len(*w) > 0 && (*w)[0] != "expect" {
 		text, countText, repeated := strings.Cut((*w)[0], "*")
@@ -128,7 +128,7 @@
 			count, err = strconv.Atoi(countText)
 		}
 		if err != nil {
-			return fmt.Errorf("want run times: %w", err)
+			return fmt.Errorf("invalid task run time: %w", err)
 		}
 		for range count {
 			r.Tasks = append(r.Tasks, runTime)
@@ -138,13 +138,15 @@
 	return nil
 }
 
-// outcomeOK and outcomeLost stand for a whole answer and for a broken connection.
+// Outcomes in a trace that are not error kinds: a complete answer and a lost
+// connection.
 const (
 	outcomeOK   = "ok"
 	outcomeLost = "lost"
 )
 
-// readExpected reads the stated outcome: kinds joined by "|", or ok, or lost.
+// readExpected reads the stated outcome of a submission: error kinds, "ok" or
+// "lost", separated by "|".
 func readExpected(w *words, ev *Event) error {
 	ev.Want = &Want{AnyRan: true}
 	kinds, err := w.next()
--- a/internal/replay/process.go
+++ b/internal/replay/process.go
@@ -1,15 +1,17 @@
 package replay
 
-// process is what can be killed, restarted and paused.
+// process is the part of entries and guards that faults are applied to: it can be
+// killed, restarted and paused.
 type process struct {
 	isAlive    bool
 	isPaused   bool
-	generation int      // counts incarnations
-	pauseCount int      // counts pauses
-	inbox      []func() // what waits for a paused process
+	generation int      // number of starts, which identifies the incarnation
+	pauseCount int      // number of pauses
+	inbox      []func() // events to run when the process resumes
 }
 
-// do runs f in the process: now, after its pause, or never if it is dead.
+// do runs f in the process: at once, when it resumes if it is paused, or never if
+// it has terminated.
 func (p *process) do(f func()) {
 	switch {
 	case !p.isAlive:
@@ -20,7 +22,8 @@
 	}
 }
 
-// inGeneration runs f in this life of the process at the end of a delay or timer.
+// inGeneration returns a callback for a delay or timer that runs f in the process,
+// unless the process was restarted since the call of inGeneration.
 func (p *process) inGeneration(f func()) func() {
 	generation := p.generation
 	return func() {
--- a/internal/replay/recovery.go
+++ b/internal/replay/recovery.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// evenShareTolerance is how close a returned worker's starts in a second must come to
-// the mean of all workers to count as even. At 40 starts a second, chance alone
-// makes a difference of a sixth.
+// evenShareTolerance is the relative difference from the mean of all workers
+// within which the starts of a returned worker in one second count as even. At
+// 40 starts per second, random variation alone causes a difference of one sixth.
 const evenShareTolerance = 0.35
 
-// measureRecovery measures what follows the last return of workers: how long until
-// each of them gets its even share, and the highest rate that hit one.
+// measureRecovery measures the load after the last return of workers: the time
+// until each of them receives an even share of the starts, and the highest start
+// rate of any of them relative to the mean.
 func (sim *simulation) measureRecovery(r *Report, events []Event) {
 	var returnedAt time.Duration
 	var returned []string
@@ -29,6 +30,7 @@
 	}
 }
 
+// matchesAny reports whether names contains the worker or its failure domain.
 func (g *guard) matchesAny(names []string) bool {
 	for _, n := range names {
 		if n == g.config.Name || n == g.config.Domain {
@@ -38,6 +40,7 @@
 	return false
 }
 
+// measureReturn adds the measures of one worker that returned at returnedAt.
 func (sim *simulation) measureReturn(r *Report, name string, returnedAt time.Duration) {
 	evenSecond := -1
 	for sec := int(returnedAt / second); sec < int(sim.trace.lastArrival()/second); sec++ {
@@ -58,6 +61,7 @@
 	}
 }
 
+// countAt returns counts[i], or 0 beyond the end.
 func countAt(counts []int, i int) int {
 	if i < len(counts) {
 		return counts[i]
@@ -65,6 +69,7 @@
 	return 0
 }
 
+// lastArrival returns the time of the last event or the end of the last load.
 func (t *Trace) lastArrival() time.Duration {
 	var last time.Duration
 	for i := range t.Events {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -25,8 +25,9 @@
 	return files
 }
 
-// Each trace tells in its first lines how its failure comes about and what a
-// caller notices. All must meet what they state, whatever the random choices.
+// The first lines of each trace describe its failure, how it comes about and its
+// effect on callers. Guards against a change that breaks an outcome which a trace
+// states. The outcomes must hold for any random choices.
 func TestTraces(t *testing.T) {
 	for _, path := range traceFiles(t) {
 		t.Run(filepath.Base(path), func(t *testing.T) {
@@ -42,15 +43,15 @@
 	}
 }
 
-// A promise that holds with one seed and one placement only would be broken by
-// the next change of either. The promises hold in every failure workload under
-// every placement and weighting.
+// Guards against invariants that hold only with one seed, placement or weighting
+// and break when one of these changes. They must hold in the failure workloads
+// with every placement, and with the weightings of both sites.
 func TestInvariantsHoldForEveryPlacement(t *testing.T) {
 	traces := []*Trace{Ayni.guardRestart(), Ayni.cancelWaves(), Leeuwin.domainReturn(), Leeuwin.overload200()}
 	for _, trace := range traces {
 		trace.Loads[0].Duration = warmUpTime + 5*second
 		if trace.Loads[0].OfferedShare > 1 {
-			trace.Loads[0].Duration = 2 * second // every refused task costs eleven messages
+			trace.Loads[0].Duration = 2 * second // limits the run time of the test: each refused task costs eleven messages
 		}
 		for i, p := range placements {
 			t.Run(trace.Name+"/"+p.String(), func(t *testing.T) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// Figures that change from run to run cannot be compared, and a failure that a
-// replay shows once and not again cannot be mended.
+// Guards against replays that depend on anything but trace and seed. Their
+// measures could not be compared, and their failures not reproduced.
 func TestReplayIsDeterministic(t *testing.T) {
 	var first string
 	files := traceFiles(t)
@@ -79,7 +80,8 @@
 	}
 }
 
-// newBusySimulation is a small world with a job of two tasks running.
+// newBusySimulation returns a small simulation in which a job of two tasks is
+// running.
 func newBusySimulation(t *testing.T) (*simulation, *call) {
 	trace, err := Parse("busy", strings.NewReader(`
 service ayni/reserva
@@ -101,19 +103,19 @@
 	return sim, sim.calls[0]
 }
 
-// The checks are worth what they notice. A rule that resends a running task to
-// another guard, claims "not run" of what runs, answers in part, answers twice
-// or late must each be seen.
+// Guards against checks that miss violations. The checker must detect a running
+// task that is started on another guard, a running task that is reported as not
+// run, and answers that are incomplete, duplicate, late, missing or delayed.
 func TestCheckerDetectsViolations(t *testing.T) {
 	ref := func(c *call) wire.Ref { return wire.Ref{Member: "ayni", Key: c.job.key, Task: 0} }
 	cases := map[string]func(*simulation, *call){
 		"started on": func(sim *simulation, c *call) {
 			for _, g := range sim.guards {
-				g.ledger.Drain(sim.clock.now, "") // frees nothing; both slots are taken
+				g.ledger.Drain(sim.clock.now, "") // frees no slot, as both are in use
 				sim.recordStart(g, ref(c))
 			}
 		},
-		"told that it did not": func(sim *simulation, c *call) {
+		"but was reported as not run": func(sim *simulation, c *call) {
 			sim.checkOutcome(&dispatch.Outcome{ID: c.job.id(), Err: notRunError, Failures: []dispatch.TaskFailure{{Task: 0, Ran: notRunError.Ran}}})
 		},
 		"of 2 results": func(sim *simulation, c *call) { sim.answer(c, &answer{results: make([]dispatch.TaskResult, 1)}) },
@@ -121,11 +123,11 @@
 			sim.answer(c, unknownAnswer)
 			sim.answer(c, unknownAnswer)
 		},
-		"after deadline": func(sim *simulation, c *call) {
+		"after the deadline": func(sim *simulation, c *call) {
 			sim.clock.after(3*time.Second, func() { sim.answer(c, unknownAnswer) })
 		},
 		"never answered": func(sim *simulation, _ *call) { sim.checker.checkUnanswered(sim.calls) },
-		"held back": func(sim *simulation, c *call) {
+		"answer delayed": func(sim *simulation, c *call) {
 			sim.checkOutcome(&dispatch.Outcome{ID: c.job.id(), Results: make([]dispatch.TaskResult, 2)})
 		},
 	}
@@ -140,13 +142,13 @@
 	}
 }
 
-// A trace that people bring has a slip of the pen. Passed over, it would state
-// less than its author believes; the error names the line.
+// Guards against typing errors in traces that the parser ignores, so that the
+// trace checks less than intended. The error must contain the line number.
 func TestParseErrorsIncludeLineNumber(t *testing.T) {
 	for text, want := range map[string]string{
-		"entry e1 domain a\nworkers w1":                    "line 2: unknown line",
+		"entry e1 domain a\nworkers w1":                    "line 2: unknown statement",
 		"at soon submit j to e1 tasks 1s":                  "line 1: want a duration",
-		"at 1s submit j to e1 deadline 1s":                 "line 1: a submission without tasks",
+		"at 1s submit j to e1 deadline 1s":                 "line 1: submission has no tasks",
 		"at 1s submit j to e1 tasks 1s expect fine":        "unknown outcome",
 		"at 1s submit j to e1 tasks 1s expect ok ran some": "want no, yes or unknown",
 		"at 1s explode w01":                                "unknown event",
@@ -157,8 +159,8 @@
 	}
 }
 
-// An unmet outcome must fail the command that replays it; else CI stays green
-// beside a table that nobody reads.
+// Guards against a replay command that succeeds despite unmet outcomes: CI would
+// pass, with the failure only in its output.
 func TestUnmetOutcomeReturnsError(t *testing.T) {
 	trace, err := Parse("x", strings.NewReader("service a/b\nentry e1 domain a\nat 1s submit j to e1 tasks 10ms expect ok\nworker w1 domain a"))
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -11,52 +11,53 @@
 	"wigeontray/internal/errkind"
 )
 
-// Report is what a replay found.
+// Report is the result of a replay.
 type Report struct {
 	Trace       string   `json:"trace"`
 	Placement   string   `json:"placement"`
 	Weighting   string   `json:"weighting"`
 	Seed        uint64   `json:"seed"`
-	Violations  []string `json:"violations,omitempty"` // broken promises
-	Unmet       []string `json:"unmet,omitempty"`      // outcomes and limits that the trace states
-	StatedCount int      `json:"stated"`               // outcomes and limits that were checked
+	Violations  []string `json:"violations,omitempty"` // violated invariants
+	Unmet       []string `json:"unmet,omitempty"`      // stated outcomes and limits that were not met
+	StatedCount int      `json:"stated"`               // stated outcomes and limits that were checked
 
-	Jobs     int `json:"jobs"` // submissions inside the measured window
+	Jobs     int `json:"jobs"` // submissions in the measured window
 	Served   int `json:"served"`
-	Tasks    int `json:"tasks"` // runs on upstreams
+	Tasks    int `json:"tasks"` // task runs on upstreams
 	Messages int `json:"messages"`
 
-	// Response over ideal, at the caller, over jobs that were served whole.
+	// OverIdeal is the response time at the caller divided by the ideal one, over
+	// the jobs that were served completely.
 	OverIdeal Quantiles `json:"over_ideal"`
-	// OverFairIdeal is the same against the ideal with the product's own order.
+	// OverFairIdeal is the same for the ideal with the order of the dispatch queue.
 	OverFairIdeal Quantiles `json:"over_fair_ideal"`
-	// ResponseMs is the response time itself.
+	// ResponseMs is the response time in milliseconds.
 	ResponseMs Quantiles `json:"response_ms"`
 
 	MessagesPerTask  float64        `json:"messages_per_task"`
-	MessageOverhead  float64        `json:"wasted"` // share of messages beyond one request and one answer a task
+	MessageOverhead  float64        `json:"wasted"` // messages beyond one start and one result per task, as a share of those two
 	ByMessage        map[string]int `json:"by_message"`
-	Refusals         map[string]int `json:"refusals,omitempty"` // answers that are errors, by kind
-	Retries          map[string]int `json:"retries,omitempty"`  // by kind
-	Utilisation      float64        `json:"utilisation"`        // share of slot time that was used
-	Goodput          float64        `json:"goodput"`            // share of slot time that served jobs used
-	Fairness         float64        `json:"fairness"`           // Jain's index over teams' served share
-	FailingShare     float64        `json:"failing_share"`      // of all tasks, those on a failing worker after 5 s
-	MaxLateMs        float64        `json:"late_ms"`            // latest answer after its deadline
-	EvenAfterSeconds float64        `json:"even_after_s"`       // last recovery until load was even
-	PeakStartRatio   float64        `json:"herd_peak"`          // most starts a second on a returned worker over the mean
-	// Teams gives each team's median response.
+	Refusals         map[string]int `json:"refusals,omitempty"` // error answers, by kind
+	Retries          map[string]int `json:"retries,omitempty"`  // retried task attempts, by error kind
+	Utilisation      float64        `json:"utilisation"`        // share of the slot time with a running task
+	Goodput          float64        `json:"goodput"`            // share of the slot time spent on jobs that were served
+	Fairness         float64        `json:"fairness"`           // Jain's index over the teams' ratio of served work to fair share
+	FailingShare     float64        `json:"failing_share"`      // share of the task runs on a failing worker, from 5 s after the first failure
+	MaxLateMs        float64        `json:"late_ms"`            // highest time from deadline to answer
+	EvenAfterSeconds float64        `json:"even_after_s"`       // seconds from the last recovery until the load was even
+	PeakStartRatio   float64        `json:"herd_peak"`          // highest starts per second of a returned worker, relative to the mean
+	// Teams contains the response times in milliseconds by team.
 	Teams map[string]Quantiles `json:"teams,omitempty"`
 }
 
-// Quantiles of a distribution.
+// Quantiles are the quantiles of a distribution that reports contain.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// Range and resolution of the histograms: ratios are recorded in thousandths,
+// Range and resolution of the histograms. Ratios are recorded in thousandths and
 // times in microseconds.
 const (
 	ratioScale      = 1000
@@ -70,6 +71,7 @@
 	return Quantiles{at(50), at(95), at(99)}
 }
 
+// buildReport computes the report after the last event.
 func (sim *simulation) buildReport(events []Event) *Report {
 	r := &Report{
 		Trace: sim.trace.Name, Placement: sim.policy.Placement.String(), Weighting: sim.policy.Weighting.String(),
@@ -85,6 +87,8 @@
 	return r
 }
 
+// measureResponses computes response times, refusals and lateness over the
+// measured window.
 func (sim *simulation) measureResponses(r *Report, events []Event) {
 	overIdeal := hdrhistogram.New(1, maxRatio, histogramDigits)
 	overFairIdeal := hdrhistogram.New(1, maxRatio, histogramDigits)
@@ -127,12 +131,14 @@
 	}
 }
 
+// recordRatio records the ratio of a response time to the ideal one.
 func recordRatio(h *hdrhistogram.Histogram, took, ideal time.Duration) {
 	if ideal > 0 {
 		_ = h.RecordValue(min(maxRatio, int64(ratioScale*took.Seconds()/ideal.Seconds())))
 	}
 }
 
+// messages computes the number of messages per task and their overhead.
 func (sim *simulation) messages(r *Report) {
 	if r.Tasks > 0 {
 		r.MessagesPerTask = float64(r.Messages) / float64(r.Tasks)
@@ -184,7 +190,7 @@
 	}
 }
 
-// checkExpectations checks what the trace states.
+// checkExpectations checks the outcomes and limits that the trace states.
 func (sim *simulation) checkExpectations(r *Report) {
 	for _, c := range sim.calls {
 		if c.expected != nil {
@@ -203,10 +209,10 @@
 	}
 }
 
-// OK tells whether every promise held and every stated outcome was met.
+// OK reports whether all invariants held and all stated outcomes were met.
 func (r *Report) OK() bool { return len(r.Violations) == 0 && len(r.Unmet) == 0 }
 
-// String gives the limit as the trace states it.
+// String returns the limit in the form of the trace.
 func (l Limit) String() string {
 	if l.AtLeast {
 		return fmt.Sprintf(">= %g", l.Value)
@@ -214,7 +220,7 @@
 	return fmt.Sprintf("<= %g", l.Value)
 }
 
-// measureValue gives a measure by its name in a trace.
+// measureValue returns the value of the measure with the given name in a trace.
 func (r *Report) measureValue(name string) (float64, bool) {
 	m := map[string]float64{
 		"p50-over-ideal": r.OverIdeal.P50, "p95-over-ideal": r.OverIdeal.P95, "p99-over-ideal": r.OverIdeal.P99,
@@ -234,7 +240,7 @@
 	return float64(part) / float64(whole)
 }
 
-// formatCounts joins a map of counts in a fixed order.
+// formatCounts formats counts in the order of their keys.
 func formatCounts(m map[string]int) string {
 	out := ""
 	for _, k := range slices.Sorted(maps.Keys(m)) {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -8,11 +8,11 @@
 	"wigeontray/internal/errkind"
 )
 
-// Run replays t. The error reports a trace that cannot be carried out; broken
-// promises and unmet outcomes are in the report.
+// Run replays t. It returns an error if the trace cannot be executed; violated
+// invariants and unmet outcomes are in the report.
 func Run(t *Trace, opt Options) (*Report, error) {
 	if len(t.Entries) == 0 || len(t.Workers) == 0 {
-		return nil, fmt.Errorf("replay %s: needs an entry and a worker", t.Name)
+		return nil, fmt.Errorf("replay %s: trace needs at least one entry and one worker", t.Name)
 	}
 	events := t.timeline()
 	sim := newSimulation(t, opt)
@@ -42,7 +42,8 @@
 	return sim.buildReport(events), nil
 }
 
-// timeline joins the events of the trace and its loads in order of time.
+// timeline merges the events of the trace with those of its loads, in order of
+// time.
 func (t *Trace) timeline() []Event {
 	out := slices.Clone(t.Events)
 	for i := range t.Loads {
@@ -52,7 +53,8 @@
 	return resolveResubmissions(out)
 }
 
-// resolveResubmissions lets each resubmission carry the request of its first submission.
+// resolveResubmissions sets the request of each resubmission to that of the first
+// submission.
 func resolveResubmissions(events []Event) []Event {
 	first := make(map[string]*Request)
 	for i := range events {
@@ -67,7 +69,8 @@
 	return events
 }
 
-// measuredWindow is the measured interval.
+// measuredWindow returns the interval to measure. Without an end in the trace, it
+// ends after one hour.
 func (sim *simulation) measuredWindow() (from, until time.Time) {
 	until = sim.traceStart.Add(sim.trace.MeasureUntil)
 	if sim.trace.MeasureUntil == 0 {
@@ -76,13 +79,15 @@
 	return sim.traceStart.Add(sim.trace.MeasureFrom), until
 }
 
-// answerSlack is the time after the deadline by which an answer must have come: one
-// task length, and the way to the caller and back.
+// answerSlack returns the time after the deadline within which an answer must
+// arrive: the longest run time of a task, and the network delay from and to the
+// caller.
 func (sim *simulation) answerSlack(j *jobState) time.Duration {
 	return slices.Max(j.req.Tasks) + 2*sim.trace.Delays.Client
 }
 
-// unmetReason checks what the trace states of one submission.
+// unmetReason returns how the answer differs from the outcome that the trace
+// states for the call, or "" if it does not.
 func (c *call) unmetReason() string {
 	if c.expected == nil {
 		return ""
@@ -102,6 +107,7 @@
 	return ""
 }
 
+// outcome returns the kind and the ran status of the answer.
 func (c *call) outcome() (errkind.Kind, errkind.Ran) {
 	if c.answer == nil {
 		return errkind.None, errkind.RanUnknown
@@ -109,7 +115,7 @@
 	return c.answer.kind, c.answer.ran
 }
 
-// accepts tells whether the outcome is one of those wanted.
+// accepts reports whether the outcome is one of the expected ones.
 func (w *Want) accepts(kind errkind.Kind, lost bool) bool {
 	if lost {
 		return w.Lost
--- a/internal/replay/scenario.go
+++ b/internal/replay/scenario.go
@@ -9,7 +9,7 @@
 	"wigeontray/internal/dispatch"
 )
 
-// Size of today's deployments.
+// Size of the present deployments.
 const (
 	siteWorkers    = 11
 	slotsPerWorker = 8
@@ -17,19 +17,20 @@
 	workersPerRack = 3
 )
 
-// Task times of the measured workloads.
+// Range of task run times in the generated workloads.
 const (
 	minRunTime = 50 * time.Millisecond
 	maxRunTime = time.Second
 )
 
-// Length of the measured workloads. The first seconds warm up what is learned.
+// Duration of the generated workloads. The measured time starts after the warm-up,
+// in which dispatchers learn run times and rates.
 const (
 	warmUpTime   = 5 * time.Second
 	measuredTime = 60 * time.Second
 )
 
-// Site is a deployment of today's size.
+// Site is a deployment of the present size.
 type Site struct {
 	Service         string
 	Domains         []string
@@ -37,7 +38,7 @@
 	PolicyWeighting dispatch.Weighting
 }
 
-// Sites of the brief.
+// The two present deployments, with the figures of the requirements.
 var (
 	Ayni = Site{"ayni/reserva", []string{"callao-a", "callao-b", "surco", "ate"},
 		500 * time.Microsecond, dispatch.WeighResponse}
@@ -45,7 +46,8 @@
 		1400 * time.Microsecond, dispatch.WeighMessages}
 )
 
-// newTrace lays out the site: three workers to a rack, a rack to a domain.
+// newTrace returns a trace with the topology of the site: three workers per rack,
+// with the racks distributed over the failure domains in turn.
 func (s Site) newTrace(name string) *Trace {
 	member, _, _ := strings.Cut(s.Service, "/")
 	t := &Trace{Name: member + "/" + name, Service: s.Service, Policy: dispatch.DefaultPolicy(), Delays: DefaultDelays}
@@ -65,7 +67,8 @@
 	return t
 }
 
-// standardLoad is the usual traffic at a share of capacity.
+// standardLoad returns the load of the generated workloads: four teams that
+// together offer the given share of the capacity.
 func standardLoad(offered float64, deadline time.Duration) Load {
 	return Load{
 		Duration: warmUpTime + measuredTime, OfferedShare: offered, Deadline: deadline,
@@ -73,15 +76,15 @@
 	}
 }
 
-// Deadlines of the workloads: one that never matters below capacity, and one
-// that decides what an overloaded site can take.
+// Deadlines of the workloads. looseDeadline never expires at a load below
+// capacity; tightDeadline limits what an overloaded site can accept.
 const (
 	looseDeadline = 30 * time.Second
 	tightDeadline = 3 * time.Second
 )
 
-// Scenarios gives the generated workloads of the comparison for one site. The
-// seed fixes their arrivals and run times.
+// Scenarios returns the generated workloads of the comparison for one site. Their
+// arrivals and run times depend only on the seed.
 func Scenarios(s Site, seed uint64) []*Trace {
 	out := []*Trace{
 		s.loadTrace("load-50", 0.5), s.loadTrace("load-80", 0.8), s.loadTrace("load-95", 0.95),
@@ -99,8 +102,8 @@
 	return out
 }
 
-// Size of the plan: workers, entries and failure domains, racks of twenty. A few
-// seconds hold more tasks than a minute of today's load.
+// Size and duration of the planned fleet. A few seconds of its load have more
+// tasks than a minute of the load of a present site.
 const (
 	plannedWorkers        = 820
 	plannedEntries        = 12
@@ -109,7 +112,8 @@
 	plannedWarmUpTime     = time.Second
 )
 
-// plannedFleet is load-80 at the size to design for.
+// plannedFleet returns the load-80 workload at the planned fleet size, with six
+// failure domains and racks of twenty workers.
 func plannedFleet() *Trace {
 	s := Ayni
 	t := s.loadTrace("planned-fleet-80", 0.8)
@@ -169,8 +173,8 @@
 	return t
 }
 
-// burst gives three teams their usual load and lets a fourth come with far more
-// than its quota for ten seconds, at all entries.
+// burst returns a workload in which three teams have their usual load, and a
+// fourth far exceeds its quota for ten seconds, at all entries.
 func (s Site) burst() *Trace {
 	t := s.newTrace("team-burst")
 	t.Policy.Teams = map[string]dispatch.Quota{"d": {StartsPerSecond: 150, Burst: 150}}
@@ -201,7 +205,8 @@
 	return t
 }
 
-// domainReturn kills all workers of a failure domain and returns them at once.
+// domainReturn returns a workload in which all workers of a failure domain are
+// killed and later restarted at the same time.
 func (s Site) domainReturn() *Trace {
 	t := s.loadTrace("domain-return", 0.6)
 	for _, w := range t.Workers {
@@ -214,8 +219,8 @@
 	return t
 }
 
-// coldReturn is domainReturn with upstreams that run five times as long in their
-// first three seconds, as with empty caches.
+// coldReturn is domainReturn with upstreams that take five times as long in the
+// first three seconds after their return, as with empty caches.
 func (s Site) coldReturn() *Trace {
 	t := s.domainReturn()
 	t.Name = strings.Replace(t.Name, "domain-return", "cold-return", 1)
@@ -229,7 +234,8 @@
 	return t
 }
 
-// allWorkersFail lets every upstream fail for ten seconds: a fault of the fleet.
+// allWorkersFail returns a workload in which all upstreams fail for ten seconds: a
+// fault of the whole fleet and not of single workers.
 func (s Site) allWorkersFail() *Trace {
 	t := s.loadTrace("all-workers-fail", 0.5)
 	for _, w := range t.Workers {
@@ -240,7 +246,8 @@
 	return t
 }
 
-// domainLosses kills the workers of one failure domain after the other.
+// domainLosses returns a workload in which the workers of one failure domain after
+// the other are killed, and restarted two seconds later.
 func (s Site) domainLosses() *Trace {
 	t := s.loadTrace("domain-losses", 0.5)
 	for i := range 11 {
--- a/internal/replay/takeover.go
+++ b/internal/replay/takeover.go
@@ -9,24 +9,26 @@
 	"wigeontray/internal/wire"
 )
 
-// takeover answers for the jobs of an entry that died: guards fence it, and tell
-// what they started for it. Nothing is ever started again.
+// takeover determines the outcome of jobs whose home entry has terminated: the
+// guards fence that incarnation and report which of its tasks they started. A
+// takeover never starts a task.
 type takeover struct {
 	deadHome     identity.Incarnation
-	fencedGuards []identity.Incarnation // guards that were sent the fence
+	fencedGuards []identity.Incarnation // guards that the fence was sent to
 	reports      map[identity.Incarnation]*wire.FenceReport
 	calls        []*call
-	collections  map[string]*collection // by key
+	collections  map[string]*collection // by job key
 }
 
-// collection gathers the results of one job from the guards that hold them.
+// collection collects the results of one job from the guards that store them.
 type collection struct {
 	call          *call
-	pendingGuards int // guards that have not answered
+	pendingGuards int // guards whose response is outstanding
 	results       map[int]wire.Result
 }
 
-// startTakeover asks all guards about the dead home of c's job.
+// startTakeover sends a fence for the terminated home of c's job to all connected
+// guards, or adds c to the takeover that is in progress.
 func (e *entry) startTakeover(c *call) {
 	t := e.takeovers[c.job.home]
 	if t != nil {
@@ -48,7 +50,8 @@
 	}
 }
 
-// handleFenceReport takes a guard's report; the last one decides all waiting calls.
+// handleFenceReport stores the report of a guard. When all guards have reported,
+// it answers the waiting calls.
 func (e *entry) handleFenceReport(from identity.Incarnation, r *wire.FenceReport) {
 	t := e.takeovers[r.Gone]
 	if t == nil {
@@ -66,8 +69,9 @@
 	}
 }
 
-// answerFromReports answers one call from the reports: the result if guards hold all of
-// it, "not run" if all guards that ever were deny a start, else unknown.
+// answerFromReports answers one call by the reports of the guards: the results if
+// the guards store all of them, "not run" if all guards of the fleet exclude a
+// start, and otherwise an unknown outcome.
 func (e *entry) answerFromReports(t *takeover, c *call) {
 	started, finished, holders := 0, 0, []identity.Incarnation{}
 	provesNotRun := len(t.fencedGuards) == len(e.sim.guards)
@@ -97,9 +101,11 @@
 	}
 }
 
-// unknownAnswer is what can be said of a job whose tasks cannot all be traced.
+// unknownAnswer is the answer for a job some of whose tasks have no known outcome.
 var unknownAnswer = &answer{kind: errkind.OutcomeUnknown, ran: errkind.RanUnknown}
 
+// collectResults requests the results of a job from the guards that started its
+// tasks.
 func (e *entry) collectResults(t *takeover, c *call, holders []identity.Incarnation) {
 	t.collections[c.job.key] = &collection{call: c, pendingGuards: len(holders), results: make(map[int]wire.Result)}
 	for _, inc := range holders {
@@ -107,7 +113,8 @@
 	}
 }
 
-// handleCollected takes the results that one guard holds.
+// handleCollected adds the results that one guard stores, and answers the call when
+// all guards have responded.
 func (e *entry) handleCollected(msg *wire.Collected) {
 	for deadHome, t := range e.takeovers {
 		col := t.collections[msg.Key]
@@ -129,6 +136,8 @@
 	}
 }
 
+// answer returns the complete results, or unknownAnswer if one is missing or is an
+// error.
 func (c *collection) answer() *answer {
 	a := &answer{}
 	for i := range c.call.job.req.Tasks {
--- a/internal/replay/tally.go
+++ b/internal/replay/tally.go
@@ -6,20 +6,20 @@
 	"wigeontray/internal/wire"
 )
 
-// second is the width of the buckets in which starts are counted by worker.
+// second is the interval over which the starts of a worker are counted.
 const second = time.Second
 
-// counters counts what a replay's measures are made of.
+// counters are the counts from which the measures of a replay are computed.
 type counters struct {
 	sim              *simulation
 	messages         map[string]int
 	runs             int
-	busyTime         time.Duration // time on upstreams inside the measured window
-	failedRuns       int           // runs on a failing upstream after failureDetectionDelay
-	runsAfterFailure int           // all runs in that time
+	busyTime         time.Duration // run time of tasks inside the measured window
+	failedRuns       int           // runs on a failing upstream, counted as runsAfterFailure
+	runsAfterFailure int           // runs later than failureDetectionDelay after firstFailureAt
 	retries          map[string]int
-	startsPerSecond  map[string][]int // by worker and second
-	firstFailureAt   time.Time        // first moment at which an upstream failed
+	startsPerSecond  map[string][]int // by worker, for each second of the trace
+	firstFailureAt   time.Time        // time of the first upstream failure
 }
 
 func (t *counters) init(sim *simulation) {
@@ -29,7 +29,7 @@
 	t.startsPerSecond = make(map[string][]int)
 }
 
-// recordFrame counts a message between an entry and a guard.
+// countFrame counts a message between an entry and a guard by its type.
 func (t *counters) countFrame(f *wire.Frame) {
 	kind := "other"
 	switch {
@@ -57,7 +57,7 @@
 	return sum
 }
 
-// recordRun notes a run that begins now.
+// recordRun counts a task run that starts at now.
 func (t *counters) recordRun(g *guard, now time.Time, runTime time.Duration) {
 	t.runs++
 	from, until := t.sim.measuredWindow()
@@ -80,7 +80,8 @@
 	t.startsPerSecond[g.config.Name] = starts
 }
 
-// overlap is the time that two intervals share.
+// overlap returns the length of the intersection of the intervals [a0, a1] and
+// [b0, b1].
 func overlap(a0, a1, b0, b1 time.Time) time.Duration {
 	if b0.After(a0) {
 		a0 = b0
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,10 +1,10 @@
-// Package replay runs recorded traces against the real decision code: a
-// dispatch.Core at each entry and a ledger.Ledger at each guard, under an
-// explicit clock, joined by an event queue that delays their messages. It
-// checks the promises that must always hold and the outcome that the trace
-// states for each request, and measures response against an ideal.
+// Package replay runs traces in a discrete-event simulation of the production
+// decision code: a dispatch.Core for each entry and a ledger.Ledger for each
+// guard, with a simulated clock and delayed messages between them. It checks the
+// invariants that hold in every replay and the outcome that the trace states for
+// each request, and compares response times with an ideal.
 //
-// Same trace, same options: same report, to the last digit.
+// Replays are deterministic: the same trace and options give an identical report.
 package replay
 
 import (
@@ -14,8 +14,8 @@
 	"wigeontray/internal/errkind"
 )
 
-// Trace is a topology, a policy and what happens. docs/trace-format.md
-// describes the text form that Parse reads.
+// Trace is a topology, a policy, and the events and loads of a replay.
+// docs/trace-format.md describes the text form that Parse reads.
 type Trace struct {
 	Name    string
 	Service string // "member/service"
@@ -26,33 +26,34 @@
 	Loads   []Load
 	Events  []Event
 	Limits  []Limit
-	// From and Until bound the arrivals that the measures count; a zero Until
-	// counts to the end. What comes earlier warms the learned figures up.
+	// MeasureFrom and MeasureUntil limit the arrivals that the measures include. A
+	// zero MeasureUntil includes all to the end. Earlier arrivals are a warm-up, in
+	// which dispatchers learn run times and rates.
 	MeasureFrom, MeasureUntil time.Duration
 }
 
-// Delays of messages, one way.
+// Delays are the one-way network delays.
 type Delays struct {
 	Client time.Duration // between a caller and an entry
 	Domain time.Duration // between failure domains
 	Local  time.Duration // inside a failure domain
 }
 
-// DefaultDelays are those of Ayni's sites.
+// DefaultDelays are the network delays at the sites of Ayni.
 var DefaultDelays = Delays{Client: time.Millisecond, Domain: 500 * time.Microsecond, Local: 100 * time.Microsecond}
 
-// Entry is an entry process.
+// Entry describes an entry process.
 type Entry struct{ Name, Domain string }
 
-// Worker is a worker with its guard and upstream.
+// Worker describes a worker with its guard and upstream.
 type Worker struct {
 	Name, Rack, Domain string
 	Slots              int
 	Accelerators       int
-	MemoryMB           int // 0 if not known
+	MemoryMB           int // 0 if unknown
 }
 
-// Op is what happens in an Event.
+// Op is the type of an event.
 type Op string
 
 // Operations of a trace.
@@ -60,74 +61,75 @@
 	OpSubmit    Op = "submit"
 	OpResubmit  Op = "resubmit"
 	OpCancel    Op = "cancel"
-	OpKill      Op = "kill"      // process ends; peers see a reset
-	OpRestart   Op = "restart"   // a new incarnation of a killed process
-	OpPause     Op = "pause"     // process stands still; nobody is told
-	OpResume    Op = "resume"    // it goes on with what waited for it
-	OpCut       Op = "cut"       // messages between two processes are held up
-	OpHeal      Op = "heal"      // they flow again
-	OpReset     Op = "reset"     // a link breaks, with the messages on it
-	OpDrain     Op = "drain"     // planned stop of a guard
-	OpFailing   Op = "failing"   // the upstream fails every task at once
-	OpWorking   Op = "working"   // the upstream is sound and of full speed
-	OpSlow      Op = "slow"      // the upstream takes Factor times as long
-	OpWarm      Op = "warm"      // the upstream is of full speed; no return by itself
-	OpUnhealthy Op = "unhealthy" // the guard finds its upstream down
+	OpKill      Op = "kill"      // the process terminates; its peers see a connection reset
+	OpRestart   Op = "restart"   // a killed process starts as a new incarnation
+	OpPause     Op = "pause"     // the process is suspended without notice to its peers
+	OpResume    Op = "resume"    // a paused process continues with the events that were queued for it
+	OpCut       Op = "cut"       // messages between two processes are delayed until the heal
+	OpHeal      Op = "heal"      // ends a cut
+	OpReset     Op = "reset"     // a link breaks; the messages in transit are lost
+	OpDrain     Op = "drain"     // planned stop of an entry or a guard
+	OpFailing   Op = "failing"   // the upstream fails every task immediately
+	OpWorking   Op = "working"   // the upstream succeeds again and runs at full speed
+	OpSlow      Op = "slow"      // the upstream takes SlowFactor times as long
+	OpWarm      Op = "warm"      // the upstream runs at full speed; not counted as a return of the worker
+	OpUnhealthy Op = "unhealthy" // the health check of the upstream fails at the guard
 	OpHealthy   Op = "healthy"
 	OpStoreDown Op = "store-down" // configuration cannot be read
 	OpStoreUp   Op = "store-up"
-	OpConfigure Op = "configure" // operators amend the policy in the store
+	OpConfigure Op = "configure" // operators change the policy in the store
 )
 
-// Event is one thing that happens at a moment.
+// Event is an operation at a time of the trace.
 type Event struct {
 	At         time.Duration
 	Op         Op
 	Target     string // process, worker or job
-	Other      string // second process, or the entry that is asked
+	Other      string // second process, or the entry that the request is sent to
 	SlowFactor float64
 	Request    *Request
 	Want       *Want
 	Policy     *dispatch.Policy
 }
 
-// Request is one submission of a job.
+// Request is the content of a submission.
 type Request struct {
-	Job      string // name in the trace
+	Job      string // name of the job in the trace
 	Team     string
-	Deadline time.Duration // from the caller's submission
+	Deadline time.Duration // relative to the submission by the caller
 	Declared time.Duration // the caller's estimate of one task
 	Need     dispatch.Need // of each task
 	Tasks    []time.Duration
 }
 
-// Want is the outcome that a trace states for a submission. Ran is checked
-// unless AnyRan is set; Before bounds the answer's time from submission.
+// Want is the outcome that a trace states for a submission. Ran is checked unless
+// AnyRan is set. Before is the maximum time from the submission to the answer; 0
+// is no limit.
 type Want struct {
-	Kinds  []errkind.Kind // any of these; None is a whole answer
-	Lost   bool           // or the caller's connection breaks with its entry
+	Kinds  []errkind.Kind // any of these is accepted; None is a complete answer
+	Lost   bool           // a connection that is lost with its entry is accepted
 	Ran    errkind.Ran
 	AnyRan bool
 	Before time.Duration
 }
 
-// Limit is a bound on one measure of the whole replay.
+// Limit is a minimum or maximum for one measure of the replay.
 type Limit struct {
 	Measure string
-	AtLeast bool // else at most
+	AtLeast bool // Value is a minimum; otherwise it is a maximum
 	Value   float64
 }
 
-// Load is generated background traffic.
+// Load describes generated background traffic.
 type Load struct {
 	Start, Duration time.Duration
-	OfferedShare    float64 // share of all slots that the work needs
+	OfferedShare    float64 // offered work as a share of the capacity of all slots
 	Seed            uint64
-	Teams           []string // drawn evenly; empty for none
+	Teams           []string // chosen uniformly for each job; empty for jobs without a team
 	Deadline        time.Duration
 	MinRunTime      time.Duration
 	MaxRunTime      time.Duration
-	MaxTasksPerJob  int     // most tasks in a job; 0 for the usual mix
+	MaxTasksPerJob  int     // maximum number of tasks in a job; 0 for the usual mix of job sizes
 	CancelShare     float64 // share of jobs that are cancelled
 	CancelInterval  time.Duration
 }
--- a/internal/replay/words.go
+++ b/internal/replay/words.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// errLineTooShort reports a line that ends too early.
-var errLineTooShort = errors.New("the line ends too early")
+// errLineTooShort is returned for a line that lacks a word.
+var errLineTooShort = errors.New("unexpected end of line")
 
-// words are the words of one line that were not read yet.
+// words are the remaining unread words of a line.
 type words []string
 
+// next removes and returns the first word.
 func (w *words) next() (string, error) {
 	if len(*w) == 0 {
 		return "", errLineTooShort
@@ -46,7 +47,7 @@
 	return f, nil
 }
 
-// expect passes over a word that must come next.
+// expect removes the next word, which must be the given one.
 func (w *words) expect(word string) error {
 	s, err := w.next()
 	if err == nil && s != word {
@@ -55,21 +56,25 @@
 	return err
 }
 
-// settingReader reads the value of one named setting.
+// settingReader reads the value of a named setting.
 type settingReader func(*words) error
 
+// intoDuration returns a reader that stores a duration in d.
 func intoDuration(d *time.Duration) settingReader {
 	return func(w *words) (err error) { *d, err = w.duration(); return err }
 }
 
+// intoFloat returns a reader that stores a number in f.
 func intoFloat(f *float64) settingReader {
 	return func(w *words) (err error) { *f, err = w.number(); return err }
 }
 
+// intoString returns a reader that stores a word in s.
 func intoString(s *string) settingReader {
 	return func(w *words) (err error) { *s, err = w.next(); return err }
 }
 
+// intoInt returns a reader that stores the integer part of a number in n.
 func intoInt(n *int) settingReader {
 	return func(w *words) error {
 		f, err := w.number()
@@ -78,8 +83,8 @@
 	}
 }
 
-// readSettings reads pairs of a name and its value until the line ends or a word
-// comes that is no name.
+// readSettings reads pairs of a name and a value, up to the end of the line or a
+// word that is not the name of a setting.
 func (w *words) readSettings(readers map[string]settingReader) error {
 	for len(*w) > 0 {
 		read, ok := readers[(*w)[0]]
@@ -95,10 +100,10 @@
 	return nil
 }
 
-// expectEnd fails if words are left.
+// expectEnd returns an error if there are unread words.
 func (w *words) expectEnd() error {
 	if len(*w) > 0 {
-		return fmt.Errorf("unknown word %q", (*w)[0])
+		return fmt.Errorf("unexpected word %q", (*w)[0])
 	}
 	return nil
 }
--- a/internal/replay/workload.go
+++ b/internal/replay/workload.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// paretoShape of the bounded Pareto distribution of run times: with 50 ms to 1 s
-// the mean is 147 ms and the median 90 ms.
+// paretoShape is the shape of the bounded Pareto distribution of run times. With
+// bounds of 50 ms and 1 s, the mean is 147 ms and the median 90 ms.
 const paretoShape = 1.1
 
-// Job sizes of the usual mix.
+// Usual mix of job sizes.
 const (
-	singleTaskShare  = 0.5 // jobs of one task
-	smallJobShare    = 0.4 // jobs of 2 to maxSmallJobTasks tasks; the rest are big
+	singleTaskShare  = 0.5 // share of jobs with one task
+	smallJobShare    = 0.4 // share of jobs with 2 to maxSmallJobTasks tasks; the others are large
 	maxSmallJobTasks = 8
 	maxLargeJobTasks = 40
 )
 
-// meanTasksPerJob is the mean of the usual mix.
+// meanTasksPerJob is the mean job size of the usual mix.
 const meanTasksPerJob = singleTaskShare + smallJobShare*(2+maxSmallJobTasks)/2 + (1-singleTaskShare-smallJobShare)*(maxSmallJobTasks+1+maxLargeJobTasks)/2
 
-// sampleRunTime draws a run time.
+// sampleRunTime returns a random run time from the bounded Pareto distribution.
 func sampleRunTime(rng *rand.Rand, lo, hi time.Duration) time.Duration {
 	if lo >= hi {
 		return lo
@@ -32,7 +32,7 @@
 	return time.Duration(float64(lo) * math.Pow(1-u*(1-r), -1/paretoShape)).Round(time.Microsecond)
 }
 
-// meanRunTime is the mean of sampleRunTime, in seconds.
+// meanRunTime returns the mean of sampleRunTime, in seconds.
 func meanRunTime(lo, hi time.Duration) float64 {
 	l, h := lo.Seconds(), hi.Seconds()
 	if l >= h {
@@ -43,6 +43,8 @@
 	return la / (1 - math.Pow(l/h, a)) * a / (a - 1) * (math.Pow(l, 1-a) - math.Pow(h, 1-a))
 }
 
+// sampleJobSize returns a random number of tasks, at most maxTasks if that is
+// positive.
 func sampleJobSize(rng *rand.Rand, maxTasks int) int {
 	tasks, u := 1, rng.Float64()
 	switch {
@@ -58,11 +60,12 @@
 	return tasks
 }
 
-// maxDeclaredError is the factor by which declared run times are off, either way.
+// maxDeclaredError is the maximum factor by which declared run times are too high or
+// too low.
 const maxDeclaredError = 8
 
-// events turns a load into submissions: Poisson arrivals, entries drawn evenly
-// as by a balancer, run times declared that are far off.
+// events returns the submissions of a load, with Poisson arrivals, entries chosen
+// uniformly as by a load balancer, and inaccurate declared run times.
 func (l *Load) events(index int, t *Trace) []Event {
 	rng := rand.New(rand.NewPCG(l.Seed, uint64(index)))
 	var slots int
@@ -84,6 +87,7 @@
 	}
 }
 
+// jobEvents returns the submission of a random job and its cancellation, if any.
 func (l *Load) jobEvents(rng *rand.Rand, t *Trace, at time.Duration, name string) []Event {
 	r := &Request{Job: name, Deadline: l.Deadline}
 	if len(l.Teams) > 0 {
@@ -101,8 +105,9 @@
 	return out
 }
 
-// sampleCancelTime draws the moment of a cancel: with waves, all cancels of a period
-// come together at its end.
+// sampleCancelTime returns the time at which a job is cancelled. With a
+// CancelInterval, it is the end of the interval in which the job arrives, so that
+// all its cancellations coincide; otherwise, it is random.
 func (l *Load) sampleCancelTime(at time.Duration, rng *rand.Rand) time.Duration {
 	if l.CancelInterval > 0 {
 		return (at/l.CancelInterval + 1) * l.CancelInterval
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -13,29 +13,29 @@
 	"wigeontray/internal/wire"
 )
 
-// Options of a replay.
+// Options configures a replay.
 type Options struct {
 	Seed uint64
-	// Placement, when set, replaces the policy's placement.
+	// Placement overrides the placement of the policy, if set.
 	Placement *dispatch.Placement
-	// Weighting, when set, replaces the policy's weighting.
+	// Weighting overrides the weighting of the policy, if set.
 	Weighting *dispatch.Weighting
 }
 
-// Times around a replay.
+// Times before, during and after the events of a trace.
 const (
-	startupDelay          = 500 * time.Millisecond // links open before the trace begins
-	failureDetectionDelay = 5 * time.Second        // time allowed to notice a failing worker
-	endDelay              = 2 * time.Second        // after the last deadline
+	startupDelay          = 500 * time.Millisecond // from the start of the processes to the start of the trace, to open the links
+	failureDetectionDelay = 5 * time.Second        // time allowed to detect a failing worker
+	endDelay              = 2 * time.Second        // simulated time after the last deadline
 )
 
-// simulation is one replay.
+// simulation is the state of a replay.
 type simulation struct {
 	trace      *Trace
 	opt        Options
 	policy     dispatch.Policy
 	clock      clock
-	traceStart time.Time // moment zero of the trace
+	traceStart time.Time // time 0 of the trace
 	entries    []*entry
 	guards     []*guard
 	links      []*link
@@ -46,11 +46,11 @@
 	counters   counters
 
 	isStoreDown     bool
-	pendingPolicies []*dispatch.Policy // amendments that wait for the store
+	pendingPolicies []*dispatch.Policy // updates made during an outage of the store
 	keyCount        uint32
 }
 
-// jobState is one job, however often it is submitted.
+// jobState is a job, shared by all its submissions.
 type jobState struct {
 	name      string
 	key       string
@@ -62,18 +62,18 @@
 
 func (j *jobState) id() dispatch.JobID { return dispatch.JobID{Member: j.member, Key: j.key} }
 
-// call is one submission of a job by a caller.
+// call is a submission of a job by a caller.
 type call struct {
 	job              *jobState
 	entry            *entry
 	expected         *Want
 	sentAt           time.Time
-	forwardDelay     time.Duration // delay of a forwarded answer
+	forwardDelay     time.Duration // additional delay of the answer to a forwarded request
 	answerCount      int
 	answered         time.Time
 	answer           *answer
-	isConnectionLost bool // the entry died with the caller's connection
-	isMeasured       bool // inside the measured window
+	isConnectionLost bool // the entry terminated before it answered
+	isMeasured       bool // sent in the measured window
 }
 
 func newSimulation(t *Trace, opt Options) *simulation {
@@ -109,6 +109,7 @@
 	return sim
 }
 
+// networkDelay returns the one-way delay between two failure domains.
 func (sim *simulation) networkDelay(a, b string) time.Duration {
 	if a == b {
 		return sim.trace.Delays.Local
@@ -116,11 +117,13 @@
 	return sim.trace.Delays.Domain
 }
 
-// echoBody is the body of a task and of its result, so that a swapped answer shows.
+// echoBody returns the body of a task and of its result. It is unique to the task,
+// so that a result for the wrong task is detected.
 func echoBody(r wire.Ref) []byte { return fmt.Appendf(nil, "%s/%d", r.Key, r.Task) }
 
 func (sim *simulation) runTime(r wire.Ref) time.Duration { return sim.byKey[r.Key].req.Tasks[r.Task] }
 
+// entryByIncarnation returns the entry whose latest incarnation is inc, or nil.
 func (sim *simulation) entryByIncarnation(inc identity.Incarnation) *entry {
 	for _, e := range sim.entries {
 		if e.incarnation == inc {
@@ -130,8 +133,8 @@
 	return nil
 }
 
-// availableEntry gives the entry called name or, if it does not take connections,
-// the next one that does: what the platform's balancer does.
+// availableEntry returns the entry with the given name or, if that does not accept
+// connections, the next one that does, like the load balancer of the platform.
 func (sim *simulation) availableEntry(name string) *entry {
 	first := -1
 	for i, e := range sim.entries {
@@ -147,7 +150,8 @@
 	return nil
 }
 
-// newKey mints a ticket of the entry.
+// newKey returns a new job key issued by the entry: a ticket with a time-ordered
+// UUID.
 func (sim *simulation) newKey(home identity.Incarnation) string {
 	sim.keyCount++
 	var u uuid.UUID
@@ -162,7 +166,7 @@
 	return string(home) + "." + u.String()
 }
 
-// submit sends a caller's request on its way.
+// submit sends the request of a caller to an available entry.
 func (sim *simulation) submit(ev *Event) {
 	e := sim.availableEntry(ev.Other)
 	c := &call{expected: ev.Want, sentAt: sim.clock.now, entry: e, isMeasured: sim.isInWindow(ev.At)}
@@ -193,7 +197,7 @@
 	return at >= sim.trace.MeasureFrom && (sim.trace.MeasureUntil == 0 || at < sim.trace.MeasureUntil)
 }
 
-// answer carries an answer to the caller.
+// answer sends an answer to the caller.
 func (sim *simulation) answer(c *call, a *answer) {
 	sim.clock.after(c.forwardDelay+sim.trace.Delays.Client, func() {
 		if c.isConnectionLost {
@@ -205,7 +209,7 @@
 	})
 }
 
-// dropCalls ends the connections of the callers of a dead entry.
+// dropCalls marks the unanswered calls of a terminated entry as lost.
 func (sim *simulation) dropCalls(e *entry) {
 	for _, c := range sim.calls {
 		if c.entry == e && c.answerCount == 0 {
@@ -218,6 +222,8 @@
 
 func (sim *simulation) checkOutcome(o *dispatch.Outcome) { sim.checker.checkOutcome(sim.clock.now, o) }
 
+// handleResult records a task result that arrives at an entry, and counts it as a
+// retry if the task did not run.
 func (sim *simulation) handleResult(r *wire.Result) {
 	sim.checker.recordResult(sim.clock.now, r)
 	if r.Kind != errkind.None && r.Ran == errkind.RanNo {
