--- a/internal/capacity/callers.go
+++ b/internal/capacity/callers.go
@@ -16,25 +16,26 @@
 	"github.com/google/uuid"
 )
 
-// loadGenerator submit jobs one after the other, each as soon as its last one is
-// answered, for the time of a load.
+// loadGenerator generates a closed-loop load: each of its concurrent callers
+// submits its next job as soon as the last one is answered, for the duration of a
+// load.
 type loadGenerator struct {
 	client       *http.Client
 	opts         *Options
-	tasks        int // per job
+	tasks        int // number of tasks per job
 	body         []byte
-	answeredJobs atomic.Int64 // answered in full
+	answeredJobs atomic.Int64 // answered completely
 	failedJobs   atomic.Int64 // answered with an error
 	mu           sync.Mutex
 	latencies    []time.Duration // of answered jobs
-	lastFailure  string          // last error answer, for the report
+	lastFailure  string          // latest error answer, for the report
 }
 
 func newLoadGenerator(client *http.Client, o *Options, tasks int) *loadGenerator {
 	return &loadGenerator{client: client, opts: o, tasks: tasks, body: jobBody(o.Target.Service, tasks)}
 }
 
-// jobBody is a job of n small tasks.
+// jobBody returns the request body of a job with n small tasks.
 func jobBody(service string, n int) []byte {
 	task := json.RawMessage(`{"kind":"capacity"}`)
 	body := struct {
@@ -44,11 +45,12 @@
 	}{service, 10_000, slices.Repeat([]json.RawMessage{task}, n)}
 	b, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the type above always encodes
+		panic(err) // encoding this type never fails
 	}
 	return b
 }
 
+// run submits jobs with all callers and waits until they finish.
 func (c *loadGenerator) run(ctx context.Context) error {
 	end := time.Now().Add(c.opts.Load)
 	errs := make(chan error, c.opts.Callers)
@@ -62,6 +64,7 @@
 	return joined
 }
 
+// submitUntil submits jobs as one caller until end.
 func (c *loadGenerator) submitUntil(ctx context.Context, end time.Time) error {
 	var latencies []time.Duration
 	for time.Now().Before(end) {
@@ -80,7 +83,7 @@
 	return nil
 }
 
-// submit sends one job and tells whether it was answered in full.
+// submit submits one job and reports whether it was answered completely.
 func (c *loadGenerator) submit(ctx context.Context) (bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.opts.Target.Callers+"/v1/jobs", bytes.NewReader(c.body))
 	if err != nil {
@@ -109,6 +112,7 @@
 	return false, nil
 }
 
+// recordFailure counts an error answer and stores its beginning.
 func (c *loadGenerator) recordFailure(status string, body []byte) {
 	c.failedJobs.Add(1)
 	c.mu.Lock()
@@ -116,7 +120,8 @@
 	c.lastFailure = status + " " + string(body[:min(len(body), maxFailureBytes)])
 }
 
-// percentile gives the p-th part (0.5, 0.99) of the answered jobs' latencies.
+// percentile returns the p-quantile (such as 0.5 or 0.99) of the latencies of
+// answered jobs.
 func (c *loadGenerator) percentile(p float64) time.Duration {
 	if len(c.latencies) == 0 {
 		return 0
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,12 +1,13 @@
-// Package capacity owns the measuring command: it links many lightweight
-// guards to a running entry over loopback, first idle and then under load, and
-// prints what one guard and one task cost on the wire and at the entry, with
-// the slopes of its own interface.
+// Package capacity measures the cost of guards and tasks at an entry. It connects
+// many simulated guards to a running entry over loopback, measures them idle and
+// then under load, and reports the cost of a guard and of a task on the network
+// and at the entry, with a line fitted over the number of guards.
 //
-// A lightweight guard is one goroutine that speaks the inner protocol, decides
-// as a real guard does, and has an upstream that answers in no time. The entry is a real one; its figures are read
-// from its exposition. When it runs in this process, its processor time and
-// memory include those of the guards and callers, and the report says so.
+// A simulated guard is one goroutine. It implements the internal protocol, makes
+// its decisions with the ledger of a real guard, and has an upstream that answers
+// immediately. The entry is a real one, whose values are read from its metrics. If
+// it runs in the same process, its CPU time and memory include those of the guards
+// and callers, which the report states.
 //
 // The package may import errkind, identity, ledger, telemetry and wire.
 package capacity
@@ -23,56 +24,58 @@
 	"wigeontray/internal/wire"
 )
 
-// Target is the entry under measurement.
+// Target is the entry to measure.
 type Target struct {
-	Inner    string      // host:port of the inner protocol
-	InnerTLS *tls.Config // nil for plain connections
-	Callers  string      // base URL for callers
+	Inner    string      // host:port of the internal protocol
+	InnerTLS *tls.Config // nil for connections without TLS
+	Callers  string      // base URL of the API for callers
 	Admin    string      // base URL of /metrics
 	Token    string      // a member's bearer token
 	Member   string
-	Service  string // one of the member's services, with no other guards
+	Service  string // a service of the member that no other guards serve
 	FleetKey string
-	// Shared tells that the entry runs in this process.
+	// Shared is set if the entry runs in this process.
 	Shared bool
 }
 
-// Options configures Run. Zero values take defaults.
+// Options configures Run. Fields that are zero get default values.
 type Options struct {
 	Target Target
-	Guards []int         // sizes to measure
-	Idle   time.Duration // idle window at each size
-	Load   time.Duration // window of each load
-	Jobs   []int         // loads to run at each size, as tasks per job
-	// Callers is how many callers submit at once.
+	Guards []int         // fleet sizes to measure
+	Idle   time.Duration // duration of the idle measurement at each size
+	Load   time.Duration // duration of each load
+	Jobs   []int         // loads at each size, as numbers of tasks per job
+	// Callers is the number of concurrent callers.
 	Callers int
 	JSON    bool
-	// Progress gets a line per step; nil for none.
+	// Progress receives a line for each step; nil disables them.
 	Progress io.Writer
 
-	settleDelay time.Duration // after the guards' arrival, before a window
+	settleDelay time.Duration // from the connection of all guards to the start of a measurement
 }
 
-// Defaults and bounds. The idle window is one ping period: each end of each
-// link pings exactly once in it, whenever the link was opened. A shorter window
-// would count pings of some links only.
+// Defaults and limits. The default idle window is one ping interval, in which each
+// end of each link sends exactly one ping, whenever the link was opened. A shorter
+// window would include the pings of some links only.
 const (
 	DefaultIdle    = wire.PingEvery
 	DefaultLoad    = 1500 * time.Millisecond
 	DefaultCallers = 32
-	MaxGuards      = 1000 // a link takes two descriptors and about 50 KB here
+	MaxGuards      = 1000 // a link uses two file descriptors and about 50 KB in this process
 
 	defaultSettleDelay = time.Second
 	linkTimeout        = 20 * time.Second
-	slotsPerWorker     = 8 // of each worker, as in the brief
+	slotsPerWorker     = 8 // as in the requirements
 )
 
-// DefaultGuards and DefaultJobs are measured when nothing else is asked for.
+// DefaultGuards and DefaultJobs are the fleet sizes and loads to measure if Options
+// contains none.
 var (
 	DefaultGuards = []int{10, 50, 200, 820}
 	DefaultJobs   = []int{1, 100}
 )
 
+// setDefaults replaces zero values and checks the fleet sizes.
 func (o *Options) setDefaults() error {
 	if len(o.Guards) == 0 {
 		o.Guards = DefaultGuards
@@ -103,8 +106,8 @@
 	return nil
 }
 
-// Run measures and writes the report to w. It takes about the idle window plus
-// the loads for each size: 75 s with the defaults.
+// Run measures the entry and writes the report to w. For each fleet size, it takes
+// about the idle window plus the loads: 75 s in total with the defaults.
 func Run(ctx context.Context, o Options, w io.Writer) error {
 	if err := o.setDefaults(); err != nil {
 		return err
@@ -121,7 +124,7 @@
 	return report.writeTable(w)
 }
 
-// measurement is one Run.
+// measurement is the state of a Run.
 type measurement struct {
 	opts   Options
 	fleet  *fleet
@@ -141,8 +144,9 @@
 	}
 }
 
-// run measures idle while the fleet grows, before any task, so that the entry's
-// resident memory is that of its links; then loads while the fleet shrinks.
+// run first measures the idle cost while the fleet grows, before any task, so that
+// the resident memory of the entry is that of its links. It then runs the loads
+// while the fleet shrinks.
 func (m *measurement) run(ctx context.Context) (*Report, error) {
 	for _, n := range m.opts.Guards {
 		idleCost, err := m.idleCost(ctx, n)
@@ -162,8 +166,9 @@
 	return m.report, nil
 }
 
+// idleCost measures n guards without load.
 func (m *measurement) idleCost(ctx context.Context, n int) (*Idle, error) {
-	m.printProgress("%d guards: linking, then idle for %v", n, m.opts.Idle)
+	m.printProgress("%d guards: connecting, then idle for %v", n, m.opts.Idle)
 	if err := m.resize(ctx, n); err != nil {
 		return nil, err
 	}
@@ -181,6 +186,7 @@
 	return newIdle(n, before, after), nil
 }
 
+// loadCosts runs each load with n guards.
 func (m *measurement) loadCosts(ctx context.Context, n int) ([]Load, error) {
 	if err := m.resize(ctx, n); err != nil {
 		return nil, err
@@ -197,6 +203,7 @@
 	return out, nil
 }
 
+// loadCost runs one load with the present guards.
 func (m *measurement) loadCost(ctx context.Context, tasks int) (*Load, error) {
 	before, err := m.sample(ctx)
 	if err != nil {
@@ -213,7 +220,8 @@
 	return newLoad(c, before, after), nil
 }
 
-// resize brings the fleet to n guards and waits until the entry counts as many.
+// resize changes the fleet to n guards, and waits until the entry reports n guards
+// and for the settle delay.
 func (m *measurement) resize(ctx context.Context, n int) error {
 	if err := m.fleet.resize(ctx, n); err != nil {
 		return err
@@ -226,7 +234,8 @@
 	return sleep(ctx, m.opts.settleDelay)
 }
 
-// sample reads both sides at about one moment.
+// sample reads the metrics of the entry and the traffic of the fleet at nearly the
+// same time.
 func (m *measurement) sample(ctx context.Context) (*sample, error) {
 	f, err := m.entry.read(ctx)
 	if err != nil {
@@ -236,9 +245,10 @@
 }
 
 func (m *measurement) printProgress(format string, args ...any) {
-	_, _ = fmt.Fprintf(m.opts.Progress, format+"\n", args...) // only a convenience
+	_, _ = fmt.Fprintf(m.opts.Progress, format+"\n", args...) // progress output is optional
 }
 
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -24,8 +24,8 @@
 	c.Assert(leastSquares([]float64{10}, []float64{25}), qt.Equals, Line{Intercept: 25})
 }
 
-// The entry is of a version that lacks a figure. A report that took it for zero
-// would claim that guards cost nothing.
+// Guards against an entry version that lacks a metric. Read as zero, it would make
+// the report claim that guards cost nothing.
 func TestMissingMetricReturnsError(t *testing.T) {
 	c := qt.New(t)
 	var b bytes.Buffer
@@ -65,7 +65,7 @@
 
 const fakeIncarnation = "entry-0"
 
-// fakeEntry welcomes guards and hands each job's one task to one of them.
+// fakeEntry accepts guards and sends the single task of each job to one of them.
 type fakeEntry struct {
 	metrics *telemetry.Registry
 	mu      sync.Mutex
--- a/internal/capacity/conn.go
+++ b/internal/capacity/conn.go
@@ -8,25 +8,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// segmentOverhead is what IPv4 (20 bytes) and TCP with timestamps (32 bytes)
-// add to each segment.
+// segmentOverhead is the size of the IPv4 header (20 bytes) and the TCP header with
+// timestamps (32 bytes) of each segment.
 const segmentOverhead = 52
 
-// traffic is what a set of links has carried, in both directions.
+// traffic is the traffic of a set of links, in both directions.
 type traffic struct {
-	Frames   int64 // of the inner protocol
-	Bytes    int64 // on the sockets: frames, WebSocket headers and pings
-	Segments int64 // of TCP, acknowledgements among them
+	Frames   int64 // frames of the internal protocol
+	Bytes    int64 // bytes at the socket: frames, WebSocket headers and pings
+	Segments int64 // TCP segments, including acknowledgements
 }
 
-// wireBytes adds the headers below the socket.
+// wireBytes returns the bytes including the TCP and IP headers.
 func (t traffic) wireBytes() int64 { return t.Bytes + segmentOverhead*t.Segments }
 
+// sub returns the traffic since the earlier value.
 func (t traffic) sub(earlier traffic) traffic {
 	return traffic{t.Frames - earlier.Frames, t.Bytes - earlier.Bytes, t.Segments - earlier.Segments}
 }
 
-// meteredConn counts what passes a socket.
+// meteredConn counts the bytes of a connection.
 type meteredConn struct {
 	net.Conn
 	meter *meter
@@ -44,23 +45,24 @@
 	return n, err
 }
 
-// Close implements net.Conn. The segments of a closed connection are kept, as
-// totals must never fall.
+// Close implements net.Conn. The segments of a closed connection remain in the
+// total, which must never decrease.
 func (c *meteredConn) Close() error {
 	c.meter.remove(c)
 	return c.Conn.Close()
 }
 
-// meter counts the traffic of many connections.
+// meter counts the traffic of a set of connections.
 type meter struct {
 	bytes          atomic.Int64
 	mu             sync.Mutex
 	open           map[*meteredConn]struct{}
-	closedSegments int64 // segments of connections that have ended
+	closedSegments int64 // segments of closed connections
 }
 
 func newMeter() *meter { return &meter{open: make(map[*meteredConn]struct{})} }
 
+// wrap returns a connection whose traffic is counted.
 func (m *meter) wrap(c net.Conn) net.Conn {
 	mc := &meteredConn{Conn: c, meter: m}
 	m.mu.Lock()
@@ -69,6 +71,7 @@
 	return mc
 }
 
+// remove adds the segments of an open connection to those of the closed ones.
 func (m *meter) remove(c *meteredConn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,6 +81,7 @@
 	}
 }
 
+// segments returns the segments of all open and closed connections.
 func (m *meter) segments() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,8 +92,8 @@
 	return n
 }
 
-// segments asks the kernel how many segments a connection sent and received.
-// It is 0 for what is no TCP socket.
+// segments returns the number of segments that a connection has sent and received,
+// from the TCP_INFO of the kernel. It is 0 for connections other than TCP.
 func segments(c net.Conn) int64 {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -12,10 +12,10 @@
 	"wigeontray/internal/wire"
 )
 
-// maxConcurrentDials bounds how many guards link at the same time.
+// maxConcurrentDials limits the number of guards that connect at the same time.
 const maxConcurrentDials = 16
 
-// fleet is the set of lightweight guards.
+// fleet is the set of simulated guards.
 type fleet struct {
 	target *Target
 	client *http.Client
@@ -27,7 +27,7 @@
 func newFleet(t *Target) *fleet {
 	f := &fleet{target: t, meter: newMeter()}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
-		d := net.Dialer{KeepAlive: -1} // as wire.NewClient
+		d := net.Dialer{KeepAlive: -1} // no keep-alive probes, as in wire.NewClient
 		c, err := d.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
@@ -38,7 +38,7 @@
 	return f
 }
 
-// resize links or ends guards until there are n.
+// resize connects or closes guards until there are n.
 func (f *fleet) resize(ctx context.Context, n int) error {
 	if n < len(f.guards) {
 		closeGuards(f.guards[n:])
@@ -48,7 +48,8 @@
 	return f.grow(ctx, n)
 }
 
-// closeGuards closes guards' links, all at once: each close waits for its peer.
+// closeGuards closes the links of all guards before it waits for any of them, as
+// each close waits for its peer.
 func closeGuards(guards []*guard) {
 	for _, g := range guards {
 		g.close()
@@ -58,6 +59,7 @@
 	}
 }
 
+// grow connects guards until there are n. Those connected before an error remain.
 func (f *fleet) grow(ctx context.Context, n int) error {
 	first := len(f.guards)
 	added := make([]*guard, max(n-first, 0))
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// connectGuard dials the entry as guard number i and starts its goroutine.
+// connectGuard connects guard number i to the entry and starts its goroutine.
 func (f *fleet) connectGuard(ctx context.Context, i int) (*guard, error) {
 	scheme := "ws://"
 	if f.target.InnerTLS != nil {
@@ -107,13 +109,14 @@
 	return g, nil
 }
 
-// Shape of the fleet in the brief and letter 1: three workers to a rack, six
+// Topology of the planned fleet, as required: three workers per rack and six
 // failure domains.
 const (
 	workersPerRack = 3
 	domainCount    = 6
 )
 
+// hello returns the Hello of guard number i.
 func (f *fleet) hello(i int) *wire.Hello {
 	worker := fmt.Sprintf("capacity-%d", i)
 	return &wire.Hello{
@@ -130,6 +133,7 @@
 	}
 }
 
+// traffic returns the total traffic of all links so far.
 func (f *fleet) traffic() traffic {
 	return traffic{
 		Frames:   f.frames.FramesIn.Load() + f.frames.FramesOut.Load(),
--- a/internal/capacity/guard.go
+++ b/internal/capacity/guard.go
@@ -14,26 +14,26 @@
 	"wigeontray/internal/wire"
 )
 
-// resultBody is the result body of every task.
+// resultBody is the body of all task results.
 var resultBody = []byte(`{"ok":true}`)
 
-// Memory of a lightweight guard. A real one remembers far more; here it would
-// only take memory from the measurement.
+// Limits of the stored starts and results of a simulated guard. Those of a real
+// guard are much higher, and here would only add memory to the measurement.
 const (
 	maxRememberedStarts = 1000
 	maxHeldBytes        = 16 << 10
 )
 
-// guard is one lightweight guard: a real ledger whose upstream answers in no
-// time, so that slots are offered and refused as a real guard does.
+// guard is a simulated guard: a real ledger with an upstream that answers
+// immediately. It offers and refuses slots in the same way as a real guard.
 type guard struct {
 	link  wire.Link
 	entry identity.Incarnation
 	done  chan struct{}
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // protects the fields below
 	ledger *ledger.Ledger
-	timer  *time.Timer // calls tick when the ledger is next due
+	timer  *time.Timer // calls tick when the next tick of the ledger is due
 }
 
 func newGuard(link wire.Link) *guard {
@@ -55,13 +55,13 @@
 		return fmt.Errorf("await welcome: %w", err)
 	}
 	if f.Welcome == nil {
-		return errors.New("first frame is no welcome")
+		return errors.New("first frame is not a welcome")
 	}
 	g.entry = f.Welcome.Incarnation
 	return nil
 }
 
-// serve answers the entry until the link ends.
+// serve handles frames from the entry until the link is closed.
 func (g *guard) serve() {
 	defer close(g.done)
 	g.applyEvent(func(now time.Time) { g.ledger.LinkUp(now, g.entry) })
@@ -74,7 +74,7 @@
 	}
 }
 
-// handleFrame feeds one frame to the ledger.
+// handleFrame passes one frame to the ledger.
 func (g *guard) handleFrame(now time.Time, f *wire.Frame) {
 	switch {
 	case f.Start != nil:
@@ -92,8 +92,8 @@
 	}
 }
 
-// applyEvent feeds one event to the ledger and carries out its actions. A task that
-// is to run has its result at once, which makes further actions.
+// applyEvent passes one event to the ledger and performs the resulting actions. As
+// a task that is to run finishes immediately, its action leads to further ones.
 func (g *guard) applyEvent(event func(now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,6 +107,7 @@
 	g.scheduleTick(now)
 }
 
+// applyAction sends a frame, or finishes a task that is to run.
 func (g *guard) applyAction(now time.Time, a ledger.Action) {
 	if a.Send != nil {
 		g.send(a.Send.Frame)
@@ -115,10 +116,11 @@
 	g.ledger.Finished(now, wire.Result{Ref: a.Run.Ref, Ran: errkind.RanYes, Status: http.StatusOK, Body: resultBody})
 }
 
-// send queues a frame. A failed one has ended the link, which its reader sees.
+// send queues a frame. It ignores an error, as the link is then closed, which the
+// receiving goroutine detects.
 func (g *guard) send(f *wire.Frame) { _ = g.link.Send(f) }
 
-// scheduleTick arranges for the ledger's next tick.
+// scheduleTick sets the timer for the next tick of the ledger.
 func (g *guard) scheduleTick(now time.Time) {
 	next := g.ledger.NextTick()
 	switch {
@@ -132,8 +134,8 @@
 
 func (g *guard) tick() { g.applyEvent(g.ledger.Tick) }
 
-// close takes leave, so that the entry counts a planned stop and no loss. done
-// is closed when the link has ended.
+// close drains the guard and closes its link, so that the entry counts a planned
+// stop and not a lost guard. The done channel is closed when serve returns.
 func (g *guard) close() {
 	g.applyEvent(func(now time.Time) { g.ledger.Drain(now, "measurement ends") })
 	g.link.Close("measurement ends")
--- a/internal/capacity/line.go
+++ b/internal/capacity/line.go
@@ -1,15 +1,16 @@
 package capacity
 
-// Line is y = At0 + Slope*x.
+// Line is the line y = Intercept + Slope*x.
 type Line struct {
 	Intercept float64 `json:"at_0"`
 	Slope     float64 `json:"per_guard"`
 }
 
+// valueAt returns the y value at x.
 func (l Line) valueAt(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// leastSquares fits a line through the points. With a single x the line is
-// flat.
+// leastSquares returns the least-squares line through the points. It is horizontal
+// if all points have the same x.
 func leastSquares(xs, ys []float64) Line {
 	n := float64(len(xs))
 	var sx, sy, sxx, sxy float64
--- a/internal/capacity/probe.go
+++ b/internal/capacity/probe.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// entryMetrics are what the entry tells of itself.
+// entryMetrics are metrics of the entry.
 type entryMetrics struct {
-	CPU      float64 // seconds of processor time
+	CPU      float64 // seconds of CPU time
 	Resident float64 // bytes
-	Heap     float64 // bytes reachable at the last collection
-	Stacks   float64 // bytes of goroutines' stacks
+	Heap     float64 // bytes reachable at the last garbage collection
+	Stacks   float64 // bytes of goroutine stacks
 	Guards   float64
-	HeldJobs float64 // job records
+	HeldJobs float64 // number of job records
 }
 
-// sample is both sides' state at one moment.
+// sample is the state of the entry and of the fleet at a point in time.
 type sample struct {
 	at    time.Time
 	entry entryMetrics
 	fleet traffic
 }
 
-// entryProbe reads an entry's exposition.
+// entryProbe reads the metrics of an entry.
 type entryProbe struct {
 	url    string
 	client *http.Client
@@ -37,19 +37,21 @@
 func (p *entryProbe) read(ctx context.Context) (*entryMetrics, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
-		return nil, fmt.Errorf("read figures: %w", err)
+		return nil, fmt.Errorf("read metrics: %w", err)
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("read figures: %w", err)
+		return nil, fmt.Errorf("read metrics: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("read figures: %s", resp.Status)
+		return nil, fmt.Errorf("read metrics: %s", resp.Status)
 	}
 	return parseMetrics(resp.Body)
 }
 
+// parseMetrics reads metrics in the Prometheus text format. It returns an error if
+// one of entryMetrics is missing.
 func parseMetrics(r io.Reader) (*entryMetrics, error) {
 	f := new(entryMetrics)
 	destinations := map[string]*float64{
@@ -69,21 +71,21 @@
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return nil, fmt.Errorf("read figures: %s: %w", name, err)
+			return nil, fmt.Errorf("read metrics: %s: %w", name, err)
 		}
 		*destination = v
 		delete(destinations, name)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("read figures: %w", err)
+		return nil, fmt.Errorf("read metrics: %w", err)
 	}
 	for name := range destinations {
-		return nil, fmt.Errorf("read figures: no %s", name)
+		return nil, fmt.Errorf("read metrics: no %s", name)
 	}
 	return f, nil
 }
 
-// waitForGuards polls until the entry counts n guards.
+// waitForGuards polls until the entry reports n connected guards.
 func (p *entryProbe) waitForGuards(ctx context.Context, n int) error {
 	const pollInterval = 50 * time.Millisecond
 	for {
@@ -95,7 +97,7 @@
 			return nil
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
-			return fmt.Errorf("the entry counts %v guards, want %d: %w", f.Guards, n, err)
+			return fmt.Errorf("entry reports %v guards, want %d: %w", f.Guards, n, err)
 		}
 	}
 }
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -11,31 +11,31 @@
 	"wigeontray/internal/telemetry"
 )
 
-// Report is what Run measured. Bytes, frames and segments are those of both
-// directions together, as counted at the guards' end of the links.
+// Report is the result of Run. Bytes, frames and segments are the sum of both
+// directions, counted at the guards' end of the links.
 type Report struct {
 	Software string `json:"software"`
 	Cores    int    `json:"cores"`
-	// Shared: the entry's processor time and memory include the guards' and
-	// callers', as they run in one process.
+	// Shared is set if the entry runs in the same process as the guards and callers,
+	// so that its CPU time and memory include theirs.
 	Shared bool   `json:"shared"`
 	Sizes  []Size `json:"sizes"`
 	Slopes Slopes `json:"slopes"`
 }
 
-// Size is what was measured with one number of guards.
+// Size contains the measurements for one fleet size.
 type Size struct {
 	Guards int    `json:"guards"`
 	Idle   Idle   `json:"idle"`
 	Loads  []Load `json:"loads"`
 }
 
-// Idle is the cost of guards that have nothing to do.
+// Idle is the cost of guards without tasks.
 type Idle struct {
 	Seconds           float64 `json:"seconds"`
 	FramesPerGuard    float64 `json:"frames_per_guard_second"`
-	BytesPerGuard     float64 `json:"bytes_per_guard_second"`      // on the sockets
-	WireBytesPerGuard float64 `json:"wire_bytes_per_guard_second"` // with TCP and IP headers
+	BytesPerGuard     float64 `json:"bytes_per_guard_second"`      // bytes at the socket
+	WireBytesPerGuard float64 `json:"wire_bytes_per_guard_second"` // including TCP and IP headers
 	SegmentsPerGuard  float64 `json:"segments_per_guard_second"`
 	EntryCPU          float64 `json:"entry_cpu"` // share of one core
 	EntryResident     float64 `json:"entry_resident_bytes"`
@@ -61,7 +61,7 @@
 	EntryResident    float64 `json:"entry_resident_bytes"`
 }
 
-// Slopes are least-squares lines over the number of guards.
+// Slopes contains the least-squares lines over the number of guards.
 type Slopes struct {
 	IdleCPU          Line   `json:"idle_cpu"`             // share of a core
 	IdleWireBytes    Line   `json:"idle_wire_bytes"`      // at the entry, per second
@@ -75,6 +75,7 @@
 	return &Report{Software: telemetry.Version, Cores: runtime.NumCPU(), Shared: o.Target.Shared}
 }
 
+// newIdle computes the idle cost from the samples around an idle window.
 func newIdle(guards int, before, after *sample) *Idle {
 	seconds := after.at.Sub(before.at).Seconds()
 	t := after.fleet.sub(before.fleet)
@@ -92,6 +93,7 @@
 	}
 }
 
+// newLoad computes the cost of tasks from the samples around a load.
 func newLoad(c *loadGenerator, before, after *sample) *Load {
 	seconds := after.at.Sub(before.at).Seconds()
 	tasks := c.answeredJobs.Load() * int64(c.tasks)
@@ -122,7 +124,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// fitSlopes computes the slopes.
+// fitSlopes computes the lines over the number of guards.
 func (r *Report) fitSlopes() {
 	line := func(y func(s *Size) float64) Line {
 		var xs, ys []float64
@@ -156,7 +158,7 @@
 
 func (r *Report) writeTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\n", args...) } // Flush reports
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\n", args...) } // Flush returns write errors
 	printf("wigeontray %s, %d cores, entry in this process: %v\n", r.Software, r.Cores, r.Shared)
 	printf("idle, per guard\tframes/s\tsegments/s\tsocket B/s\twire B/s\tentry core %%\tentry RSS MB\theap MB\tstacks MB\t")
 	for _, s := range r.Sizes {
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// writeFailures shows what failed jobs were answered, as their tasks are in no
-// figure above.
+// writeFailures writes the latest error answer of each load with failed jobs, as
+// the tasks of those jobs are not part of the values above.
 func (r *Report) writeFailures(printf func(format string, args ...any)) {
 	for _, s := range r.Sizes {
 		for _, l := range s.Loads {
@@ -194,9 +196,10 @@
 
 const (
 	megabyte        = 1e6
-	maxFailureBytes = 300 // bytes of an answer that are shown
+	maxFailureBytes = 300 // maximum length of an error answer in the report
 )
 
+// writeSlopes writes the fitted lines and their values at 820 guards.
 func (r *Report) writeSlopes(printf func(format string, args ...any)) {
 	s := &r.Slopes
 	printf("\t\t\t\t")
