--- a/internal/explain/drains.go
+++ b/internal/explain/drains.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Texts of the lines that entries write about the drain of a failure domain.
+// Messages and field of the log lines that entries write about drains of a failure
+// domain.
 const (
 	messageDrained    = "failure domain is drained"
 	messageReinstated = "failure domain is taken back"
 	fieldDomain       = "domain"
 )
 
-// mentionsDrain tells whether a line may be about a drain.
+// mentionsDrain reports whether an unparsed line may be about a drain.
 func mentionsDrain(line []byte) bool {
 	return bytes.Contains(line, []byte(messageDrained)) || bytes.Contains(line, []byte(messageReinstated))
 }
 
-// splitDrains parts the lines about drains from the others.
+// splitDrains separates the lines about drains from the others.
 func splitDrains(lines []Line) (jobLines, drains []Line) {
 	for _, l := range lines {
 		if l.Message == messageDrained || l.Message == messageReinstated {
@@ -32,15 +33,16 @@
 	return jobLines, drains
 }
 
-// drainsDuring tells which failure domains were drained during a story, whose lines are in order
-// of time, and which entries knew it since when.
+// drainsDuring returns a line for each failure domain that was drained during the
+// time of jobLines, which are in order of time. It contains the entries that had
+// the drain, and since when, relative to the first line of the job.
 func drainsDuring(jobLines, drains []Line) []string {
 	if len(jobLines) == 0 {
 		return nil
 	}
 	from, to := jobLines[0].Time, jobLines[len(jobLines)-1].Time
 	slices.SortStableFunc(drains, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	drainedSince := make(map[string]map[string]time.Time) // by domain, by entry
+	drainedSince := make(map[string]map[string]time.Time) // by failure domain and entry
 	for i := range drains {
 		d := &drains[i]
 		domain := d.Fields[fieldDomain]
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds what the logs of several processes tell of one job. It
-// imports nothing of the project.
+// Package explain extracts the history of one job from the logs of several
+// processes. It imports no other package of the project.
 package explain
 
 import (
@@ -14,30 +14,30 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is one log line.
 type Line struct {
 	Time    time.Time
-	Node    string // name of the process
+	Node    string // name of the process that wrote the line
 	Level   string
 	Message string
-	Fields  map[string]string // the rest, as written
+	Fields  map[string]string // all other fields, with their values as text
 }
 
-// Fields that every line has, and the one that names the job.
+// Fields that each line has, and those that identify a job and a request.
 const (
 	fieldTime    = "time"
 	fieldLevel   = "level"
 	fieldMessage = "msg"
 	fieldNode    = "node"
 	fieldJob     = "job"
-	fieldRequest = "request" // a caller's name for one submission of the job
+	fieldRequest = "request" // ID that the caller set for one submission of the job
 )
 
-// maxLineBytes bounds a line, in bytes. A longer one is no line of ours.
+// maxLineBytes is the maximum length of a line. The processes write no longer ones.
 const maxLineBytes = 1 << 20
 
-// JobOf gives the job that a caller's request was about, and id itself if no line
-// names such a request.
+// JobOf returns the job that the request with the given ID submitted, or id itself
+// if no line has that request ID.
 func JobOf(lines []Line, id string) string {
 	for i := range lines {
 		if lines[i].Fields[fieldRequest] == id {
@@ -47,9 +47,10 @@
 	return id
 }
 
-// Read appends the lines of a log that are about a job, a request or a drain of a failure domain,
-// and counts the lines that could not be read. What stands before the first brace of a line, such as the
-// name of a collector, is passed over.
+// Read appends the lines of a log that are about the job or request with the given
+// ID or about a drain of a failure domain. It also returns the number of lines
+// that mention one of them but cannot be parsed. Text before the first brace of a
+// line, such as the prefix of a log collector, is ignored.
 func Read(lines []Line, r io.Reader, id string) ([]Line, int, error) {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -74,6 +75,8 @@
 	return lines, unreadable, nil
 }
 
+// parse parses a JSON log line. The time of a line with an "ago" field is that of
+// its event, not of its writing.
 func parse(b []byte) (Line, error) {
 	var raw map[string]any
 	if err := json.Unmarshal(b, &raw); err != nil {
@@ -85,11 +88,11 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, l.Fields[fieldTime])
 	if err != nil {
-		return Line{}, fmt.Errorf("line without a time: %w", err)
+		return Line{}, fmt.Errorf("line has no valid time: %w", err)
 	}
 	l.Time, l.Node, l.Level, l.Message = at, l.Fields[fieldNode], l.Fields[fieldLevel], l.Fields[fieldMessage]
 	if ago, err := time.ParseDuration(l.Fields["ago"]); err == nil {
-		l.Time = l.Time.Add(-ago) // written later than it happened
+		l.Time = l.Time.Add(-ago) // the line was written after the event
 	}
 	for _, k := range []string{fieldTime, fieldLevel, fieldMessage, fieldNode, "ago"} {
 		delete(l.Fields, k)
@@ -97,7 +100,8 @@
 	return l, nil
 }
 
-// Write prints the story of a job in order of time, and what is missing from it.
+// Write writes the lines of a job in order of time, the drains of failure domains
+// in that time, and which lines are missing.
 func Write(w io.Writer, lines []Line) error {
 	lines, drains := splitDrains(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
@@ -119,35 +123,36 @@
 		b.WriteString("missing: " + m + "\n")
 	}
 	if _, err := io.WriteString(w, b.String()); err != nil {
-		return fmt.Errorf("write story: %w", err)
+		return fmt.Errorf("write job history: %w", err)
 	}
 	return nil
 }
 
-// isEmptyValue tells whether a field says nothing.
+// isEmptyValue reports whether the value of a field carries no information.
 func isEmptyValue(v string) bool { return v == "" || v == "0" || v == "0s" || v == "none" }
 
-// missingLines tells which lines a whole story would have besides.
+// missingLines describes the lines that the complete history of a job would have
+// in addition.
 func missingLines(lines []Line) []string {
 	if len(lines) == 0 {
-		return []string{"every line: the job came to no process whose log is here, or was complete and its routine lines were dropped"}
+		return []string{"every line: the job reached no process whose log is included, or it completed and its routine lines were dropped"}
 	}
 	var out []string
 	has := func(text string) bool {
 		return slices.ContainsFunc(lines, func(l Line) bool { return l.Message == text })
 	}
 	if !has("job ended") && !has("job refused") {
-		out = append(out, "the answer: the entry ended before it, or its log is not here")
+		out = append(out, "the answer: the entry terminated before it answered, or its log is not included")
 	}
 	for _, g := range guardsNamed(lines) {
 		if !slices.ContainsFunc(lines, func(l Line) bool { return strings.HasPrefix(g, l.Node+"-") }) {
-			out = append(out, "lines of guard "+g+": its log is not here, or its routine lines were dropped")
+			out = append(out, "lines of guard "+g+": its log is not included, or its routine lines were dropped")
 		}
 	}
 	return out
 }
 
-// guardsNamed lists the guards that a story names.
+// guardsNamed lists the guards that the lines refer to.
 func guardsNamed(lines []Line) []string {
 	var out []string
 	for i := range lines {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -17,8 +17,9 @@
 const guardLog = `  0.5 side-1 {"time":"2026-01-01T00:00:01Z","level":"info","msg":"tasks taken","node":"side-1","job":"j1","tasks":2}
 `
 
-// Lines of several processes come out in the order in which things happened, not
-// in which they were written.
+// Guards against lines of several processes in the order in which they were
+// written. They must be in the order of the events: a line that is written later
+// has the delay in its "ago" field.
 func TestWriteOrdersLinesByTime(t *testing.T) {
 	c := qt.New(t)
 	lines, bad, err := Read(nil, strings.NewReader(entryLog), "j1")
@@ -34,8 +35,8 @@
 `)
 }
 
-// A process was killed, or its log was not collected. The story says what is
-// missing; its reader would take what is there for all.
+// Guards against an incomplete history that appears complete, after a process was
+// killed or its log was not collected. The output must state what is missing.
 func TestWriteListsMissingLines(t *testing.T) {
 	c := qt.New(t)
 	lines, _, err := Read(nil, strings.NewReader(strings.Split(entryLog, "\n")[0]), "j1")
@@ -49,8 +50,9 @@
 	c.Assert(b.String(), qt.Contains, "missing: every line")
 }
 
-// An entry loses its power with a job under way and leaves no line of it. The
-// caller's name for the request leads to the job by the guards' lines alone.
+// Guards against a request that cannot be found after its entry lost power with
+// the job in progress and wrote no line about it. The lines of the guards alone
+// must map the request ID to the job.
 func TestRequestIsFoundWithoutEntryLog(t *testing.T) {
 	c := qt.New(t)
 	const log = `{"time":"2026-01-01T00:00:01Z","level":"info","msg":"tasks taken","node":"side-1","job":"j1","request":"r1","tasks":2}
@@ -67,7 +69,8 @@
 	c.Assert(b.String(), qt.Contains, "missing: the answer")
 }
 
-// Guards against a refusal whose cause, a drain of a failure domain, stands in lines that do not name the job.
+// Guards against a refusal without its cause, a drain of a failure domain, which is
+// logged in lines that do not contain the job.
 func TestWriteListsDrains(t *testing.T) {
 	c := qt.New(t)
 	const log = `{"time":"2026-01-01T00:00:00Z","msg":"failure domain is drained","node":"edge-1","domain":"z1"}
