--- a/internal/replay/tally.go
+++ b/internal/replay/tally.go
@@ -15,7 +15,7 @@
 	messages         map[string]int
 	runs             int
 	busyTime         time.Duration // run time of tasks inside the measured window
-	failedRuns       int           // runs on a failing upstream, counted as runsAfterFailure
+	failedRuns       int           // those of runsAfterFailure that ran on a failing upstream
 	runsAfterFailure int           // runs later than failureDetectionDelay after firstFailureAt
 	retries          map[string]int
 	startsPerSecond  map[string][]int // by worker, for each second of the trace
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -72,7 +72,7 @@
 	answerCount      int
 	answered         time.Time
 	answer           *answer
-	isConnectionLost bool // the entry terminated before it answered
+	isConnectionLost bool // no entry was available, or it terminated before it answered
 	isMeasured       bool // sent in the measured window
 }
 
