--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,12 +1,13 @@
-// Package capacity owns the measuring command: it links many lightweight
-// guards to a running entry over loopback, first idle and then under load, and
-// prints what one guard and one task cost on the wire and at the entry, with
-// the slopes of its own interface.
+// Package capacity measures the cost of guards and tasks at an entry. It connects
+// many simulated guards to a running entry over loopback, measures them idle and
+// then under load, and reports the cost of a guard and of a task on the network
+// and at the entry, with a line fitted over the number of guards.
 //
-// A lightweight guard is one goroutine that speaks the inner protocol, decides
-// as a real guard does, and has an upstream that answers in no time. The entry is a real one; its figures are read
-// from its exposition. When it runs in this process, its processor time and
-// memory include those of the guards and callers, and the report says so.
+// A simulated guard is one goroutine. It implements the internal protocol, makes
+// its decisions with the ledger of a real guard, and has an upstream that answers
+// immediately. The entry is a real one, whose values are read from its metrics. If
+// it runs in the same process, its CPU time and memory include those of the guards
+// and callers, which the report states.
 //
 // The package may import errkind, identity, ledger, telemetry and wire.
 package capacity
@@ -23,56 +24,58 @@
 	"wigeontray/internal/wire"
 )
 
-// Target is the entry under measurement.
+// Target is the entry to measure.
 type Target struct {
-	Inner    string      // host:port of the inner protocol
-	InnerTLS *tls.Config // nil for plain connections
-	Callers  string      // base URL for callers
+	Inner    string      // host:port of the internal protocol
+	InnerTLS *tls.Config // nil for connections without TLS
+	Callers  string      // base URL of the API for callers
 	Admin    string      // base URL of /metrics
 	Token    string      // a member's bearer token
 	Member   string
-	Service  string // one of the member's services, with no other guards
+	Service  string // a service of the member that no other guards serve
 	FleetKey string
-	// Shared tells that the entry runs in this process.
+	// Shared is set if the entry runs in this process.
 	Shared bool
 }
 
-// Options configures Run. Zero values take defaults.
+// Options configures Run. Fields that are zero get default values.
 type Options struct {
 	Target Target
-	Guards []int         // sizes to measure
-	Idle   time.Duration // idle window at each size
-	Load   time.Duration // window of each load
-	Jobs   []int         // loads to run at each size, as tasks per job
-	// Callers is how many callers submit at once.
+	Guards []int         // fleet sizes to measure
+	Idle   time.Duration // duration of the idle measurement at each size
+	Load   time.Duration // duration of each load
+	Jobs   []int         // loads at each size, as numbers of tasks per job
+	// Callers is the number of concurrent callers.
 	Callers int
 	JSON    bool
-	// Progress gets a line per step; nil for none.
+	// Progress receives a line for each step; nil disables them.
 	Progress io.Writer
 
-	settle time.Duration // after the guards' arrival, before a window
+	settleDelay time.Duration // from the connection of all guards to the start of a measurement
 }
 
-// Defaults and bounds. The idle window is one ping period: each end of each
-// link pings exactly once in it, whenever the link was opened. A shorter window
-// would count pings of some links only.
+// Defaults and limits. The default idle window is one ping interval, in which each
+// end of each link sends exactly one ping, whenever the link was opened. A shorter
+// window would include the pings of some links only.
 const (
 	DefaultIdle    = wire.PingEvery
 	DefaultLoad    = 1500 * time.Millisecond
 	DefaultCallers = 32
-	MaxGuards      = 1000 // a link takes two descriptors and about 50 KB here
+	MaxGuards      = 1000 // a link uses two file descriptors and about 50 KB in this process
 
-	settleTime  = time.Second
-	linkTimeout = 20 * time.Second
-	slots       = 8 // of each worker, as in the brief
+	defaultSettleDelay = time.Second
+	linkTimeout        = 20 * time.Second
+	slotsPerWorker     = 8 // as in the requirements
 )
 
-// DefaultGuards and DefaultJobs are measured when nothing else is asked for.
+// DefaultGuards and DefaultJobs are the fleet sizes and loads to measure if Options
+// contains none.
 var (
 	DefaultGuards = []int{10, 50, 200, 820}
 	DefaultJobs   = []int{1, 100}
 )
 
+// setDefaults replaces zero values and checks the fleet sizes.
 func (o *Options) setDefaults() error {
 	if len(o.Guards) == 0 {
 		o.Guards = DefaultGuards
@@ -89,8 +92,8 @@
 	if o.Callers <= 0 {
 		o.Callers = DefaultCallers
 	}
-	if o.settle <= 0 {
-		o.settle = settleTime
+	if o.settleDelay <= 0 {
+		o.settleDelay = defaultSettleDelay
 	}
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -103,8 +106,8 @@
 	return nil
 }
 
-// Run measures and writes the report to w. It takes about the idle window plus
-// the loads for each size: 75 s with the defaults.
+// Run measures the entry and writes the report to w. For each fleet size, it takes
+// about the idle window plus the loads: 75 s in total with the defaults.
 func Run(ctx context.Context, o Options, w io.Writer) error {
 	if err := o.setDefaults(); err != nil {
 		return err
@@ -121,7 +124,7 @@
 	return report.writeTable(w)
 }
 
-// measurement is one Run.
+// measurement is the state of a Run.
 type measurement struct {
 	opts   Options
 	fleet  *fleet
@@ -141,29 +144,31 @@
 	}
 }
 
-// run measures idle while the fleet grows, before any task, so that the entry's
-// resident memory is that of its links; then loads while the fleet shrinks.
+// run first measures the idle cost while the fleet grows, before any task, so that
+// the resident memory of the entry is that of its links. It then runs the loads
+// while the fleet shrinks.
 func (m *measurement) run(ctx context.Context) (*Report, error) {
 	for _, n := range m.opts.Guards {
-		idle, err := m.idle(ctx, n)
+		idleCost, err := m.idleCost(ctx, n)
 		if err != nil {
 			return nil, err
 		}
-		m.report.Sizes = append(m.report.Sizes, Size{Guards: n, Idle: *idle})
+		m.report.Sizes = append(m.report.Sizes, Size{Guards: n, Idle: *idleCost})
 	}
 	for i := len(m.opts.Guards) - 1; i >= 0; i-- {
-		loads, err := m.loads(ctx, m.opts.Guards[i])
+		loadCosts, err := m.loadCosts(ctx, m.opts.Guards[i])
 		if err != nil {
 			return nil, err
 		}
-		m.report.Sizes[i].Loads = loads
+		m.report.Sizes[i].Loads = loadCosts
 	}
-	m.report.fit()
+	m.report.fitSlopes()
 	return m.report, nil
 }
 
-func (m *measurement) idle(ctx context.Context, n int) (*Idle, error) {
-	m.progress("%d guards: linking, then idle for %v", n, m.opts.Idle)
+// idleCost measures n guards without load.
+func (m *measurement) idleCost(ctx context.Context, n int) (*Idle, error) {
+	m.printProgress("%d guards: connecting, then idle for %v", n, m.opts.Idle)
 	if err := m.resize(ctx, n); err != nil {
 		return nil, err
 	}
@@ -171,7 +176,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := pause(ctx, m.opts.Idle); err != nil {
+	if err := sleep(ctx, m.opts.Idle); err != nil {
 		return nil, err
 	}
 	after, err := m.sample(ctx)
@@ -181,14 +186,15 @@
 	return newIdle(n, before, after), nil
 }
 
-func (m *measurement) loads(ctx context.Context, n int) ([]Load, error) {
+// loadCosts runs each load with n guards.
+func (m *measurement) loadCosts(ctx context.Context, n int) ([]Load, error) {
 	if err := m.resize(ctx, n); err != nil {
 		return nil, err
 	}
 	var out []Load
 	for _, tasks := range m.opts.Jobs {
-		m.progress("%d guards: jobs of %d tasks for %v", n, tasks, m.opts.Load)
-		l, err := m.load(ctx, tasks)
+		m.printProgress("%d guards: jobs of %d tasks for %v", n, tasks, m.opts.Load)
+		l, err := m.loadCost(ctx, tasks)
 		if err != nil {
 			return nil, err
 		}
@@ -197,12 +203,13 @@
 	return out, nil
 }
 
-func (m *measurement) load(ctx context.Context, tasks int) (*Load, error) {
+// loadCost runs one load with the present guards.
+func (m *measurement) loadCost(ctx context.Context, tasks int) (*Load, error) {
 	before, err := m.sample(ctx)
 	if err != nil {
 		return nil, err
 	}
-	c := newCallers(m.client, &m.opts, tasks)
+	c := newLoadGenerator(m.client, &m.opts, tasks)
 	if err := c.run(ctx); err != nil {
 		return nil, err
 	}
@@ -213,20 +220,22 @@
 	return newLoad(c, before, after), nil
 }
 
-// resize brings the fleet to n guards and waits until the entry counts as many.
+// resize changes the fleet to n guards, and waits until the entry reports n guards
+// and for the settle delay.
 func (m *measurement) resize(ctx context.Context, n int) error {
 	if err := m.fleet.resize(ctx, n); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
 	defer cancel()
-	if err := m.entry.awaitGuards(ctx, n); err != nil {
+	if err := m.entry.waitForGuards(ctx, n); err != nil {
 		return err
 	}
-	return pause(ctx, m.opts.settle)
+	return sleep(ctx, m.opts.settleDelay)
 }
 
-// sample reads both sides at about one moment.
+// sample reads the metrics of the entry and the traffic of the fleet at nearly the
+// same time.
 func (m *measurement) sample(ctx context.Context) (*sample, error) {
 	f, err := m.entry.read(ctx)
 	if err != nil {
@@ -235,11 +244,12 @@
 	return &sample{at: time.Now(), entry: *f, fleet: m.fleet.traffic()}, nil
 }
 
-func (m *measurement) progress(format string, args ...any) {
-	_, _ = fmt.Fprintf(m.opts.Progress, format+"\n", args...) // only a convenience
+func (m *measurement) printProgress(format string, args ...any) {
+	_, _ = fmt.Fprintf(m.opts.Progress, format+"\n", args...) // progress output is optional
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -12,10 +12,10 @@
 	"wigeontray/internal/wire"
 )
 
-// dialers bounds how many guards link at the same time.
-const dialers = 16
+// maxConcurrentDials limits the number of guards that connect at the same time.
+const maxConcurrentDials = 16
 
-// fleet is the set of lightweight guards.
+// fleet is the set of simulated guards.
 type fleet struct {
 	target *Target
 	client *http.Client
@@ -27,7 +27,7 @@
 func newFleet(t *Target) *fleet {
 	f := &fleet{target: t, meter: newMeter()}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
-		d := net.Dialer{KeepAlive: -1} // as wire.NewClient
+		d := net.Dialer{KeepAlive: -1} // no keep-alive probes, as in wire.NewClient
 		c, err := d.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
@@ -38,18 +38,19 @@
 	return f
 }
 
-// resize links or ends guards until there are n.
+// resize connects or closes guards until there are n.
 func (f *fleet) resize(ctx context.Context, n int) error {
 	if n < len(f.guards) {
-		end(f.guards[n:])
+		closeGuards(f.guards[n:])
 		f.guards = f.guards[:n]
 		return nil
 	}
 	return f.grow(ctx, n)
 }
 
-// end closes guards' links, all at once: each close waits for its peer.
-func end(guards []*guard) {
+// closeGuards closes the links of all guards before it waits for any of them, as
+// each close waits for its peer.
+func closeGuards(guards []*guard) {
 	for _, g := range guards {
 		g.close()
 	}
@@ -58,24 +59,25 @@
 	}
 }
 
+// grow connects guards until there are n. Those connected before an error remain.
 func (f *fleet) grow(ctx context.Context, n int) error {
 	first := len(f.guards)
-	fresh := make([]*guard, max(n-first, 0))
-	errs := make(chan error, len(fresh))
-	limit := make(chan struct{}, dialers)
+	added := make([]*guard, max(n-first, 0))
+	errs := make(chan error, len(added))
+	semaphore := make(chan struct{}, maxConcurrentDials)
 	var wg sync.WaitGroup
-	for i := range fresh {
-		limit <- struct{}{}
+	for i := range added {
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-limit }()
-			g, err := f.link(ctx, first+i)
-			fresh[i] = g
+			defer func() { <-semaphore }()
+			g, err := f.connectGuard(ctx, first+i)
+			added[i] = g
 			errs <- err
 		})
 	}
 	wg.Wait()
 	close(errs)
-	for _, g := range fresh {
+	for _, g := range added {
 		if g != nil {
 			f.guards = append(f.guards, g)
 		}
@@ -88,8 +90,8 @@
 	return nil
 }
 
-// link dials the entry as guard number i and starts its goroutine.
-func (f *fleet) link(ctx context.Context, i int) (*guard, error) {
+// connectGuard connects guard number i to the entry and starts its goroutine.
+func (f *fleet) connectGuard(ctx context.Context, i int) (*guard, error) {
 	scheme := "ws://"
 	if f.target.InnerTLS != nil {
 		scheme = "wss://"
@@ -99,7 +101,7 @@
 		return nil, fmt.Errorf("guard %d: %w", i, err)
 	}
 	g := newGuard(l)
-	if err := g.greet(ctx, f.hello(i)); err != nil {
+	if err := g.handshake(ctx, f.hello(i)); err != nil {
 		l.Close("no welcome")
 		return nil, fmt.Errorf("guard %d: %w", i, err)
 	}
@@ -107,13 +109,14 @@
 	return g, nil
 }
 
-// Shape of the fleet in the brief and letter 1: three workers to a rack, six
+// Topology of the planned fleet, as required: three workers per rack and six
 // failure domains.
 const (
-	perRack = 3
-	domains = 6
+	workersPerRack = 3
+	domainCount    = 6
 )
 
+// hello returns the Hello of guard number i.
 func (f *fleet) hello(i int) *wire.Hello {
 	worker := fmt.Sprintf("capacity-%d", i)
 	return &wire.Hello{
@@ -122,14 +125,15 @@
 		Incarnation: identity.NewIncarnation(worker),
 		Service:     f.target.Member + "/" + f.target.Service,
 		Worker:      worker,
-		Rack:        fmt.Sprintf("rack-%d", i/perRack),
-		Domain:      fmt.Sprintf("domain-%d", i%domains),
-		Slots:       slots,
+		Rack:        fmt.Sprintf("rack-%d", i/workersPerRack),
+		Domain:      fmt.Sprintf("domain-%d", i%domainCount),
+		Slots:       slotsPerWorker,
 		Software:    telemetry.Version,
 		Key:         f.target.FleetKey,
 	}
 }
 
+// traffic returns the total traffic of all links so far.
 func (f *fleet) traffic() traffic {
 	return traffic{
 		Frames:   f.frames.FramesIn.Load() + f.frames.FramesOut.Load(),
@@ -139,6 +143,6 @@
 }
 
 func (f *fleet) close() {
-	end(f.guards)
+	closeGuards(f.guards)
 	f.guards = nil
 }
--- a/internal/capacity/guard.go
+++ b/internal/capacity/guard.go
@@ -14,38 +14,38 @@
 	"wigeontray/internal/wire"
 )
 
-// answer is the result body of every task.
-var answer = []byte(`{"ok":true}`)
+// resultBody is the body of all task results.
+var resultBody = []byte(`{"ok":true}`)
 
-// Memory of a lightweight guard. A real one remembers far more; here it would
-// only take memory from the measurement.
+// Limits of the stored starts and results of a simulated guard. Those of a real
+// guard are much higher, and here would only add memory to the measurement.
 const (
-	rememberedStarts = 1000
-	heldBytes        = 16 << 10
+	maxRememberedStarts = 1000
+	maxHeldBytes        = 16 << 10
 )
 
-// guard is one lightweight guard: a real ledger whose upstream answers in no
-// time, so that slots are offered and refused as a real guard does.
+// guard is a simulated guard: a real ledger with an upstream that answers
+// immediately. It offers and refuses slots in the same way as a real guard.
 type guard struct {
 	link  wire.Link
 	entry identity.Incarnation
 	done  chan struct{}
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // protects the fields below
 	ledger *ledger.Ledger
-	timer  *time.Timer // calls tick when the ledger is next due
+	timer  *time.Timer // calls tick when the next tick of the ledger is due
 }
 
 func newGuard(link wire.Link) *guard {
 	now := time.Now()
 	g := &guard{link: link, done: make(chan struct{})}
-	g.ledger = ledger.New(now, ledger.Options{Slots: slots, Remembered: rememberedStarts, HeldBytes: heldBytes})
+	g.ledger = ledger.New(now, ledger.Options{Slots: slotsPerWorker, Remembered: maxRememberedStarts, HeldBytes: maxHeldBytes})
 	g.ledger.Health(now, true)
 	return g
 }
 
-// greet sends the Hello and waits for the Welcome.
-func (g *guard) greet(ctx context.Context, h *wire.Hello) error {
+// handshake sends the Hello and waits for the Welcome.
+func (g *guard) handshake(ctx context.Context, h *wire.Hello) error {
 	h.Load = g.ledger.Load()
 	if err := g.link.Send(&wire.Frame{Hello: h}); err != nil {
 		return fmt.Errorf("send hello: %w", err)
@@ -55,27 +55,27 @@
 		return fmt.Errorf("await welcome: %w", err)
 	}
 	if f.Welcome == nil {
-		return errors.New("first frame is no welcome")
+		return errors.New("first frame is not a welcome")
 	}
 	g.entry = f.Welcome.Incarnation
 	return nil
 }
 
-// serve answers the entry until the link ends.
+// serve handles frames from the entry until the link is closed.
 func (g *guard) serve() {
 	defer close(g.done)
-	g.step(func(now time.Time) { g.ledger.LinkUp(now, g.entry) })
+	g.applyEvent(func(now time.Time) { g.ledger.LinkUp(now, g.entry) })
 	for {
 		f, err := g.link.Recv(context.Background())
 		if err != nil {
 			return
 		}
-		g.step(func(now time.Time) { g.take(now, f) })
+		g.applyEvent(func(now time.Time) { g.handleFrame(now, f) })
 	}
 }
 
-// take feeds one frame to the ledger.
-func (g *guard) take(now time.Time, f *wire.Frame) {
+// handleFrame passes one frame to the ledger.
+func (g *guard) handleFrame(now time.Time, f *wire.Frame) {
 	switch {
 	case f.Start != nil:
 		g.ledger.Start(now, g.entry, f.Start)
@@ -92,34 +92,36 @@
 	}
 }
 
-// step feeds one event to the ledger and carries out its actions. A task that
-// is to run has its result at once, which makes further actions.
-func (g *guard) step(event func(now time.Time)) {
+// applyEvent passes one event to the ledger and performs the resulting actions. As
+// a task that is to run finishes immediately, its action leads to further ones.
+func (g *guard) applyEvent(event func(now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	event(now)
 	for actions := g.ledger.Actions(); len(actions) > 0; actions = g.ledger.Actions() {
 		for _, a := range actions {
-			g.act(now, a)
+			g.applyAction(now, a)
 		}
 	}
-	g.schedule(now)
+	g.scheduleTick(now)
 }
 
-func (g *guard) act(now time.Time, a ledger.Action) {
+// applyAction sends a frame, or finishes a task that is to run.
+func (g *guard) applyAction(now time.Time, a ledger.Action) {
 	if a.Send != nil {
 		g.send(a.Send.Frame)
 		return
 	}
-	g.ledger.Finished(now, wire.Result{Ref: a.Run.Ref, Ran: errkind.RanYes, Status: http.StatusOK, Body: answer})
+	g.ledger.Finished(now, wire.Result{Ref: a.Run.Ref, Ran: errkind.RanYes, Status: http.StatusOK, Body: resultBody})
 }
 
-// send queues a frame. A failed one has ended the link, which its reader sees.
+// send queues a frame. It ignores an error, as the link is then closed, which the
+// receiving goroutine detects.
 func (g *guard) send(f *wire.Frame) { _ = g.link.Send(f) }
 
-// schedule arranges for the ledger's next tick.
-func (g *guard) schedule(now time.Time) {
+// scheduleTick sets the timer for the next tick of the ledger.
+func (g *guard) scheduleTick(now time.Time) {
 	next := g.ledger.NextTick()
 	switch {
 	case next.IsZero():
@@ -130,11 +132,11 @@
 	}
 }
 
-func (g *guard) tick() { g.step(g.ledger.Tick) }
+func (g *guard) tick() { g.applyEvent(g.ledger.Tick) }
 
-// close takes leave, so that the entry counts a planned stop and no loss. done
-// is closed when the link has ended.
+// close drains the guard and closes its link, so that the entry counts a planned
+// stop and not a lost guard. The done channel is closed when serve returns.
 func (g *guard) close() {
-	g.step(func(now time.Time) { g.ledger.Drain(now, "measurement ends") })
+	g.applyEvent(func(now time.Time) { g.ledger.Drain(now, "measurement ends") })
 	g.link.Close("measurement ends")
 }
--- a/internal/capacity/probe.go
+++ b/internal/capacity/probe.go
@@ -11,81 +11,83 @@
 	"time"
 )
 
-// figures are what the entry tells of itself.
-type figures struct {
-	CPU      float64 // seconds of processor time
+// entryMetrics are metrics of the entry.
+type entryMetrics struct {
+	CPU      float64 // seconds of CPU time
 	Resident float64 // bytes
-	Heap     float64 // bytes reachable at the last collection
-	Stacks   float64 // bytes of goroutines' stacks
+	Heap     float64 // bytes reachable at the last garbage collection
+	Stacks   float64 // bytes of goroutine stacks
 	Guards   float64
-	Held     float64 // job records
+	HeldJobs float64 // number of job records
 }
 
-// sample is both sides' state at one moment.
+// sample is the state of the entry and of the fleet at a point in time.
 type sample struct {
 	at    time.Time
-	entry figures
+	entry entryMetrics
 	fleet traffic
 }
 
-// entryProbe reads an entry's exposition.
+// entryProbe reads the metrics of an entry.
 type entryProbe struct {
 	url    string
 	client *http.Client
 }
 
-func (p *entryProbe) read(ctx context.Context) (*figures, error) {
+func (p *entryProbe) read(ctx context.Context) (*entryMetrics, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
-		return nil, fmt.Errorf("read figures: %w", err)
+		return nil, fmt.Errorf("read metrics: %w", err)
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("read figures: %w", err)
+		return nil, fmt.Errorf("read metrics: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("read figures: %s", resp.Status)
+		return nil, fmt.Errorf("read metrics: %s", resp.Status)
 	}
-	return parseFigures(resp.Body)
+	return parseMetrics(resp.Body)
 }
 
-func parseFigures(r io.Reader) (*figures, error) {
-	f := new(figures)
-	want := map[string]*float64{
+// parseMetrics reads metrics in the Prometheus text format. It returns an error if
+// one of entryMetrics is missing.
+func parseMetrics(r io.Reader) (*entryMetrics, error) {
+	f := new(entryMetrics)
+	destinations := map[string]*float64{
 		"process_cpu_seconds_total":     &f.CPU,
 		"process_resident_memory_bytes": &f.Resident,
 		"go_heap_live_bytes":            &f.Heap,
 		"go_stack_bytes":                &f.Stacks,
 		"wigeontray_guards":             &f.Guards,
-		"wigeontray_jobs_held":          &f.Held,
+		"wigeontray_jobs_held":          &f.HeldJobs,
 	}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), " ")
-		to, ok := want[name]
+		destination, ok := destinations[name]
 		if !ok {
 			continue
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return nil, fmt.Errorf("read figures: %s: %w", name, err)
+			return nil, fmt.Errorf("read metrics: %s: %w", name, err)
 		}
-		*to = v
-		delete(want, name)
+		*destination = v
+		delete(destinations, name)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("read figures: %w", err)
+		return nil, fmt.Errorf("read metrics: %w", err)
 	}
-	for name := range want {
-		return nil, fmt.Errorf("read figures: no %s", name)
+	for name := range destinations {
+		return nil, fmt.Errorf("read metrics: no %s", name)
 	}
 	return f, nil
 }
 
-// awaitGuards polls until the entry counts n guards.
-func (p *entryProbe) awaitGuards(ctx context.Context, n int) error {
-	const every = 50 * time.Millisecond
+// waitForGuards polls until the entry reports n connected guards.
+func (p *entryProbe) waitForGuards(ctx context.Context, n int) error {
+	const pollInterval = 50 * time.Millisecond
 	for {
 		f, err := p.read(ctx)
 		if err != nil {
@@ -94,8 +96,8 @@
 		if int(f.Guards) == n {
 			return nil
 		}
-		if err := pause(ctx, every); err != nil {
-			return fmt.Errorf("the entry counts %v guards, want %d: %w", f.Guards, n, err)
+		if err := sleep(ctx, pollInterval); err != nil {
+			return fmt.Errorf("entry reports %v guards, want %d: %w", f.Guards, n, err)
 		}
 	}
 }
--- a/internal/replay/clock.go
+++ b/internal/replay/clock.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// epoch is the moment zero of every replay.
+// epoch is the simulated time at which every replay starts.
 var epoch = time.Unix(1_790_000_000, 0)
 
-// clock is the event queue: it runs events in order of time, and equal times
-// in the order in which they were added.
+// clock is the simulated clock and its event queue. It runs events in order of
+// time, and events of the same time in the order in which they were added.
 type clock struct {
 	now   time.Time
 	queue eventHeap
@@ -17,29 +17,30 @@
 }
 
 type event struct {
-	when time.Time
-	seq  uint64
-	run  func()
+	dueAt time.Time
+	seq   uint64
+	run   func()
 }
 
-// at runs f at the moment t, or now if t has passed.
+// at schedules f for time t, or for the current time if t has passed.
 func (c *clock) at(t time.Time, f func()) {
 	if t.Before(c.now) {
 		t = c.now
 	}
 	c.seq++
-	heap.Push(&c.queue, event{when: t, seq: c.seq, run: f})
+	heap.Push(&c.queue, event{dueAt: t, seq: c.seq, run: f})
 }
 
+// after schedules f to run after d.
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now.Add(d), f) }
 
-// step runs the next event that is due by end.
+// step runs the next event that is due by end and reports whether there was one.
 func (c *clock) step(end time.Time) bool {
-	if len(c.queue) == 0 || c.queue[0].when.After(end) {
+	if len(c.queue) == 0 || c.queue[0].dueAt.After(end) {
 		return false
 	}
 	e := heap.Pop(&c.queue).(event)
-	c.now = e.when
+	c.now = e.dueAt
 	e.run()
 	return true
 }
@@ -48,8 +49,8 @@
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	if !h[i].when.Equal(h[j].when) {
-		return h[i].when.Before(h[j].when)
+	if !h[i].dueAt.Equal(h[j].dueAt) {
+		return h[i].dueAt.Before(h[j].dueAt)
 	}
 	return h[i].seq < h[j].seq
 }
--- a/internal/replay/main.go
+++ b/internal/replay/main.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// ErrUnmet reports a replay that broke a promise or missed a stated outcome.
-// Commands exit with a non-zero code on it.
+// ErrUnmet is returned if a replay violated an invariant or did not meet a stated
+// outcome. Commands exit with a non-zero code on it.
 var ErrUnmet = errors.New("stated outcomes were not met")
 
 // LoadFile reads a trace from a file.
@@ -36,16 +36,16 @@
 	return out, nil
 }
 
-// Main replays trace files, writes the reports as a table or as JSON, and
-// returns ErrUnmet when any of them broke a promise or missed what it states.
+// Main replays trace files, writes the reports as a table or as JSON, and returns
+// ErrUnmet if any replay violated an invariant or did not meet a stated outcome.
 func Main(out io.Writer, paths []string, seed uint64, asJSON bool) error {
 	traces, err := LoadFiles(paths)
 	if err != nil {
 		return err
 	}
-	var runs []run
+	var runs []runSpec
 	for _, t := range traces {
-		runs = append(runs, run{t, Options{Seed: seed}})
+		runs = append(runs, runSpec{t, Options{Seed: seed}})
 	}
 	reports, err := runAll(runs)
 	if err != nil {
@@ -59,11 +59,11 @@
 	if err != nil {
 		return err
 	}
-	return unmet(reports)
+	return checkReports(reports)
 }
 
-// writeOutcomes writes the table and then each broken promise and missed
-// outcome on a line of its own.
+// writeOutcomes writes the table, followed by one line for each violated
+// invariant and each unmet outcome.
 func writeOutcomes(out io.Writer, reports []*Report) error {
 	if err := writeTable(out, reports); err != nil {
 		return err
@@ -76,12 +76,13 @@
 			fmt.Fprintf(out, "%s: unmet: %s\n", r.Trace, u)
 		}
 		fmt.Fprintf(out, "%s: %d stated outcomes, %d unmet, %d broken promises\n",
-			r.Trace, r.Stated, len(r.Unmet), len(r.Violations))
+			r.Trace, r.StatedCount, len(r.Unmet), len(r.Violations))
 	}
 	return nil
 }
 
-func unmet(reports []*Report) error {
+// checkReports returns ErrUnmet for the first report that is not OK.
+func checkReports(reports []*Report) error {
 	for _, r := range reports {
 		if !r.OK() {
 			return fmt.Errorf("%s: %w", r.Trace, ErrUnmet)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -25,8 +25,9 @@
 	return files
 }
 
-// Each trace tells in its first lines how its failure comes about and what a
-// caller notices. All must meet what they state, whatever the random choices.
+// The first lines of each trace describe its failure, how it comes about and its
+// effect on callers. Guards against a change that breaks an outcome which a trace
+// states. The outcomes must hold for any random choices.
 func TestTraces(t *testing.T) {
 	for _, path := range traceFiles(t) {
 		t.Run(filepath.Base(path), func(t *testing.T) {
@@ -37,20 +38,20 @@
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, r.Violations, qt.HasLen, 0)
 			qt.Check(t, r.Unmet, qt.HasLen, 0)
-			qt.Check(t, r.Stated > 0, qt.IsTrue)
+			qt.Check(t, r.StatedCount > 0, qt.IsTrue)
 		})
 	}
 }
 
-// A promise that holds with one seed and one placement only would be broken by
-// the next change of either. The promises hold in every failure workload under
-// every placement and weighting.
-func TestPromisesHoldUnderEveryPlacement(t *testing.T) {
-	traces := []*Trace{Ayni.guardRestart(), Ayni.cancelWaves(), Leeuwin.domainReturn(), Leeuwin.overload()}
+// Guards against invariants that hold only with one seed, placement or weighting
+// and break when one of these changes. They must hold in the failure workloads
+// with every placement, and with the weightings of both sites.
+func TestInvariantsHoldForEveryPlacement(t *testing.T) {
+	traces := []*Trace{Ayni.guardRestart(), Ayni.cancelWaves(), Leeuwin.domainReturn(), Leeuwin.overload200()}
 	for _, trace := range traces {
-		trace.Loads[0].For = warmUp + 5*second
-		if trace.Loads[0].Offered > 1 {
-			trace.Loads[0].For = 2 * second // every refused task costs eleven messages
+		trace.Loads[0].Duration = warmUpTime + 5*second
+		if trace.Loads[0].OfferedShare > 1 {
+			trace.Loads[0].Duration = 2 * second // limits the run time of the test: each refused task costs eleven messages
 		}
 		for i, p := range placements {
 			t.Run(trace.Name+"/"+p.String(), func(t *testing.T) {
@@ -63,9 +64,9 @@
 	}
 }
 
-// Figures that change from run to run cannot be compared, and a failure that a
-// replay shows once and not again cannot be mended.
-func TestSameSeedSameReport(t *testing.T) {
+// Guards against replays that depend on anything but trace and seed. Their
+// measures could not be compared, and their failures not reproduced.
+func TestReplayIsDeterministic(t *testing.T) {
 	var first string
 	files := traceFiles(t)
 	for range 2 {
@@ -79,8 +80,9 @@
 	}
 }
 
-// busyWorld is a small world with a job of two tasks running.
-func busyWorld(t *testing.T) (*world, *call) {
+// newBusySimulation returns a small simulation in which a job of two tasks is
+// running.
+func newBusySimulation(t *testing.T) (*simulation, *call) {
 	trace, err := Parse("busy", strings.NewReader(`
 service ayni/reserva
 entry e1 domain a
@@ -88,65 +90,65 @@
 worker w02 rack r2 domain b slots 1
 `))
 	qt.Assert(t, err, qt.IsNil)
-	w := newWorld(trace, Options{Seed: testSeed})
-	for w.clock.step(w.begin) {
+	sim := newSimulation(trace, Options{Seed: testSeed})
+	for sim.clock.step(sim.traceStart) {
 	}
-	w.clock.now = w.begin
-	w.submit(&Event{Op: OpSubmit, Target: "job", Other: "e1", Request: &Request{
+	sim.clock.now = sim.traceStart
+	sim.submit(&Event{Op: OpSubmit, Target: "job", Other: "e1", Request: &Request{
 		Job: "job", Deadline: time.Second, Tasks: []time.Duration{300 * time.Millisecond, 300 * time.Millisecond},
 	}})
-	for w.clock.step(w.begin.Add(100 * time.Millisecond)) {
+	for sim.clock.step(sim.traceStart.Add(100 * time.Millisecond)) {
 	}
-	qt.Assert(t, w.tally.runs, qt.Equals, 2)
-	return w, w.calls[0]
+	qt.Assert(t, sim.counters.runs, qt.Equals, 2)
+	return sim, sim.calls[0]
 }
 
-// The checks are worth what they notice. A rule that resends a running task to
-// another guard, claims "not run" of what runs, answers in part, answers twice
-// or late must each be seen.
-func TestSabotageIsNoticed(t *testing.T) {
+// Guards against checks that miss violations. The checker must detect a running
+// task that is started on another guard, a running task that is reported as not
+// run, and answers that are incomplete, duplicate, late, missing or delayed.
+func TestCheckerDetectsViolations(t *testing.T) {
 	ref := func(c *call) wire.Ref { return wire.Ref{Member: "ayni", Key: c.job.key, Task: 0} }
-	cases := map[string]func(*world, *call){
-		"started on": func(w *world, c *call) {
-			for _, g := range w.guards {
-				g.ledger.Drain(w.clock.now, "") // frees nothing; both slots are taken
-				w.started(g, ref(c))
+	cases := map[string]func(*simulation, *call){
+		"started on": func(sim *simulation, c *call) {
+			for _, g := range sim.guards {
+				g.ledger.Drain(sim.clock.now, "") // frees no slot, as both are in use
+				sim.recordStart(g, ref(c))
 			}
 		},
-		"told that it did not": func(w *world, c *call) {
-			w.finished(&dispatch.Outcome{ID: c.job.id(), Err: notRunError, Failures: []dispatch.TaskFailure{{Task: 0, Ran: notRunError.Ran}}})
+		"but was reported as not run": func(sim *simulation, c *call) {
+			sim.checkOutcome(&dispatch.Outcome{ID: c.job.id(), Err: notRunError, Failures: []dispatch.TaskFailure{{Task: 0, Ran: notRunError.Ran}}})
 		},
-		"of 2 results": func(w *world, c *call) { w.answer(c, &answer{results: make([]dispatch.TaskResult, 1)}) },
-		"2 times": func(w *world, c *call) {
-			w.answer(c, unknownAnswer)
-			w.answer(c, unknownAnswer)
+		"of 2 results": func(sim *simulation, c *call) { sim.answer(c, &answer{results: make([]dispatch.TaskResult, 1)}) },
+		"2 times": func(sim *simulation, c *call) {
+			sim.answer(c, unknownAnswer)
+			sim.answer(c, unknownAnswer)
 		},
-		"after deadline": func(w *world, c *call) {
-			w.clock.after(3*time.Second, func() { w.answer(c, unknownAnswer) })
+		"after the deadline": func(sim *simulation, c *call) {
+			sim.clock.after(3*time.Second, func() { sim.answer(c, unknownAnswer) })
 		},
-		"never answered": func(w *world, _ *call) { w.check.unanswered(w.calls) },
-		"held back": func(w *world, c *call) {
-			w.finished(&dispatch.Outcome{ID: c.job.id(), Results: make([]dispatch.TaskResult, 2)})
+		"never answered": func(sim *simulation, _ *call) { sim.checker.checkUnanswered(sim.calls) },
+		"answer delayed": func(sim *simulation, c *call) {
+			sim.checkOutcome(&dispatch.Outcome{ID: c.job.id(), Results: make([]dispatch.TaskResult, 2)})
 		},
 	}
-	for want, sabotage := range cases {
+	for want, inject := range cases {
 		t.Run(want, func(t *testing.T) {
-			w, c := busyWorld(t)
-			sabotage(w, c)
-			for w.clock.step(w.begin.Add(5 * time.Second)) {
+			sim, c := newBusySimulation(t)
+			inject(sim, c)
+			for sim.clock.step(sim.traceStart.Add(5 * time.Second)) {
 			}
-			qt.Assert(t, strings.Join(w.check.violations, "\n"), qt.Contains, want)
+			qt.Assert(t, strings.Join(sim.checker.violations, "\n"), qt.Contains, want)
 		})
 	}
 }
 
-// A trace that people bring has a slip of the pen. Passed over, it would state
-// less than its author believes; the error names the line.
-func TestParseNamesTheLine(t *testing.T) {
+// Guards against typing errors in traces that the parser ignores, so that the
+// trace checks less than intended. The error must contain the line number.
+func TestParseErrorsIncludeLineNumber(t *testing.T) {
 	for text, want := range map[string]string{
-		"entry e1 domain a\nworkers w1":                    "line 2: unknown line",
+		"entry e1 domain a\nworkers w1":                    "line 2: unknown statement",
 		"at soon submit j to e1 tasks 1s":                  "line 1: want a duration",
-		"at 1s submit j to e1 deadline 1s":                 "line 1: a submission without tasks",
+		"at 1s submit j to e1 deadline 1s":                 "line 1: submission has no tasks",
 		"at 1s submit j to e1 tasks 1s expect fine":        "unknown outcome",
 		"at 1s submit j to e1 tasks 1s expect ok ran some": "want no, yes or unknown",
 		"at 1s explode w01":                                "unknown event",
@@ -157,14 +159,14 @@
 	}
 }
 
-// An unmet outcome must fail the command that replays it; else CI stays green
-// beside a table that nobody reads.
-func TestUnmetOutcomeFails(t *testing.T) {
+// Guards against a replay command that succeeds despite unmet outcomes: CI would
+// pass, with the failure only in its output.
+func TestUnmetOutcomeReturnsError(t *testing.T) {
 	trace, err := Parse("x", strings.NewReader("service a/b\nentry e1 domain a\nat 1s submit j to e1 tasks 10ms expect ok\nworker w1 domain a"))
 	qt.Assert(t, err, qt.IsNil)
 	trace.Events[0].Want.Before = time.Millisecond
 	r, err := Run(trace, Options{})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.Unmet, qt.HasLen, 1)
-	qt.Assert(t, unmet([]*Report{r}), qt.ErrorIs, ErrUnmet)
+	qt.Assert(t, checkReports([]*Report{r}), qt.ErrorIs, ErrUnmet)
 }
--- a/internal/replay/tally.go
+++ b/internal/replay/tally.go
@@ -6,31 +6,31 @@
 	"wigeontray/internal/wire"
 )
 
-// second is the width of the buckets in which starts are counted by worker.
+// second is the interval over which the starts of a worker are counted.
 const second = time.Second
 
-// tally counts what a replay's measures are made of.
-type tally struct {
-	w        *world
-	messages map[string]int
-	runs     int
-	busy     time.Duration // time on upstreams inside the measured window
-	failed   int           // runs on a failing upstream after failSettle
-	after    int           // all runs in that time
-	retries  map[string]int
-	starts   map[string][]int // by worker and second
-	failFrom time.Time        // first moment at which an upstream failed
+// counters are the counts from which the measures of a replay are computed.
+type counters struct {
+	sim              *simulation
+	messages         map[string]int
+	runs             int
+	busyTime         time.Duration // run time of tasks inside the measured window
+	failedRuns       int           // those of runsAfterFailure that ran on a failing upstream
+	runsAfterFailure int           // runs later than failureDetectionDelay after firstFailureAt
+	retries          map[string]int
+	startsPerSecond  map[string][]int // by worker, for each second of the trace
+	firstFailureAt   time.Time        // time of the first upstream failure
 }
 
-func (t *tally) init(w *world) {
-	t.w = w
+func (t *counters) init(sim *simulation) {
+	t.sim = sim
 	t.messages = make(map[string]int)
 	t.retries = make(map[string]int)
-	t.starts = make(map[string][]int)
+	t.startsPerSecond = make(map[string][]int)
 }
 
-// frame counts a message between an entry and a guard.
-func (t *tally) frame(f *wire.Frame) {
+// countFrame counts a message between an entry and a guard by its type.
+func (t *counters) countFrame(f *wire.Frame) {
 	kind := "other"
 	switch {
 	case f.Start != nil:
@@ -49,7 +49,7 @@
 	t.messages[kind]++
 }
 
-func (t *tally) total() int {
+func (t *counters) totalMessages() int {
 	sum := 0
 	for _, n := range t.messages {
 		sum += n
@@ -57,30 +57,31 @@
 	return sum
 }
 
-// ran notes a run that begins now.
-func (t *tally) ran(g *guard, now time.Time, took time.Duration) {
+// recordRun counts a task run that starts at now.
+func (t *counters) recordRun(g *guard, now time.Time, runTime time.Duration) {
 	t.runs++
-	from, until := t.w.window()
-	t.busy += overlap(now, now.Add(took), from, until)
-	if !t.failFrom.IsZero() && now.Sub(t.failFrom) > failSettle {
-		t.after++
-		if g.failing {
-			t.failed++
+	from, until := t.sim.measuredWindow()
+	t.busyTime += overlap(now, now.Add(runTime), from, until)
+	if !t.firstFailureAt.IsZero() && now.Sub(t.firstFailureAt) > failureDetectionDelay {
+		t.runsAfterFailure++
+		if g.isFailing {
+			t.failedRuns++
 		}
 	}
-	at := int(now.Sub(t.w.begin) / second)
-	if at < 0 {
+	sec := int(now.Sub(t.sim.traceStart) / second)
+	if sec < 0 {
 		return
 	}
-	s := t.starts[g.def.Name]
-	for len(s) <= at {
-		s = append(s, 0)
+	starts := t.startsPerSecond[g.config.Name]
+	for len(starts) <= sec {
+		starts = append(starts, 0)
 	}
-	s[at]++
-	t.starts[g.def.Name] = s
+	starts[sec]++
+	t.startsPerSecond[g.config.Name] = starts
 }
 
-// overlap is the time that two intervals share.
+// overlap returns the length of the intersection of the intervals [a0, a1] and
+// [b0, b1].
 func overlap(a0, a1, b0, b1 time.Time) time.Duration {
 	if b0.After(a0) {
 		a0 = b0
--- a/internal/replay/words.go
+++ b/internal/replay/words.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// errEnd reports a line that ends too early.
-var errEnd = errors.New("the line ends too early")
+// errLineTooShort is returned for a line that lacks a word.
+var errLineTooShort = errors.New("unexpected end of line")
 
-// words are the words of one line that were not read yet.
+// words are the remaining unread words of a line.
 type words []string
 
+// next removes and returns the first word.
 func (w *words) next() (string, error) {
 	if len(*w) == 0 {
-		return "", errEnd
+		return "", errLineTooShort
 	}
 	first := (*w)[0]
 	*w = (*w)[1:]
@@ -46,8 +47,8 @@
 	return f, nil
 }
 
-// skip passes over a word that must come next.
-func (w *words) skip(word string) error {
+// expect removes the next word, which must be the given one.
+func (w *words) expect(word string) error {
 	s, err := w.next()
 	if err == nil && s != word {
 		err = fmt.Errorf("want %q, got %q", word, s)
@@ -55,22 +56,26 @@
 	return err
 }
 
-// setting reads the value of one named setting.
-type setting func(*words) error
+// settingReader reads the value of a named setting.
+type settingReader func(*words) error
 
-func toDuration(d *time.Duration) setting {
+// intoDuration returns a reader that stores a duration in d.
+func intoDuration(d *time.Duration) settingReader {
 	return func(w *words) (err error) { *d, err = w.duration(); return err }
 }
 
-func toFloat(f *float64) setting {
+// intoFloat returns a reader that stores a number in f.
+func intoFloat(f *float64) settingReader {
 	return func(w *words) (err error) { *f, err = w.number(); return err }
 }
 
-func toString(s *string) setting {
+// intoString returns a reader that stores a word in s.
+func intoString(s *string) settingReader {
 	return func(w *words) (err error) { *s, err = w.next(); return err }
 }
 
-func toInt(n *int) setting {
+// intoInt returns a reader that stores the integer part of a number in n.
+func intoInt(n *int) settingReader {
 	return func(w *words) error {
 		f, err := w.number()
 		*n = int(f)
@@ -78,11 +83,11 @@
 	}
 }
 
-// settings reads pairs of a name and its value until the line ends or a word
-// comes that is no name.
-func (w *words) settings(known map[string]setting) error {
+// readSettings reads pairs of a name and a value, up to the end of the line or a
+// word that is not the name of a setting.
+func (w *words) readSettings(readers map[string]settingReader) error {
 	for len(*w) > 0 {
-		read, ok := known[(*w)[0]]
+		read, ok := readers[(*w)[0]]
 		if !ok {
 			return nil
 		}
@@ -95,10 +100,10 @@
 	return nil
 }
 
-// done fails if words are left.
-func (w *words) done() error {
+// expectEnd returns an error if there are unread words.
+func (w *words) expectEnd() error {
 	if len(*w) > 0 {
-		return fmt.Errorf("unknown word %q", (*w)[0])
+		return fmt.Errorf("unexpected word %q", (*w)[0])
 	}
 	return nil
 }
