--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -8,46 +8,47 @@
 	"time"
 )
 
-// connectKey is the key of the bound that ConnectWithin sets.
-type connectKey struct{}
+// connectTimeoutKey is the context key of the timeout set by ConnectWithin.
+type connectTimeoutKey struct{}
 
-// ConnectWithin bounds the time in which a link that is dialed with ctx has to have its TCP
-// connection, beside the bound of ctx for the whole of it. A VM without power answers
-// nothing: whoever waits for its answer until the time for a handshake has passed does not
-// notice that it has come back meanwhile.
-func ConnectWithin(ctx context.Context, d time.Duration) context.Context {
-	return context.WithValue(ctx, connectKey{}, d)
+// ConnectWithin limits the time that a link dialed with ctx may take to establish its TCP
+// connection, in addition to the deadline of ctx for the whole handshake. A powered-off VM
+// does not respond at all; waiting out the full handshake timeout would delay the next
+// attempt although the VM may be back meanwhile.
+func ConnectWithin(ctx context.Context, timeout time.Duration) context.Context {
+	return context.WithValue(ctx, connectTimeoutKey{}, timeout)
 }
 
-// ConnectTime is the bound that ConnectWithin has set, or false.
+// ConnectTime returns the timeout set by ConnectWithin, and false if there is none.
 func ConnectTime(ctx context.Context) (time.Duration, bool) {
-	d, ok := ctx.Value(connectKey{}).(time.Duration)
-	return d, ok
+	timeout, ok := ctx.Value(connectTimeoutKey{}).(time.Duration)
+	return timeout, ok
 }
 
-// NewClient gives the client with which processes dial links; tlsConfig nil
-// means plain text. The connections have no TCP keep-alive: both kernels would
-// probe an idle link every 15 s, which makes more segments than the pings of the
-// link and tells less, as the kernel of a frozen process goes on answering.
+// NewClient returns the HTTP client with which processes dial links; a nil tlsConfig means
+// plaintext. TCP keep-alive is off: both kernels would probe an idle link every 15 s, which
+// costs more segments than the link's own pings and detects less, since the kernel of a
+// frozen process still answers.
 func NewClient(tlsConfig *tls.Config) *http.Client {
-	d := &net.Dialer{KeepAlive: -1}
+	dialer := &net.Dialer{KeepAlive: -1}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		if within, ok := ConnectTime(ctx); ok {
+		if timeout, ok := ConnectTime(ctx); ok {
 			var cancel context.CancelFunc
-			ctx, cancel = context.WithTimeout(ctx, within)
+			ctx, cancel = context.WithTimeout(ctx, timeout)
 			defer cancel()
 		}
-		return d.DialContext(ctx, network, address)
+		return dialer.DialContext(ctx, network, address)
 	}
 	return &http.Client{Transport: &http.Transport{DialContext: dial, TLSClientConfig: tlsConfig}}
 }
 
-// withoutKeepAlive is the same for an accepted connection.
-func withoutKeepAlive(c net.Conn) {
+// disableKeepAlive turns off TCP keep-alive for an accepted connection, for the reason
+// given at NewClient.
+func disableKeepAlive(c net.Conn) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetKeepAlive(false) // a closed connection is noticed when it is read
+		_ = t.SetKeepAlive(false) // an error means that the connection is closed, which the next read reports
 	}
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of the decoder. A peer that sends more is broken or hostile, and its
-// frame must cost neither memory nor the process.
+// Limits of the decoder. A frame that exceeds them comes from a faulty or hostile peer, and
+// must neither exhaust memory nor crash the process.
 const (
 	MaxFrame       = 8 << 20 // bytes in a frame
 	maxElements    = 1 << 17 // entries in an array or map
@@ -33,7 +33,7 @@
 	return v
 }
 
-// Encode gives the CBOR form of f.
+// Encode returns the CBOR encoding of f.
 func Encode(f *Frame) ([]byte, error) {
 	b, err := encMode.Marshal(f)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return b, nil
 }
 
-// Decode reads one frame. It never panics and never allocates more than a
-// small multiple of len(b).
+// Decode parses one frame. It never panics and never allocates more than a small multiple
+// of len(b).
 func Decode(b []byte) (*Frame, error) {
 	if len(b) > MaxFrame {
 		return nil, fmt.Errorf("decode frame: %d bytes exceed %d", len(b), MaxFrame)
@@ -55,7 +55,7 @@
 	if err := decMode.Unmarshal(b, f); err != nil {
 		return nil, fmt.Errorf("decode frame: %w", err)
 	}
-	if err := f.unpack(); err != nil {
+	if err := f.unpackText(); err != nil {
 		return nil, fmt.Errorf("decode frame: %w", err)
 	}
 	return f, nil
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -16,9 +16,9 @@
 	qt.Assert(t, got, qt.DeepEquals, f)
 }
 
-// During an upgrade a newer process sends fields that this one has never heard
-// of. If they failed the frame, every upgrade would cut the links of the fleet.
-func TestUnknownFieldsAreTolerated(t *testing.T) {
+// During an upgrade a newer process sends fields that this version does not define. If they
+// made decoding fail, every upgrade would close the links of the whole fleet.
+func TestUnknownFieldsAreIgnored(t *testing.T) {
 	b, err := cbor.Marshal(map[int]any{6: map[int]any{1: 9, 2: 4, 99: "new"}, 77: []int{1}})
 	qt.Assert(t, err, qt.IsNil)
 	f, err := Decode(b)
@@ -26,8 +26,8 @@
 	qt.Assert(t, f.Load, qt.DeepEquals, &Load{Seq: 9, Running: 4})
 }
 
-// A hostile or broken peer can send any bytes. A panic would take down the
-// process with every request in flight.
+// A hostile or faulty peer can send arbitrary bytes. A panic would abort the process and
+// every request in flight.
 func FuzzDecode(f *testing.F) {
 	b, _ := Encode(&Frame{Hello: &Hello{Version: 1, Service: "ayni/reserva", Slots: 8}})
 	f.Add(b)
@@ -42,9 +42,9 @@
 	})
 }
 
-// Links decode from a buffer that the next frame overwrites. If a frame pointed
-// into it, a caller could be given the answer to the request of another.
-func TestDecodedFrameOutlivesItsBuffer(t *testing.T) {
+// Links decode from a buffer that the next frame overwrites. If a frame aliased it, a
+// caller could receive the response to another caller's request.
+func TestDecodedFrameDoesNotAliasInput(t *testing.T) {
 	f := &Frame{Result: &Result{Ref: Ref{Member: "ayni", Key: "key"}, Body: []byte("answer")}}
 	b, err := Encode(f)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -14,74 +14,74 @@
 	"github.com/coder/websocket"
 )
 
-// Timing and sizes of a link.
+// Timeouts and limits of a link.
 const (
-	sendQueue    = 4096            // frames waiting for the socket
-	writeTimeout = 5 * time.Second // one frame onto the socket
+	maxQueuedFrames = 4096            // frames waiting for the socket
+	writeTimeout    = 5 * time.Second // for writing one frame to the socket
 )
 
-// ErrSlowPeer reports a peer that does not read: its send queue is full. The
-// link is closed, since a frame left out would be a lost start or answer.
+// ErrSlowPeer reports that the send queue is full because the peer does not read. The link
+// is closed, since dropping a frame would lose a start or a result.
 var ErrSlowPeer = errors.New("peer does not read its link")
 
-// Link carries frames in both directions, in order. Send may be called from
-// many goroutines; Recv from one.
+// Link carries frames in both directions, in order. Send may be called concurrently; Recv
+// must be called from one goroutine only.
 type Link interface {
-	// Send queues f and returns at once. After an error the link is closed.
+	// Send queues f without blocking. After an error the link is closed.
 	Send(f *Frame) error
-	// Recv waits for the next frame.
+	// Recv blocks until the next frame arrives.
 	Recv(ctx context.Context) (*Frame, error)
-	// Close ends the link; the peer's Recv fails.
+	// Close closes the link; the peer's Recv fails.
 	Close(reason string)
-	// Done is closed when the link has ended.
+	// Done returns a channel that is closed when the link has ended.
 	Done() <-chan struct{}
 }
 
-// Traffic counts what a link put on and took from the wire, in frames and in
-// bytes of payload.
+// Traffic counts the frames and payload bytes that links send and receive.
 type Traffic struct {
 	FramesOut, BytesOut, FramesIn, BytesIn atomic.Int64
 }
 
 // socketLink is a Link over one WebSocket connection.
 type socketLink struct {
-	conn    *websocket.Conn
-	out     *outbox
-	live    *liveness
-	stuck   *time.Timer // ends the link if a frame is too long on its way to the socket
-	done    chan struct{}
-	shut    chan struct{} // closed when the end of the connection has been agreed, or given up
-	once    sync.Once
-	traffic *Traffic
+	conn         *websocket.Conn
+	queue        *sendQueue
+	peerLiveness *liveness
+	writeTimer   *time.Timer // aborts the link if writing a frame takes longer than writeTimeout
+	done         chan struct{}
+	closing      chan struct{} // closed when the closing handshake is complete or abandoned
+	closeOnce    sync.Once
+	traffic      *Traffic
 }
 
-// newLink makes a link without its connection, which needs the link's callbacks.
-// traffic may be nil.
+// newLink returns a link without a connection. The connection is attached later because it
+// is created with callbacks of the link. traffic may be nil.
 func newLink(dialed bool, traffic *Traffic) *socketLink {
 	if traffic == nil {
 		traffic = new(Traffic)
 	}
-	return &socketLink{out: newOutbox(sendQueue), live: newLiveness(dialed), done: make(chan struct{}), shut: make(chan struct{}), traffic: traffic}
+	return &socketLink{queue: newSendQueue(maxQueuedFrames), peerLiveness: newLiveness(dialed), done: make(chan struct{}), closing: make(chan struct{}), traffic: traffic}
 }
 
-// begin puts an established connection to work.
-func (l *socketLink) begin(conn *websocket.Conn) *socketLink {
+// attach starts the link on an established connection.
+func (l *socketLink) attach(conn *websocket.Conn) *socketLink {
 	conn.SetReadLimit(MaxFrame)
 	l.conn = conn
-	l.live.start(l.check)
-	l.stuck = time.AfterFunc(writeTimeout, l.drop)
-	l.stuck.Stop()
+	l.peerLiveness.start(l.checkPeer)
+	l.writeTimer = time.AfterFunc(writeTimeout, l.abort)
+	l.writeTimer.Stop()
 	return l
 }
 
-// Unsent tells how many frames are not on the socket yet. Close drops them.
-func (l *socketLink) Unsent() int { return l.out.unsent() }
+// Unsent returns the number of frames that are not yet written to the socket. Close
+// discards them.
+func (l *socketLink) Unsent() int { return l.queue.pendingFrames() }
 
 func (l *socketLink) Done() <-chan struct{} { return l.done }
 
-// Shut is closed once the peer has answered the close, and so has read all that
-// was sent before it, or once the wait for that was given up.
-func (l *socketLink) Shut() <-chan struct{} { return l.shut }
+// Shut returns a channel that is closed once the peer has confirmed the close, and so has
+// read everything sent before it, or once the wait for the confirmation has timed out.
+func (l *socketLink) Shut() <-chan struct{} { return l.closing }
 
 func (l *socketLink) Send(f *Frame) error {
 	b, err := Encode(f)
@@ -93,13 +93,13 @@
 		return net.ErrClosed
 	default:
 	}
-	start, err := l.out.add(b)
+	startWriter, err := l.queue.add(b)
 	if err != nil {
 		l.Close("slow peer")
 		return ErrSlowPeer
 	}
-	l.live.sent()
-	if start {
+	l.peerLiveness.recordSend()
+	if startWriter {
 		go l.write()
 	}
 	return nil
@@ -107,7 +107,7 @@
 
 func (l *socketLink) Recv(ctx context.Context) (*Frame, error) {
 	buf := readBuffers.Get().(*bytes.Buffer)
-	defer keepBuffer(buf)
+	defer releaseBuffer(buf)
 	kind, err := l.read(ctx, buf)
 	if err != nil {
 		l.Close("read failed")
@@ -117,7 +117,7 @@
 		l.Close("text frame")
 		return nil, errors.New("read link: text frame")
 	}
-	l.live.received()
+	l.peerLiveness.recordReceive()
 	l.traffic.FramesIn.Add(1)
 	l.traffic.BytesIn.Add(int64(buf.Len()))
 	f, err := Decode(buf.Bytes())
@@ -128,80 +128,84 @@
 	return f, nil
 }
 
-func (l *socketLink) read(ctx context.Context, into *bytes.Buffer) (websocket.MessageType, error) {
+func (l *socketLink) read(ctx context.Context, dst *bytes.Buffer) (websocket.MessageType, error) {
 	kind, r, err := l.conn.Reader(ctx)
 	if err == nil {
-		_, err = into.ReadFrom(r)
+		_, err = dst.ReadFrom(r)
 	}
 	return kind, err
 }
 
-// readBuffers hold a frame until it is decoded; decoding copies what it keeps.
+// readBuffers holds receive buffers. A buffer can be reused once its frame is decoded,
+// since decoding copies.
 var readBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// keptBuffer is the largest buffer that is used again, in bytes. One long frame
-// would otherwise hold its memory for good.
-const keptBuffer = 64 << 10
+// maxPooledBuffer is the largest buffer, in bytes, that is returned to the pool. A single
+// long frame would otherwise occupy its memory permanently.
+const maxPooledBuffer = 64 << 10
 
-func keepBuffer(b *bytes.Buffer) {
-	if b.Cap() <= keptBuffer {
+func releaseBuffer(b *bytes.Buffer) {
+	if b.Cap() <= maxPooledBuffer {
 		b.Reset()
 		readBuffers.Put(b)
 	}
 }
 
 func (l *socketLink) Close(reason string) {
-	l.end(func() { _ = l.conn.Close(websocket.StatusNormalClosure, reason) })
+	l.terminate(func() { _ = l.conn.Close(websocket.StatusNormalClosure, reason) })
 }
 
-// drop ends the link to a dead peer. The handshake of a close would wait for
-// the peer for several seconds more, and Recv with it.
-func (l *socketLink) drop() {
-	l.end(func() { _ = l.conn.CloseNow() })
+// abort closes the link to an unresponsive peer without a closing handshake, which would
+// block for several more seconds, and Recv with it.
+func (l *socketLink) abort() {
+	l.terminate(func() { _ = l.conn.CloseNow() })
 }
 
-func (l *socketLink) end(shut func()) {
-	l.once.Do(func() {
+// terminate ends the link once. closing closes the connection and may block.
+func (l *socketLink) terminate(closing func()) {
+	l.closeOnce.Do(func() {
 		close(l.done)
-		l.live.stop()
-		// A close handshake waits for the peer; a frozen peer must not hold the
-		// caller, so it runs aside and ends by the library's own timeout.
+		l.peerLiveness.stop()
+		// The closing handshake waits for the peer. It runs in its own goroutine so that a
+		// frozen peer does not block the caller, and ends by the timeout of the WebSocket
+		// library.
 		go func() {
-			shut()
-			close(l.shut)
+			closing()
+			close(l.closing)
 		}()
 	})
 }
 
-// write moves queued frames to the socket and ends when none is left: an entry
-// has hundreds of links, most of them idle, and a waiting goroutine for each
-// would hold its stack.
+// write moves queued frames to the socket and returns when the queue is empty. An entry has
+// hundreds of mostly idle links, and a permanently waiting goroutine for each would occupy
+// its stack.
 func (l *socketLink) write() {
-	for batch := l.out.take(nil); len(batch) > 0; batch = l.out.take(batch) {
-		if err := l.putAll(batch); err != nil {
+	for batch := l.queue.takeAll(nil); len(batch) > 0; batch = l.queue.takeAll(batch) {
+		if err := l.writeBatch(batch); err != nil {
 			l.Close("write failed")
 			return
 		}
 	}
 }
 
-func (l *socketLink) putAll(frames [][]byte) error {
-	defer l.stuck.Stop()
+func (l *socketLink) writeBatch(frames [][]byte) error {
+	defer l.writeTimer.Stop()
 	for _, b := range frames {
-		if err := l.put(b); err != nil {
+		if err := l.writeFrame(b); err != nil {
 			return err
 		}
-		l.out.sent()
+		l.queue.markWritten()
 	}
 	return nil
 }
 
-// put writes one frame. One timer serves all frames of the link: a context with
-// a deadline for each costs more than the rest of the write but its system call.
-func (l *socketLink) put(b []byte) error {
-	l.stuck.Reset(writeTimeout)
-	// Counted before it is sent: the peer may answer, and somebody read the
-	// counters, before the write returns.
+// writeFrame writes one frame. All frames of the link share one timer: a context with a
+// deadline for each frame costs more than everything else in the write except the system
+// call.
+func (l *socketLink) writeFrame(b []byte) error {
+	l.writeTimer.Reset(writeTimeout)
+	// Count before writing: the peer may respond, and the counters may be read, before
+	// Write returns.
 	l.traffic.FramesOut.Add(1)
 	l.traffic.BytesOut.Add(int64(len(b)))
 	if err := l.conn.Write(context.Background(), websocket.MessageBinary, b); err != nil {
@@ -210,50 +214,51 @@
 	return nil
 }
 
-// check looks after the peer when the timer of liveness fires.
-func (l *socketLink) check() {
+// checkPeer runs when the liveness timer fires.
+func (l *socketLink) checkPeer() {
 	for {
 		select {
 		case <-l.done:
 			return
 		default:
 		}
-		switch l.live.check() {
-		case wait:
+		switch l.peerLiveness.checkPeer() {
+		case noAction:
 			return
-		case dead:
-			l.drop()
-		case ping:
-			l.ping()
+		case peerDead:
+			l.abort()
+		case sendPing:
+			l.sendPing()
 		}
 	}
 }
 
-// ping waits for the answer to a ping and drops the link without one, unless
-// something else came: the answer may stand behind a long frame.
-func (l *socketLink) ping() {
-	began := time.Now()
+// sendPing sends a ping and aborts the link if no pong arrives, unless anything else was
+// received meanwhile: the pong may be queued behind a long frame.
+func (l *socketLink) sendPing() {
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
 	err := l.conn.Ping(ctx)
-	if err != nil && l.live.silentSince(began) {
-		l.drop()
+	if err != nil && l.peerLiveness.receivedNothingSince(startedAt) {
+		l.abort()
 		return
 	}
-	l.live.answered()
+	l.peerLiveness.recordPong()
 }
 
-// heard is called when a ping of the peer has come; true answers it.
-func (l *socketLink) heard(context.Context, []byte) bool {
-	l.live.received()
+// onPing handles a ping of the peer. It returns true so that the library answers with a
+// pong.
+func (l *socketLink) onPing(context.Context, []byte) bool {
+	l.peerLiveness.recordReceive()
 	return true
 }
 
-// Paths of the inner protocol's endpoints at an entry.
+// Paths of the endpoints of the inner protocol at an entry.
 const (
 	GuardPath = "/inner/guard"
 	PeerPath  = "/inner/peer"
-	RunPath   = "/inner/runs" // guards whose workers run tasks under leases
+	RunPath   = "/inner/runs" // for guards whose workers run tasks under leases
 )
 
 // Dial opens a link to url (ws:// or wss://).
@@ -262,24 +267,24 @@
 	conn, _, err := websocket.Dial(ctx, url, &websocket.DialOptions{
 		HTTPClient:      client,
 		CompressionMode: websocket.CompressionDisabled,
-		OnPingReceived:  l.heard,
+		OnPingReceived:  l.onPing,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", url, err)
 	}
-	return l.begin(conn), nil
+	return l.attach(conn), nil
 }
 
-// Accept upgrades an HTTP request to a link. The handler may return before the
-// link ends, which frees what net/http holds for the request.
+// Accept upgrades an HTTP request to a link. The handler may return before the link ends,
+// which releases the memory that net/http holds for the request.
 func Accept(w http.ResponseWriter, r *http.Request, traffic *Traffic) (Link, error) {
 	l := newLink(false, traffic)
-	conn, err := websocket.Accept(&smallBuffers{w}, r, &websocket.AcceptOptions{
+	conn, err := websocket.Accept(&smallBufferWriter{w}, r, &websocket.AcceptOptions{
 		CompressionMode: websocket.CompressionDisabled,
-		OnPingReceived:  l.heard,
+		OnPingReceived:  l.onPing,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("accept link: %w", err)
 	}
-	return l.begin(conn), nil
+	return l.attach(conn), nil
 }
--- a/internal/wire/link_bench_test.go
+++ b/internal/wire/link_bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// BenchmarkLink sends a start over loopback and waits for its result, as one
-// link of an entry does for each task.
+// BenchmarkLink sends a start over loopback and waits for its result, which is the traffic
+// of one task on a link of an entry.
 func BenchmarkLink(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		l, err := Accept(w, r, nil)
--- a/internal/wire/link_test.go
+++ b/internal/wire/link_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// pipeListener hands in-memory connections to an HTTP server.
+// pipeListener is a net.Listener for in-memory connections.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -40,70 +40,70 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// network carries bytes between two ends. Once cut, it takes what either end
-// writes and delivers nothing, not even the end of the connection: so a host
-// that froze or died looks to its peer.
-type network struct {
-	cut    atomic.Bool
-	writes atomic.Int64 // of both ends
+// faultyNetwork forwards bytes between two ends. Once partitioned it accepts what either end
+// writes and delivers nothing, not even the end of the connection, as when the peer's host
+// freezes or loses power.
+type faultyNetwork struct {
+	partitioned atomic.Bool
+	writes      atomic.Int64 // by both ends
 }
 
-func (n *network) carry(to, from net.Conn) {
+func (n *faultyNetwork) forward(to, from net.Conn) {
 	buf := make([]byte, 4096)
 	for {
-		k, err := from.Read(buf)
-		if n.cut.Load() && err == nil {
+		count, err := from.Read(buf)
+		if n.partitioned.Load() && err == nil {
 			continue
 		}
 		if err != nil {
-			if !n.cut.Load() {
+			if !n.partitioned.Load() {
 				_ = to.Close()
 			}
 			return
 		}
 		n.writes.Add(1)
-		if _, err := to.Write(buf[:k]); err != nil {
+		if _, err := to.Write(buf[:count]); err != nil {
 			return
 		}
 	}
 }
 
-// pair is a link between two ends in one bubble.
-type pair struct {
-	network
+// linkPair is a link with both its ends in one synctest bubble.
+type linkPair struct {
+	faultyNetwork
 	dialed, accepted Link
 	conns            []net.Conn
 	listener         *pipeListener
 }
 
-// newPair links two ends in memory. Both are read until they end.
-func newPair(t *testing.T) *pair {
-	near, nearFar := net.Pipe()
-	far, farNear := net.Pipe()
-	p := &pair{conns: []net.Conn{near, nearFar, far, farNear}, listener: newPipeListener()}
-	go p.carry(farNear, nearFar)
-	go p.carry(nearFar, farNear)
+// newLinkPair connects two ends in memory. Both are read until they end.
+func newLinkPair(t *testing.T) *linkPair {
+	dialConn, dialRemote := net.Pipe()
+	acceptConn, acceptRemote := net.Pipe()
+	p := &linkPair{conns: []net.Conn{dialConn, dialRemote, acceptConn, acceptRemote}, listener: newPipeListener()}
+	go p.forward(acceptRemote, dialRemote)
+	go p.forward(dialRemote, acceptRemote)
 	accepted := make(chan Link, 1)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		l, err := Accept(w, r, nil)
 		if qt.Check(t, err, qt.IsNil) {
 			accepted <- l
-			drain(l)
+			readUntilClosed(l)
 		}
 	})}
 	go func() { _ = server.Serve(p.listener) }()
-	go func() { p.listener.conns <- far }()
-	transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return near, nil }}
+	go func() { p.listener.conns <- acceptConn }()
+	transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return dialConn, nil }}
 	var err error
 	p.dialed, err = Dial(t.Context(), "ws://entry"+GuardPath, &http.Client{Transport: transport}, nil)
 	qt.Assert(t, err, qt.IsNil)
 	p.accepted = <-accepted
-	go drain(p.dialed)
+	go readUntilClosed(p.dialed)
 	return p
 }
 
-// drain reads a link to its end.
-func drain(l Link) {
+// readUntilClosed receives frames until the link ends.
+func readUntilClosed(l Link) {
 	for {
 		if _, err := l.Recv(context.Background()); err != nil {
 			return
@@ -111,7 +111,7 @@
 	}
 }
 
-func (p *pair) close() {
+func (p *linkPair) close() {
 	for _, c := range p.conns {
 		_ = c.Close()
 	}
@@ -120,37 +120,37 @@
 	_ = p.listener.Close()
 }
 
-// endsWithin gives the time until a link ends.
-func endsWithin(l Link, limit time.Duration) (time.Duration, bool) {
-	began := time.Now()
+// timeUntilDone returns the time until a link ends, and false if that takes longer than
+// limit.
+func timeUntilDone(l Link, limit time.Duration) (time.Duration, bool) {
+	startedAt := time.Now()
 	select {
 	case <-l.Done():
-		return time.Since(began), true
+		return time.Since(startedAt), true
 	case <-time.After(limit):
 		return 0, false
 	}
 }
 
-// The host of a guard freezes right after it has been given work. Its kernel
-// goes on taking bytes, so that no write fails. If the entry learned of it by
-// the idle check only, it would send work there for most of a minute, and
-// callers would see one job after the other time out.
-func TestFrozenPeerIsNoticedAfterWork(t *testing.T) {
-	for name, choose := range map[string]func(p *pair) Link{
-		"guard freezes": func(p *pair) Link { return p.accepted },
-		"entry freezes": func(p *pair) Link { return p.dialed },
+// The host of a guard freezes right after it was sent a task. Its kernel still accepts
+// bytes, so no write fails. If only the idle check detected it, the entry would send it
+// tasks for most of a minute, and their jobs would time out.
+func TestFrozenPeerIsDetectedAfterSend(t *testing.T) {
+	for name, observer := range map[string]func(p *linkPair) Link{
+		"guard freezes": func(p *linkPair) Link { return p.accepted },
+		"entry freezes": func(p *linkPair) Link { return p.dialed },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPair(t)
+				p := newLinkPair(t)
 				defer p.close()
-				link := choose(p)
+				link := observer(p)
 				time.Sleep(10 * time.Second)
-				p.cut.Store(true)
+				p.partitioned.Store(true)
 				qt.Assert(t, link.Send(&Frame{Start: &Start{LeftMs: 1000}}), qt.IsNil)
-				took, ended := endsWithin(link, time.Hour)
+				elapsed, ended := timeUntilDone(link, time.Hour)
 				qt.Assert(t, ended, qt.IsTrue)
-				qt.Assert(t, took, qt.Equals, NoticeWithin)
+				qt.Assert(t, elapsed, qt.Equals, NoticeWithin)
 				_, err := link.Recv(t.Context())
 				qt.Assert(t, err, qt.IsNotNil)
 			})
@@ -158,46 +158,46 @@
 	}
 }
 
-// A guard dies in the midst of a task of several seconds, after it answered the
-// entry's first ping. Without a second one, the job would wait for its deadline
-// although nobody runs it any more.
-func TestDeathDuringALongTaskIsNoticed(t *testing.T) {
+// A guard crashes during a task of several seconds, after it has answered the entry's first
+// ping. Without a second ping the job would wait until its deadline although nothing runs
+// it.
+func TestPeerFailureDuringLongTaskIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t)
+		p := newLinkPair(t)
 		defer p.close()
 		qt.Assert(t, p.accepted.Send(&Frame{Start: &Start{LeftMs: 10_000}}), qt.IsNil)
 		time.Sleep(1500 * time.Millisecond)
-		p.cut.Store(true)
-		took, ended := endsWithin(p.accepted, time.Hour)
+		p.partitioned.Store(true)
+		elapsed, ended := timeUntilDone(p.accepted, time.Hour)
 		qt.Assert(t, ended, qt.IsTrue)
-		qt.Assert(t, took <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", took))
+		qt.Assert(t, elapsed <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", elapsed))
 	})
 }
 
-// The host of an idle peer freezes. Nobody waits for it, but its link would
-// stay open and it would be given the next task.
-func TestFrozenIdlePeerIsNoticed(t *testing.T) {
+// The host of an idle peer freezes. No request waits for it, but its link would stay open
+// and it would be sent the next task.
+func TestFrozenIdlePeerIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t)
+		p := newLinkPair(t)
 		defer p.close()
-		p.cut.Store(true)
-		took, ended := endsWithin(p.accepted, time.Hour)
+		p.partitioned.Store(true)
+		elapsed, ended := timeUntilDone(p.accepted, time.Hour)
 		qt.Assert(t, ended, qt.IsTrue)
-		qt.Assert(t, took, qt.Equals, silenceLimit)
-		p = newPair(t)
+		qt.Assert(t, elapsed, qt.Equals, idleTimeout)
+		p = newLinkPair(t)
 		defer p.close()
-		p.cut.Store(true)
-		took, ended = endsWithin(p.dialed, time.Hour)
+		p.partitioned.Store(true)
+		elapsed, ended = timeUntilDone(p.dialed, time.Hour)
 		qt.Assert(t, ended, qt.IsTrue)
-		qt.Assert(t, took, qt.Equals, PingEvery+pingTimeout)
+		qt.Assert(t, elapsed, qt.Equals, PingEvery+pingTimeout)
 	})
 }
 
-// Both ends live and nothing is to be said. An entry has hundreds of such
-// links, so that each ping too many counts.
+// An entry has hundreds of idle links with both ends alive, so every unnecessary ping adds
+// up.
 func TestIdleLinkIsPingedByTheDialingEndOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t)
+		p := newLinkPair(t)
 		defer p.close()
 		synctest.Wait()
 		before := p.writes.Load()
@@ -208,11 +208,10 @@
 	})
 }
 
-// A link with steady traffic is alive beyond doubt; a ping would be one more
-// message for nothing.
+// Steady traffic shows that a link is alive; a ping would be an unnecessary message.
 func TestBusyLinkIsNotPinged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t)
+		p := newLinkPair(t)
 		defer p.close()
 		synctest.Wait()
 		before := p.writes.Load()
--- a/internal/wire/liveness.go
+++ b/internal/wire/liveness.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// Timing of the check that a peer lives.
+// Timing of the liveness check.
 const (
-	// PingEvery is the time of silence after which the end that dialed pings.
+	// PingEvery is the idle time after which the dialing end sends a ping.
 	PingEvery = 30 * time.Second
-	// silenceLimit is the time of silence after which the end that accepted
-	// closes the link. It leaves room for one ping of the other end.
-	silenceLimit = 45 * time.Second
-	// answerWithin is how long something sent may stay without anything
-	// received before this end pings.
-	answerWithin = time.Second
-	// pingTimeout bounds the wait for the answer to a ping.
+	// idleTimeout is the idle time after which the accepting end closes the link. It leaves
+	// room for one ping of the dialing end.
+	idleTimeout = 45 * time.Second
+	// responseTimeout is the time after which an end that has sent a frame and received
+	// nothing since sends a ping.
+	responseTimeout = time.Second
+	// pingTimeout bounds the wait for a pong.
 	pingTimeout = 2 * time.Second
-	// NoticeWithin is when a dead peer is noticed after something was sent to it.
-	NoticeWithin = answerWithin + pingTimeout
+	// NoticeWithin is the time in which a failed peer is detected after a frame was sent to
+	// it.
+	NoticeWithin = responseTimeout + pingTimeout
 )
 
-// verdict is what a check of the peer asks for.
-type verdict int
+// action is the result of a liveness check.
+type action int
 
 const (
-	wait verdict = iota
-	ping
-	dead
+	noAction action = iota
+	sendPing
+	peerDead
 )
 
-// liveness decides when a peer is pinged and when it counts as dead. A peer
-// whose host froze or lost its network sends no end of the connection, and TCP
-// gives up on it only after many minutes. All that time it would be given work,
-// and callers would see their jobs time out.
+// liveness decides when to ping a peer and when to consider it dead. A peer whose host
+// froze or lost its network does not close the connection, and TCP gives up only after many
+// minutes. In that time the peer would be sent tasks whose jobs then time out.
 //
-// An idle link is pinged by the end that dialed only, which is enough for both:
-// the other end sees the ping. A peer that was sent something is pinged much
-// sooner, by either end, since what was sent may be work.
+// An idle link is pinged by the dialing end only. That suffices for both ends, since the
+// accepting end sees the ping. After a frame is sent, either end pings much sooner, since
+// the frame may carry a task.
 //
-// One timer serves both, and no goroutine waits for it. A busy link moves it at
-// most once a second.
+// One timer serves both cases and no goroutine waits for it. On a busy link the timer is
+// reset at most once a second.
 type liveness struct {
 	dialed bool
 
-	mu       sync.Mutex
-	timer    *time.Timer
-	due      time.Time     // when timer fires; in the past while a check runs
-	lastIn   time.Time     // arrival of anything
-	waiting  time.Time     // first frame sent that nothing followed; zero for none
-	patience time.Duration // from waiting to a ping
+	mu            sync.Mutex
+	timer         *time.Timer
+	nextCheck     time.Time     // when timer fires; in the past while a check runs
+	lastReceived  time.Time     // when anything was last received
+	awaitingSince time.Time     // when the first frame was sent since the last receipt; zero if none
+	pingDelay     time.Duration // time from awaitingSince to a ping
 }
 
 func newLiveness(dialed bool) *liveness { return &liveness{dialed: dialed} }
@@ -58,95 +58,95 @@
 func (l *liveness) start(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lastIn = time.Now()
-	l.due = l.idleDue()
-	l.timer = time.AfterFunc(time.Until(l.due), f)
+	l.lastReceived = time.Now()
+	l.nextCheck = l.idleDeadline()
+	l.timer = time.AfterFunc(time.Until(l.nextCheck), f)
 }
 
 func (l *liveness) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.due = time.Time{}
+	l.nextCheck = time.Time{}
 	l.timer.Stop()
 }
 
-// sent notes a frame for the peer.
-func (l *liveness) sent() {
+// recordSend records that a frame was sent to the peer.
+func (l *liveness) recordSend() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.waiting.IsZero() {
+	if !l.awaitingSince.IsZero() {
 		return
 	}
-	l.waiting, l.patience = time.Now(), answerWithin
-	if at := l.waiting.Add(answerWithin); at.Before(l.due) {
-		l.due = at
-		l.timer.Reset(answerWithin)
+	l.awaitingSince, l.pingDelay = time.Now(), responseTimeout
+	if at := l.awaitingSince.Add(responseTimeout); at.Before(l.nextCheck) {
+		l.nextCheck = at
+		l.timer.Reset(responseTimeout)
 	}
 }
 
-// received notes a frame or a ping of the peer.
-func (l *liveness) received() {
+// recordReceive records the receipt of a frame or a ping.
+func (l *liveness) recordReceive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lastIn, l.waiting = time.Now(), time.Time{}
+	l.lastReceived, l.awaitingSince = time.Now(), time.Time{}
 }
 
-// answered notes the answer to a ping. The end that accepted goes on waiting
-// for a frame and asks again after twice the time: it may have given out a task
-// of several seconds, and its peer may die in the midst of it. The end that
-// dialed sends results, which call for no frame.
-func (l *liveness) answered() {
+// recordPong records the answer to a ping. The accepting end keeps waiting for a frame and
+// doubles the time until its next ping: it may have sent a task that takes several seconds,
+// and the peer may fail while running it. The dialing end sends results, which need no
+// response.
+func (l *liveness) recordPong() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lastIn = time.Now()
-	if l.waiting.IsZero() {
+	l.lastReceived = time.Now()
+	if l.awaitingSince.IsZero() {
 		return
 	}
-	l.waiting = l.lastIn
-	l.patience *= 2
-	if l.dialed || l.patience > PingEvery {
-		l.waiting = time.Time{}
+	l.awaitingSince = l.lastReceived
+	l.pingDelay *= 2
+	if l.dialed || l.pingDelay > PingEvery {
+		l.awaitingSince = time.Time{}
 	}
 }
 
-// check tells what has to be done now. After wait it has set the timer; after
-// ping it has to be called again once the answer is noted.
-func (l *liveness) check() verdict {
+// checkPeer returns what has to be done now. After noAction the timer is set; after
+// sendPing it has to be called again once the pong is recorded.
+func (l *liveness) checkPeer() action {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	idle, due := l.idleDue(), l.idleDue()
-	if !l.waiting.IsZero() {
-		due = earlier(idle, l.waiting.Add(l.patience))
+	idleAt, nextCheck := l.idleDeadline(), l.idleDeadline()
+	if !l.awaitingSince.IsZero() {
+		nextCheck = earliest(idleAt, l.awaitingSince.Add(l.pingDelay))
 	}
 	switch {
-	case due.After(now):
-		l.due = due
-		l.timer.Reset(due.Sub(now))
-		return wait
-	case !l.dialed && !idle.After(now):
-		return dead
+	case nextCheck.After(now):
+		l.nextCheck = nextCheck
+		l.timer.Reset(nextCheck.Sub(now))
+		return noAction
+	case !l.dialed && !idleAt.After(now):
+		return peerDead
 	default:
-		return ping
+		return sendPing
 	}
 }
 
-// silentSince tells whether nothing has come since a time.
-func (l *liveness) silentSince(t time.Time) bool {
+// receivedNothingSince reports whether nothing has been received since t.
+func (l *liveness) receivedNothingSince(t time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lastIn.Before(t)
+	return l.lastReceived.Before(t)
 }
 
-// idleDue is when a link that carries nothing has to be checked. mu is held.
-func (l *liveness) idleDue() time.Time {
+// idleDeadline returns when a link without traffic has to be checked. l.mu must be held.
+func (l *liveness) idleDeadline() time.Time {
 	if l.dialed {
-		return l.lastIn.Add(PingEvery)
+		return l.lastReceived.Add(PingEvery)
 	}
-	return l.lastIn.Add(silenceLimit)
+	return l.lastReceived.Add(idleTimeout)
 }
 
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,14 +1,12 @@
-// Package wire owns the protocol between the system's own processes: typed
-// messages, their CBOR form, and a link that carries them over WebSocket.
+// Package wire defines the protocol between the processes of the system: typed messages,
+// their CBOR encoding, and a link that carries them over WebSocket.
 //
-// Every field has an integer key that is never used again for another meaning.
-// A reader passes over keys it does not know, and a missing key reads as the
-// zero value, so that processes of neighbouring versions understand each other.
-// Times on the wire are durations in milliseconds, never clock readings of
-// another machine, but for identities' births.
+// Every field has an integer key that is never reused with another meaning. A decoder
+// ignores unknown keys, and a missing key decodes as the zero value, so that processes of
+// adjacent versions are compatible. Times on the wire are durations in milliseconds, never
+// readings of another machine's clock; the exception is the creation times of identities.
 //
-// The package may import errkind, identity and sched, and nothing else of the
-// project.
+// The package may import errkind, identity and sched, and nothing else of the project.
 package wire
 
 import (
@@ -16,23 +14,22 @@
 	"wigeontray/internal/identity"
 )
 
-// Version is the protocol version that this build speaks; MinVersion is the
-// oldest one that it still understands.
+// Version is the protocol version of this build. MinVersion is the oldest version that it
+// accepts from a peer.
 const (
 	Version    = 4
 	MinVersion = 1
 )
 
-// Versions from which on a peer understands something.
+// Protocol versions in which features were introduced.
 const (
-	PackedSince = 2 // packed texts
-	AsksSince   = 2 // an entry asks for a configuration that it is told of
-	PiecesSince = 3 // a guard takes a configuration in pieces
+	PackedSince = 2 // compressed job texts
+	AsksSince   = 2 // an entry requests a configuration whose version is announced to it
+	PiecesSince = 3 // a guard accepts a configuration in pieces
 )
 
-// Frame is what one WebSocket message holds: exactly one of its fields is set.
-// A frame in which none is set comes from a newer process and is counted and
-// passed over.
+// Frame is the content of one WebSocket message. Exactly one of its fields is set. A frame
+// with none set has a type that only newer versions define; it is counted and ignored.
 type Frame struct {
 	Hello       *Hello       `cbor:"1,keyasint,omitempty"`
 	Welcome     *Welcome     `cbor:"2,keyasint,omitempty"`
@@ -72,7 +69,7 @@
 	WorkerCrash *WorkerCrash `cbor:"36,keyasint,omitempty"`
 }
 
-// Hello opens a link from a guard to an entry and announces its upstream.
+// Hello opens a link from a guard to an entry and describes the guard's upstream.
 type Hello struct {
 	Version     int                  `cbor:"1,keyasint"`
 	MinVersion  int                  `cbor:"2,keyasint"`
@@ -83,54 +80,55 @@
 	Domain      string               `cbor:"7,keyasint"` // failure domain
 	Region      string               `cbor:"8,keyasint"`
 	Slots       int                  `cbor:"9,keyasint"`
-	Accelerator int                  `cbor:"10,keyasint,omitempty"` // accelerators on the worker
-	Revision    int64                `cbor:"11,keyasint,omitempty"` // configuration in force at the guard
+	Accelerator int                  `cbor:"10,keyasint,omitempty"` // number of accelerators of the worker
+	Revision    int64                `cbor:"11,keyasint,omitempty"` // revision of the configuration that the guard applies
 	Load        Load                 `cbor:"12,keyasint"`
 	Software    string               `cbor:"13,keyasint,omitempty"` // version of the binary
-	Key         string               `cbor:"14,keyasint,omitempty"` // the member's guard key, or the fleet's
-	MemoryMB    int                  `cbor:"15,keyasint,omitempty"` // memory of the worker, megabytes; 0 if not known
+	Key         string               `cbor:"14,keyasint,omitempty"` // guard key of the member, or key of the fleet
+	MemoryMB    int                  `cbor:"15,keyasint,omitempty"` // memory of the worker in megabytes; 0 if unknown
 }
 
-// Welcome accepts a link.
+// Welcome accepts a Hello.
 type Welcome struct {
 	Version     int                  `cbor:"1,keyasint"`
 	Incarnation identity.Incarnation `cbor:"2,keyasint"`
 	Revision    int64                `cbor:"3,keyasint"`
-	Entries     []EntryAddr          `cbor:"4,keyasint,omitempty"` // entries the guard should also link to
+	Entries     []EntryAddr          `cbor:"4,keyasint,omitempty"` // further entries that the guard should link to
 	Software    string               `cbor:"5,keyasint,omitempty"`
 }
 
-// EntryAddr tells where an entry is reached.
+// EntryAddr is the address of an entry.
 type EntryAddr struct {
 	Incarnation identity.Incarnation `cbor:"1,keyasint" json:"incarnation"`
 	Inner       string               `cbor:"2,keyasint" json:"inner"` // host:port of the inner protocol
 	Domain      string               `cbor:"3,keyasint,omitempty" json:"domain,omitempty"`
 }
 
-// Ref names one task for good: the member's job identity and the task's index.
+// Ref identifies a task permanently: the identity of the member's job and the index of the
+// task in it.
 type Ref struct {
 	Member string `cbor:"1,keyasint"`
 	Key    string `cbor:"2,keyasint"`
 	Task   int    `cbor:"3,keyasint"`
 }
 
-// Start asks a guard to start a task. The guard starts a Ref at most once,
-// however often it is asked.
+// Start asks a guard to start a task. A guard starts a Ref at most once, however many Start
+// frames it receives.
 type Start struct {
 	Ref     Ref                  `cbor:"1,keyasint"`
-	Of      int                  `cbor:"2,keyasint"`           // tasks in the job
-	Home    identity.Incarnation `cbor:"3,keyasint"`           // the entry that owns the job
+	Of      int                  `cbor:"2,keyasint"`           // number of tasks in the job
+	Home    identity.Incarnation `cbor:"3,keyasint"`           // entry that owns the job
 	LeftMs  int64                `cbor:"4,keyasint"`           // time left until the deadline
-	WaitMs  int64                `cbor:"5,keyasint,omitempty"` // may wait this long for a slot; 0 refuses Busy at once
+	WaitMs  int64                `cbor:"5,keyasint,omitempty"` // how long the task may wait for a slot; 0 means refuse with Busy if none is free
 	Body    []byte               `cbor:"6,keyasint"`
-	Offered uint64               `cbor:"7,keyasint,omitempty"` // the offer this start answers
+	Offered uint64               `cbor:"7,keyasint,omitempty"` // ID of the Offer that this start uses
 }
 
-// Result is a guard's word on one task.
+// Result reports the outcome of a task.
 //
-// With Kind None the task ran and Status and Body are the upstream's answer.
-// With Ran == RanNo it is final: this guard has not started the Ref and never
-// will, and only then may the entry send the task elsewhere.
+// If Kind is None the task ran, and Status and Body are the upstream's answer. If Ran is
+// RanNo the result is final: this guard has not started the Ref and never will. Only then
+// may the entry send the task to another guard.
 type Result struct {
 	Ref    Ref          `cbor:"1,keyasint"`
 	Kind   errkind.Kind `cbor:"2,keyasint,omitempty"`
@@ -138,19 +136,19 @@
 	Status int          `cbor:"4,keyasint,omitempty"`
 	Body   []byte       `cbor:"5,keyasint,omitempty"`
 	Detail string       `cbor:"6,keyasint,omitempty"`
-	RunMs  int64        `cbor:"7,keyasint,omitempty"` // time on the upstream
+	RunMs  int64        `cbor:"7,keyasint,omitempty"` // time that the upstream took
 	Load   Load         `cbor:"8,keyasint"`
 }
 
-// Cancel withdraws a task. A guard that has not started it answers with a
-// Result of kind Cancelled and RanNo; one that has started it lets it finish.
+// Cancel withdraws a task. A guard that has not started it responds with a Result of kind
+// Cancelled and RanNo; a guard that has started it lets it finish.
 type Cancel struct {
 	Ref Ref `cbor:"1,keyasint"`
 }
 
-// Load is a guard's state at one moment; it rides on results.
+// Load is the state of a guard at one moment. It is included in results and other frames.
 type Load struct {
-	Seq      uint64 `cbor:"1,keyasint"` // grows; an older report is dropped
+	Seq      uint64 `cbor:"1,keyasint"` // increases; older reports are ignored
 	Running  int    `cbor:"2,keyasint"`
 	Queued   int    `cbor:"3,keyasint"`
 	Slots    int    `cbor:"4,keyasint"`
@@ -158,74 +156,74 @@
 	Healthy  bool   `cbor:"6,keyasint,omitempty"`
 }
 
-// Reserve tells a guard that the entry holds Want tasks waiting for a slot.
-// It replaces the entry's earlier Reserve; zero withdraws it.
+// Reserve tells a guard how many tasks at the entry wait for a slot. It replaces the
+// entry's previous Reserve; zero withdraws it.
 type Reserve struct {
 	Want int `cbor:"1,keyasint"`
 }
 
-// Offer grants the entry one free slot until it starts a task on it or
-// HoldMs have passed.
+// Offer reserves one free slot for the entry until it starts a task there or HoldMs have
+// passed.
 type Offer struct {
 	ID     uint64 `cbor:"1,keyasint"`
 	HoldMs int64  `cbor:"2,keyasint"`
 	Load   Load   `cbor:"3,keyasint"`
 }
 
-// Fence tells a guard that the entry Gone will never be obeyed again. The
-// guard answers with all that it ever started for it.
+// Fence tells a guard to ignore the entry Gone permanently. The guard responds with all
+// tasks that it ever started for that entry.
 type Fence struct {
 	Gone identity.Incarnation `cbor:"1,keyasint"`
-	// SinceMs limits the report to identities born from here on.
+	// SinceMs limits the report to identities created at or after this time.
 	SinceMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// FenceReport answers a Fence.
+// FenceReport is the response to a Fence.
 type FenceReport struct {
 	Gone    identity.Incarnation `cbor:"1,keyasint"`
 	Started []Started            `cbor:"2,keyasint,omitempty"`
-	// FloorMs is the birth below which the guard no longer remembers starts, or
-	// the SinceMs that it was asked for, whichever is greater.
+	// FloorMs is the creation time below which the guard no longer stores starts, or the
+	// requested SinceMs, whichever is greater.
 	FloorMs int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Started is one start that a guard remembers.
+// Started is one start that a guard has recorded.
 type Started struct {
 	Ref  Ref  `cbor:"1,keyasint"`
 	Of   int  `cbor:"2,keyasint"`
 	Done bool `cbor:"3,keyasint,omitempty"` // its result can be collected
 }
 
-// Collect asks a guard for the results that it holds of a job.
+// Collect asks a guard for the results that it holds for a job.
 type Collect struct {
 	Member string `cbor:"1,keyasint"`
 	Key    string `cbor:"2,keyasint"`
 }
 
-// Collected answers a Collect.
+// Collected is the response to a Collect.
 type Collected struct {
 	Member  string   `cbor:"1,keyasint"`
 	Key     string   `cbor:"2,keyasint"`
 	Results []Result `cbor:"3,keyasint,omitempty"`
-	Of      int      `cbor:"4,keyasint,omitempty"` // tasks in the job, 0 if nothing is known of it
+	Of      int      `cbor:"4,keyasint,omitempty"` // number of tasks in the job; 0 if the job is unknown
 }
 
-// Witness tells a peer at which guards the sender starts tasks, so that the peer
-// knows after the sender's death which guards have to be asked. The sender uses
+// Witness tells a peer at which guards the sender starts tasks, so that the peer can
+// determine after a failure of the sender which guards have to be queried. The sender uses
 // a new guard only once its witnesses have acknowledged it. See package recovery.
 type Witness struct {
 	Seq     uint64                 `cbor:"1,keyasint"`
-	Guards  []identity.Incarnation `cbor:"2,keyasint,omitempty"` // added
+	Guards  []identity.Incarnation `cbor:"2,keyasint,omitempty"` // guards added
 	Dropped []DroppedGuard         `cbor:"3,keyasint,omitempty"`
-	// SinceMs, when set, makes the peer a witness: every identity born from here
-	// on starts only at guards that the peer has acknowledged. Version is the
-	// roster version under which the sender says so.
+	// SinceMs, when set, makes the peer a witness: identities created at or after it start
+	// only at guards that the peer has acknowledged. Version is the roster version under
+	// which the sender declares this.
 	SinceMs int64 `cbor:"4,keyasint,omitempty"`
 	Version int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// DroppedGuard is a guard at which the sender starts nothing more. Identities
-// born from AfterMs on were never sent to it.
+// DroppedGuard is a guard at which the sender starts no more tasks. Identities created at
+// or after AfterMs were never sent to it.
 type DroppedGuard struct {
 	Guard   identity.Incarnation `cbor:"1,keyasint"`
 	AfterMs int64                `cbor:"2,keyasint"`
@@ -236,13 +234,13 @@
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// Config carries a whole configuration snapshot, encoded by package record.
+// Config carries a complete configuration snapshot, encoded by package record.
 type Config struct {
 	Revision int64  `cbor:"1,keyasint"`
 	Snapshot []byte `cbor:"2,keyasint"`
 }
 
-// ConfigAck tells which revision is in force at the sender.
+// ConfigAck reports the configuration revision that the sender applies.
 type ConfigAck struct {
 	Revision int64 `cbor:"1,keyasint"`
 }
@@ -259,28 +257,28 @@
 	Key         string               `cbor:"8,keyasint,omitempty"`
 }
 
-// Promise is an entry's word that it will append no roster after Version that
-// begins before UntilMs. math.MaxInt64 resigns: it will append none at all. See
+// Promise commits an entry to append no roster version after Version that takes effect
+// before UntilMs. math.MaxInt64 is a resignation: the entry will append none at all. See
 // package roster.
 type Promise struct {
 	Version int64 `cbor:"1,keyasint"`
 	UntilMs int64 `cbor:"2,keyasint"`
-	Leaving bool  `cbor:"3,keyasint,omitempty"` // the sender stops and would resign
+	Leaving bool  `cbor:"3,keyasint,omitempty"` // the sender is stopping and is ready to resign
 	Stays   bool  `cbor:"4,keyasint,omitempty"` // the sender will not resign under Version
 }
 
 // Roster is one version of the list of entries that own plain identities.
 type Roster struct {
 	Version int64       `cbor:"1,keyasint"`
-	FromMs  int64       `cbor:"2,keyasint"` // births from here on belong to this version
+	FromMs  int64       `cbor:"2,keyasint"` // identities created at or after this time belong to this version
 	Members []EntryAddr `cbor:"3,keyasint"`
-	// CeilingMs bounds every promise under this version; it only grows.
+	// CeilingMs is an upper bound for every Promise under this version; it never decreases.
 	CeilingMs int64 `cbor:"4,keyasint,omitempty"`
-	// Gone are entries that this version declares gone for good.
+	// Gone lists the entries that this version declares permanently lost.
 	Gone []identity.Incarnation `cbor:"5,keyasint,omitempty"`
 }
 
-// Join asks a roster member to append a roster that includes the sender.
+// Join asks a roster member to append a roster version that includes the sender.
 type Join struct {
 	Entry EntryAddr `cbor:"1,keyasint"`
 }
@@ -288,7 +286,7 @@
 // Forward carries a caller's request to the entry that owns its identity.
 type Forward struct {
 	ID     uint64 `cbor:"1,keyasint"`
-	Op     string `cbor:"2,keyasint"` // an Op constant
+	Op     string `cbor:"2,keyasint"` // one of the Op constants
 	Member string `cbor:"3,keyasint"`
 	Key    string `cbor:"4,keyasint"`
 	LeftMs int64  `cbor:"5,keyasint"`
@@ -303,17 +301,18 @@
 	OpCancel = "cancel"
 )
 
-// Forwarded answers a Forward with an HTTP status and JSON body for the caller.
+// Forwarded is the response to a Forward, with the HTTP status and the JSON body for the
+// caller.
 type Forwarded struct {
 	ID     uint64       `cbor:"1,keyasint"`
 	Status int          `cbor:"2,keyasint"`
 	Body   []byte       `cbor:"3,keyasint,omitempty"`
 	Kind   errkind.Kind `cbor:"4,keyasint,omitempty"`
-	// AfterMs is the Retry-After of the answer, 0 for none.
+	// AfterMs is the Retry-After time of the response; 0 if there is none.
 	AfterMs int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Goodbye announces a planned stop: the sender starts nothing more.
+// Goodbye announces a planned stop. The sender starts no more tasks.
 type Goodbye struct {
 	Reason string `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/wire/outbox.go
+++ b/internal/wire/outbox.go
@@ -5,66 +5,67 @@
 	"sync"
 )
 
-// errFull reports an outbox at its limit.
-var errFull = errors.New("outbox full")
+// errQueueFull reports that a sendQueue holds its maximum number of frames.
+var errQueueFull = errors.New("send queue full")
 
-// keptFrames is how many places an idle outbox keeps for its next frames.
-const keptFrames = 64
+// maxRetainedFrames is the largest slice capacity, in frames, that an empty queue keeps for
+// reuse.
+const maxRetainedFrames = 64
 
-// outbox holds encoded frames until the socket takes them. It grows with need:
-// an entry holds a link to every guard, and a buffer of fixed size would cost
-// more memory than everything else about an idle link.
-type outbox struct {
-	mu     sync.Mutex
-	frames [][]byte
-	held   int  // frames that wait or were taken and are not yet sent
-	limit  int  // greatest number of held frames
-	taking bool // a writer runs; it ends when take gives nothing
+// sendQueue holds encoded frames until they are written to the socket. It grows on demand:
+// an entry has a link to every guard, and a buffer of fixed size would use more memory than
+// everything else about an idle link.
+type sendQueue struct {
+	mu            sync.Mutex
+	frames        [][]byte
+	pending       int  // frames queued, or taken and not yet written
+	maxPending    int  // maximum of pending
+	writerRunning bool // a writer goroutine runs; it ends when takeAll returns no frames
 }
 
-func newOutbox(limit int) *outbox { return &outbox{limit: limit} }
+func newSendQueue(maxPending int) *sendQueue { return &sendQueue{maxPending: maxPending} }
 
-// add appends a frame, or fails with errFull. It tells whether a writer has to
-// be started: one at a time, as two would mix up the order.
-func (o *outbox) add(frame []byte) (start bool, err error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.held >= o.limit {
-		return false, errFull
+// add appends a frame, or fails with errQueueFull. It reports whether the caller has to
+// start a writer. Only one writer may run, since two could reorder frames.
+func (q *sendQueue) add(frame []byte) (startWriter bool, err error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.pending >= q.maxPending {
+		return false, errQueueFull
 	}
-	o.held++
-	o.frames = append(o.frames, frame)
-	start = !o.taking
-	o.taking = true
-	return start, nil
+	q.pending++
+	q.frames = append(q.frames, frame)
+	startWriter = !q.writerRunning
+	q.writerRunning = true
+	return startWriter, nil
 }
 
-// take gives all waiting frames, in order. After none the writer has to end.
-// spare is a slice of an earlier take that is no longer needed; its places are
-// used again unless they are many.
-func (o *outbox) take(spare [][]byte) [][]byte {
-	if cap(spare) > keptFrames {
+// takeAll removes and returns all queued frames, in order. If there are none, the writer
+// has to end. spare is a slice from an earlier call that is no longer needed; it is reused
+// unless its capacity exceeds maxRetainedFrames.
+func (q *sendQueue) takeAll(spare [][]byte) [][]byte {
+	if cap(spare) > maxRetainedFrames {
 		spare = nil
 	}
 	clear(spare)
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	out := o.frames
-	o.frames = spare[:0]
-	o.taking = len(out) > 0
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	out := q.frames
+	q.frames = spare[:0]
+	q.writerRunning = len(out) > 0
 	return out
 }
 
-// sent notes that one taken frame is on the socket.
-func (o *outbox) sent() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.held--
+// markWritten records that one of the frames taken is written to the socket.
+func (q *sendQueue) markWritten() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.pending--
 }
 
-// unsent is how many frames are not on the socket yet.
-func (o *outbox) unsent() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.held
+// pendingFrames returns the number of frames that are not yet written to the socket.
+func (q *sendQueue) pendingFrames() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.pending
 }
--- a/internal/wire/outbox_test.go
+++ b/internal/wire/outbox_test.go
@@ -6,50 +6,50 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestOutboxKeepsOrderAndLimit(t *testing.T) {
+func TestSendQueueKeepsOrderAndLimit(t *testing.T) {
 	c := qt.New(t)
-	o := newOutbox(3)
+	q := newSendQueue(3)
 	frame := func(b byte) []byte { return []byte{b} }
-	add := func(b byte) (bool, error) { return o.add(frame(b)) }
-	start, err := add(1)
+	add := func(b byte) (bool, error) { return q.add(frame(b)) }
+	startWriter, err := add(1)
 	c.Assert(err, qt.IsNil)
-	c.Assert(start, qt.IsTrue)
-	start, err = add(2)
+	c.Assert(startWriter, qt.IsTrue)
+	startWriter, err = add(2)
 	c.Assert(err, qt.IsNil)
-	c.Assert(start, qt.IsFalse) // a second writer would mix up the order
-	first := o.take(nil)
+	c.Assert(startWriter, qt.IsFalse) // a second writer could reorder frames
+	first := q.takeAll(nil)
 	c.Assert(first, qt.DeepEquals, [][]byte{{1}, {2}})
-	// What was taken and is not on the socket counts against the limit: a peer
-	// that does not read would otherwise hold twice as much.
-	start, err = add(3)
+	// Frames that are taken and not yet written count against the limit; otherwise a peer
+	// that does not read could cause twice the limit to be held.
+	startWriter, err = add(3)
 	c.Assert(err, qt.IsNil)
-	c.Assert(start, qt.IsFalse)
+	c.Assert(startWriter, qt.IsFalse)
 	_, err = add(4)
-	c.Assert(err, qt.Equals, errFull)
-	o.sent()
+	c.Assert(err, qt.Equals, errQueueFull)
+	q.markWritten()
 	_, err = add(4)
 	c.Assert(err, qt.IsNil)
-	second := o.take(first)
+	second := q.takeAll(first)
 	c.Assert(second, qt.DeepEquals, [][]byte{{3}, {4}})
-	c.Assert(o.take(second), qt.HasLen, 0)
+	c.Assert(q.takeAll(second), qt.HasLen, 0)
 	for range 3 {
-		o.sent()
+		q.markWritten()
 	}
-	start, err = add(5)
+	startWriter, err = add(5)
 	c.Assert(err, qt.IsNil)
-	c.Assert(start, qt.IsTrue)
+	c.Assert(startWriter, qt.IsTrue)
 }
 
-// A burst passes over a link. The places that it took are given back: kept,
-// they would add up over the links of a fleet.
-func TestOutboxGivesMemoryBack(t *testing.T) {
+// After a burst the queue releases the memory that the burst took. Retained memory would
+// add up over all links of a fleet.
+func TestSendQueueReleasesMemoryAfterBurst(t *testing.T) {
 	c := qt.New(t)
-	o := newOutbox(1 << 10)
+	q := newSendQueue(1 << 10)
 	for range 1 << 10 {
-		_, err := o.add(nil)
+		_, err := q.add(nil)
 		c.Assert(err, qt.IsNil)
 	}
-	burst := o.take(nil)
-	o.take(burst)
-	c.Assert(cap(o.frames) <= keptFrames, qt.IsTrue)
+	burst := q.takeAll(nil)
+	q.takeAll(burst)
+	c.Assert(cap(q.frames) <= maxRetainedFrames, qt.IsTrue)
 }
--- a/internal/wire/text.go
+++ b/internal/wire/text.go
@@ -8,59 +8,59 @@
 	"github.com/klauspost/compress/huff0"
 )
 
-// Bounds of texts that are packed, in bytes.
+// Limits on the size of a text that is compressed, in bytes.
 const (
-	packLeast = 256                // shorter ones save little
-	packMost  = huff0.BlockSizeMax // what the library takes at once
+	minPackedSize = 256                // below this size little is saved
+	maxPackedSize = huff0.BlockSizeMax // maximum input of the library
 )
 
-// PackedText is the text of a job in fewer bytes. It is sent to each guard that gets tasks
-// of the job, and is most of what crosses the link of an entry.
+// PackedText is the compressed text of a job. The text is sent to each guard that gets
+// tasks of the job, and makes up most of the traffic on the link of an entry.
 type PackedText struct {
 	Bytes []byte `cbor:"1,keyasint"`
-	Size  int    `cbor:"2,keyasint"` // of the text, in bytes
+	Size  int    `cbor:"2,keyasint"` // of the uncompressed text, in bytes
 }
 
-var scratches = sync.Pool{New: func() any { return new(huff0.Scratch) }}
+var scratchPool = sync.Pool{New: func() any { return new(huff0.Scratch) }}
 
-// PackText packs a text, or gives nil if that would save nothing.
+// PackText compresses a text. It returns nil if that would save nothing.
 func PackText(text string) *PackedText {
-	if len(text) < packLeast || len(text) > packMost {
+	if len(text) < minPackedSize || len(text) > maxPackedSize {
 		return nil
 	}
-	s := scratches.Get().(*huff0.Scratch)
-	defer scratches.Put(s)
+	s := scratchPool.Get().(*huff0.Scratch)
+	defer scratchPool.Put(s)
 	s.Reuse = huff0.ReusePolicyNone
-	packed, _, err := huff0.Compress1X([]byte(text), s)
+	compressed, _, err := huff0.Compress1X([]byte(text), s)
 	if err != nil {
-		return nil // it cannot be packed
+		return nil // incompressible
 	}
-	return &PackedText{Bytes: append([]byte(nil), packed...), Size: len(text)}
+	return &PackedText{Bytes: append([]byte(nil), compressed...), Size: len(text)}
 }
 
-// text gives the text that was packed.
+// text returns the uncompressed text.
 func (p *PackedText) text() (string, error) {
-	if p.Size < packLeast || p.Size > packMost {
-		return "", fmt.Errorf("packed text of %d bytes", p.Size)
+	if p.Size < minPackedSize || p.Size > maxPackedSize {
+		return "", fmt.Errorf("compressed text claims a size of %d bytes", p.Size)
 	}
-	s := scratches.Get().(*huff0.Scratch)
-	defer scratches.Put(s)
+	s := scratchPool.Get().(*huff0.Scratch)
+	defer scratchPool.Put(s)
 	s, rest, err := huff0.ReadTable(p.Bytes, s)
 	if err != nil {
-		return "", fmt.Errorf("unpack text: %w", err)
+		return "", fmt.Errorf("decompress text: %w", err)
 	}
 	out, err := s.Decoder().Decompress1X(make([]byte, 0, p.Size), rest)
 	if err != nil {
-		return "", fmt.Errorf("unpack text: %w", err)
+		return "", fmt.Errorf("decompress text: %w", err)
 	}
 	if len(out) != p.Size {
-		return "", errors.New("unpack text: it is shorter than told")
+		return "", errors.New("decompress text: shorter than the announced size")
 	}
 	return string(out), nil
 }
 
-// unpack puts the text of a frame in its place.
-func (f *Frame) unpack() error {
+// unpackText replaces the compressed text of a frame by the text.
+func (f *Frame) unpackText() error {
 	t := f.RunTasks
 	if t == nil || t.Packed == nil {
 		return nil
--- a/internal/wire/text_test.go
+++ b/internal/wire/text_test.go
@@ -8,47 +8,48 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestTextsComeAsTheyWereSent packs texts of many lengths and kinds.
-func TestTextsComeAsTheyWereSent(t *testing.T) {
+// Texts of many lengths and alphabets are the same after encoding and decoding.
+func TestPackedTextRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range 400 {
-		letters := 1 + rng.IntN(90)
+		alphabetSize := 1 + rng.IntN(90)
 		b := make([]byte, rng.IntN(5000))
 		for i := range b {
-			b[i] = byte(' ' + rng.IntN(letters))
+			b[i] = byte(' ' + rng.IntN(alphabetSize))
 		}
 		text := string(b)
 		sent := &Frame{RunTasks: &RunTasks{Job: "j", Packed: PackText(text)}}
 		if sent.RunTasks.Packed == nil {
 			sent.RunTasks.Text = text
 		}
-		raw, err := Encode(sent)
+		encoded, err := Encode(sent)
 		qt.Assert(t, err, qt.IsNil)
-		came, err := Decode(raw)
+		received, err := Decode(encoded)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, came.RunTasks.Text == text, qt.IsTrue, qt.Commentf("text %d of %d bytes", n, len(text)))
-		qt.Assert(t, came.RunTasks.Packed, qt.IsNil)
+		qt.Assert(t, received.RunTasks.Text == text, qt.IsTrue, qt.Commentf("text %d of %d bytes", n, len(text)))
+		qt.Assert(t, received.RunTasks.Packed, qt.IsNil)
 	}
 }
 
-// TestPackingSavesBytes packs what a caller's text may look like.
-func TestPackingSavesBytes(t *testing.T) {
+// A typical text of a caller is compressed by at least a quarter.
+func TestPackingReducesSize(t *testing.T) {
 	text := strings.Repeat(`{"passenger":"NN","gate":"14B","lift":true}`, 40)
 	p := PackText(text)
 	qt.Assert(t, p, qt.IsNotNil)
 	qt.Check(t, len(p.Bytes) < 3*len(text)/4, qt.IsTrue, qt.Commentf("%d of %d bytes", len(p.Bytes), len(text)))
 }
 
-// Guards against tasks started with a part of a broken packed text.
-func TestPackedTextThatCannotBeReadIsRefused(t *testing.T) {
-	good := PackText(strings.Repeat("abcdefgh", 100))
+// If a corrupt compressed text were accepted, tasks would start with only a part of their
+// text.
+func TestCorruptPackedTextIsRejected(t *testing.T) {
+	valid := PackText(strings.Repeat("abcdefgh", 100))
 	for name, p := range map[string]*PackedText{
-		"cut":       {Bytes: good.Bytes[:len(good.Bytes)/2], Size: good.Size},
-		"empty":     {Size: good.Size},
-		"too long":  {Bytes: good.Bytes, Size: good.Size + 1},
-		"too short": {Bytes: good.Bytes, Size: good.Size - 1},
-		"huge":      {Bytes: good.Bytes, Size: 1 << 40},
-		"negative":  {Bytes: good.Bytes, Size: -1},
+		"cut":       {Bytes: valid.Bytes[:len(valid.Bytes)/2], Size: valid.Size},
+		"empty":     {Size: valid.Size},
+		"too long":  {Bytes: valid.Bytes, Size: valid.Size + 1},
+		"too short": {Bytes: valid.Bytes, Size: valid.Size - 1},
+		"huge":      {Bytes: valid.Bytes, Size: 1 << 40},
+		"negative":  {Bytes: valid.Bytes, Size: -1},
 	} {
 		raw, err := Encode(&Frame{RunTasks: &RunTasks{Job: "j", Packed: p}})
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/wire/wiretest/pipe.go
+++ b/internal/wire/wiretest/pipe.go
@@ -1,5 +1,5 @@
-// Package wiretest gives tests an in-memory link, with faults. It is imported
-// by test files only.
+// Package wiretest provides an in-memory link with fault injection for tests. Only test
+// files import it.
 package wiretest
 
 import (
@@ -10,20 +10,21 @@
 	"wigeontray/internal/wire"
 )
 
-const depth = 1 << 14
+// maxQueuedFrames is the capacity of each direction of a Pipe.
+const maxQueuedFrames = 1 << 14
 
-// Pipe returns the two ends of a link in memory. Frames pass through the real
-// codec, so that a test sees what a socket would deliver.
+// Pipe returns the two ends of an in-memory link. Frames pass through the real codec, so
+// that a test receives what a socket would deliver.
 func Pipe() (a, b *End) {
-	ab, ba := make(chan []byte, depth), make(chan []byte, depth)
+	ab, ba := make(chan []byte, maxQueuedFrames), make(chan []byte, maxQueuedFrames)
 	done, once := make(chan struct{}), new(sync.Once)
 	a = &End{out: ab, in: ba, done: done, once: once}
 	b = &End{out: ba, in: ab, done: done, once: once}
 	return a, b
 }
 
-// End is one end of a Pipe. Drop, when set before use, is asked for each frame
-// that is sent; true loses the frame.
+// End is one end of a Pipe. Drop, if set before use, is called for each frame sent; the
+// frame is lost if it returns true.
 type End struct {
 	out, in chan []byte
 	done    chan struct{}
