--- a/internal/telemetry/exposition.go
+++ b/internal/telemetry/exposition.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	contentType   = "text/plain; version=0.0.4; charset=utf-8"
-	foreignPrefix = "wigeontray_"
+	contentType     = "text/plain; version=0.0.4; charset=utf-8"
+	goMetricsPrefix = "wigeontray_"
 )
 
-// ServeHTTP writes the exposition.
+// ServeHTTP serves the metrics in the Prometheus text format.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	var b bytes.Buffer
 	r.write(&b)
 	w.Header().Set("Content-Type", contentType)
-	_, _ = w.Write(b.Bytes()) // a scraper that hangs up has nothing to be told
+	_, _ = w.Write(b.Bytes()) // fails only if the scraper has disconnected
 }
 
-// WriteText writes every figure in the Prometheus text format, version 0.0.4.
+// WriteText writes all metrics in the Prometheus text format, version 0.0.4.
 func (r *Registry) WriteText(w io.Writer) error {
 	var b bytes.Buffer
 	r.write(&b)
@@ -37,21 +37,21 @@
 	return nil
 }
 
-// write groups the registered figures by family, as the format demands.
+// write groups the registered metrics by family, as the format requires.
 func (r *Registry) write(b *bytes.Buffer) {
 	families := Families()
 	lines := make(map[string][]string)
-	r.metrics.Each(func(registered string, metric any) {
-		name := exposed(registered)
-		if name != registered && isFamily(families, name) {
-			return // a scraper refuses a page on which a figure stands twice
+	r.metrics.Each(func(registeredName string, metric any) {
+		name := exposedName(registeredName)
+		if name != registeredName && isFamily(families, name) {
+			return // a scraper rejects a response that contains a metric twice
 		}
 		family, _, _ := strings.Cut(name, "{")
-		lines[family] = append(lines[family], figure(name, metric)...)
+		lines[family] = append(lines[family], metricLines(name, metric)...)
 	})
 	for _, f := range families {
 		fmt.Fprintf(b, "# HELP %s %s\n# TYPE %s %s\n", f.Name, f.Help, f.Name, f.Type)
-		if f.Type != TypeHistogram { // buckets keep their order
+		if f.Type != TypeHistogram { // buckets must stay in order
 			sort.Strings(lines[f.Name])
 		}
 		writeLines(b, lines[f.Name])
@@ -73,17 +73,17 @@
 	}
 }
 
-// exposed gives the name under which a figure is written. Packages that count
-// on a plain go-metrics registry use dots, which the format does not allow.
-func exposed(name string) string {
+// exposedName returns the name under which a metric is written. Packages that use a plain
+// go-metrics registry have dots in their names, which the format does not allow.
+func exposedName(name string) string {
 	if strings.Contains(name, "{") || !strings.Contains(name, ".") {
 		return name
 	}
-	return foreignPrefix + strings.ReplaceAll(name, ".", "_")
+	return goMetricsPrefix + strings.ReplaceAll(name, ".", "_")
 }
 
-// figure gives the lines of one registered metric.
-func figure(name string, metric any) []string {
+// metricLines returns the lines of one registered metric.
+func metricLines(name string, metric any) []string {
 	switch m := metric.(type) {
 	case metrics.Counter:
 		return []string{name + " " + strconv.FormatInt(m.Count(), 10)}
@@ -101,10 +101,10 @@
 }
 
 func bucketLines(name string, s *bucketSample) []string {
-	below, total := s.cumulative()
-	out := make([]string, 0, len(bounds)+3)
-	for i, bound := range bounds {
-		out = append(out, fmt.Sprintf("%s_bucket{le=%q} %d", name, formatFloat(bound.Seconds()), below[i]))
+	counts, total := s.cumulative()
+	out := make([]string, 0, len(bucketBounds)+3)
+	for i, bound := range bucketBounds {
+		out = append(out, fmt.Sprintf("%s_bucket{le=%q} %d", name, formatFloat(bound.Seconds()), counts[i]))
 	}
 	return append(out,
 		fmt.Sprintf("%s_bucket{le=\"+Inf\"} %d", name, total),
@@ -112,8 +112,8 @@
 		fmt.Sprintf("%s_count %d", name, total))
 }
 
-// quantileLines writes a histogram whose sample keeps single values. Its unit
-// is that of the package that counts.
+// quantileLines formats a histogram whose sample keeps individual values. The unit is that
+// of the package that records them.
 func quantileLines(name string, h metrics.Histogram) []string {
 	quantiles := []float64{0.5, 0.9, 0.99}
 	var out []string
--- a/internal/telemetry/families.go
+++ b/internal/telemetry/families.go
@@ -1,9 +1,9 @@
 package telemetry
 
-// Counter names a figure that only grows.
+// Counter identifies a metric that only increases.
 type Counter uint8
 
-// Counters. Frames and bytes are those of the inner protocol, as payload of
+// Counters. Frames and bytes are those of the inner protocol; bytes count the payload of
 // WebSocket messages.
 const (
 	JobsAccepted Counter = iota
@@ -39,7 +39,7 @@
 	counterCount
 )
 
-// Gauge names a figure that goes up and down.
+// Gauge identifies a metric that can increase and decrease.
 type Gauge uint8
 
 // Gauges.
@@ -57,7 +57,7 @@
 	gaugeCount
 )
 
-// Latency names a histogram of durations.
+// Latency identifies a histogram of durations.
 type Latency uint8
 
 // Latencies.
@@ -68,22 +68,22 @@
 	latencyCount
 )
 
-// Types of a family, as the exposition format writes them.
+// Family types in the exposition format.
 const (
 	TypeCounter   = "counter"
 	TypeGauge     = "gauge"
 	TypeHistogram = "histogram"
 )
 
-// Family is one named figure of the exposition with its meaning.
+// Family describes one metric family of the exposition.
 type Family struct {
 	Name  string
-	Type  string // a Type constant
-	Label string // name of the one label, or empty
+	Type  string // one of the Type constants
+	Label string // name of its only label, or empty
 	Help  string
 }
 
-// Names of the families that carry a label.
+// Names of the families with a label.
 const (
 	refusalsName = "wigeontray_refusals_total"
 	failuresName = "wigeontray_task_failures_total"
@@ -160,7 +160,7 @@
 	{Name: "process_start_time_seconds", Type: TypeGauge, Help: "Start of the process, in seconds of the Unix epoch."},
 }
 
-// Families lists every family of the exposition.
+// Families returns all families of the exposition.
 func Families() []Family {
 	var out []Family
 	for _, f := range counterFamilies {
--- a/internal/telemetry/histogram.go
+++ b/internal/telemetry/histogram.go
@@ -7,9 +7,9 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// bounds are the upper edges of a latency's buckets. Tasks run for 50 ms to
-// some seconds and the path adds about a millisecond, so both ends are covered.
-var bounds = [...]time.Duration{
+// bucketBounds are the upper bounds of the latency buckets. Tasks run for 50 ms to several
+// seconds and the dispatch path adds about a millisecond, so the buckets cover both ranges.
+var bucketBounds = [...]time.Duration{
 	250 * time.Microsecond, 500 * time.Microsecond,
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond,
 	10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
@@ -18,19 +18,19 @@
 	10 * time.Second, 30 * time.Second,
 }
 
-// bucketSample is a go-metrics Sample that counts values, in nanoseconds, into
-// fixed buckets. The reservoirs that go-metrics offers take a lock on each
-// update and cannot be added up over several processes; buckets need neither.
+// bucketSample is a go-metrics Sample that counts values, in nanoseconds, in fixed buckets.
+// The reservoir samples of go-metrics take a lock on each update and cannot be aggregated
+// over several processes; buckets avoid both.
 type bucketSample struct {
-	metrics.NilSample // the statistics that need single values
-	buckets           [len(bounds) + 1]atomic.Int64
+	metrics.NilSample // for the statistics that need individual values
+	buckets           [len(bucketBounds) + 1]atomic.Int64
 	sum               atomic.Int64
 }
 
 // Update implements metrics.Sample.
 func (s *bucketSample) Update(ns int64) {
 	i := 0
-	for i < len(bounds) && ns > int64(bounds[i]) {
+	for i < len(bucketBounds) && ns > int64(bucketBounds[i]) {
 		i++
 	}
 	s.buckets[i].Add(1)
@@ -46,14 +46,14 @@
 	return n
 }
 
-// Sum implements metrics.Sample, in nanoseconds.
+// Sum implements metrics.Sample. The unit is nanoseconds.
 func (s *bucketSample) Sum() int64 { return s.sum.Load() }
 
-// cumulative gives the number of values at or below each bound, and in total.
-func (s *bucketSample) cumulative() (below [len(bounds)]int64, total int64) {
-	for i := range below {
+// cumulative returns the number of values at or below each bound, and the total.
+func (s *bucketSample) cumulative() (counts [len(bucketBounds)]int64, total int64) {
+	for i := range counts {
 		total += s.buckets[i].Load()
-		below[i] = total
+		counts[i] = total
 	}
-	return below, total + s.buckets[len(bounds)].Load()
+	return counts, total + s.buckets[len(bucketBounds)].Load()
 }
--- a/internal/telemetry/logger.go
+++ b/internal/telemetry/logger.go
@@ -8,15 +8,15 @@
 	"github.com/charmbracelet/log"
 )
 
-// Formats of the log.
+// Log formats.
 const (
 	LogText = "text"
 	LogJSON = "json"
 )
 
-// NewLogger returns a logger that writes lines of the given format ("text" or
-// "json") from the given level ("debug", "info", "warn", "error") up to w.
-// Times are UTC. An unknown format or level is an error.
+// NewLogger returns a logger that writes to w, in the given format ("text" or "json"), the
+// lines of at least the given level ("debug", "info", "warn", "error"). Times are UTC. An
+// unknown format or level is an error.
 func NewLogger(format, level string, w io.Writer) (*log.Logger, error) {
 	lvl, err := log.ParseLevel(level)
 	if err != nil {
--- a/internal/telemetry/logqueue.go
+++ b/internal/telemetry/logqueue.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// LogLimits bounds what a process writes to its log.
+// LogLimits bounds the log volume of a process.
 type LogLimits struct {
-	BytesPerSecond int64 // in the long run
-	QueueBytes     int64 // that wait for the reader, and that may come at once
+	BytesPerSecond int64 // sustained rate
+	QueueBytes     int64 // maximum queued for the reader, and maximum burst
 }
 
-// routineShare is the part of the limits that routine lines may use up. The rest is
-// kept for lines that tell of failures, refusals and changes of belief.
+// routineShare is the fraction of the limits that routine lines may use. The rest is
+// reserved for lines about failures, refusals and state changes.
 const routineShare = 0.5
 
-// LogQueue stands between a logger and the reader of its lines. Writing to it
-// never blocks: a reader that stops would otherwise stop every request of the
-// process with it. What exceeds the limits is dropped, counted, and told in a line
-// of its own once there is room again.
+// LogQueue buffers log lines between a logger and the reader of the log. Writing to it
+// never blocks; otherwise a reader that stops would block every request of the process.
+// Lines beyond the limits are dropped and counted, and a line with their number is written
+// once there is capacity again.
 type LogQueue struct {
 	out    io.Writer
 	limits LogLimits
 	now    func() time.Time
 
-	mu      sync.Mutex
-	lines   [][]byte
-	waiting int64 // bytes in lines
-	tokens  float64
-	filled  time.Time
-	dropped int64 // since the last line that told so
-	total   int64 // dropped since the start
-	closed  bool
+	mu              sync.Mutex
+	lines           [][]byte
+	queuedBytes     int64 // bytes in lines
+	tokens          float64
+	lastRefill      time.Time
+	unreportedDrops int64 // since the last line that reported drops
+	totalDrops      int64 // dropped since the start
+	closed          bool
 
 	wake chan struct{}
 	done chan struct{}
@@ -42,59 +42,59 @@
 // NewLogQueue returns a queue that writes to out until Close.
 func NewLogQueue(out io.Writer, limits LogLimits) *LogQueue {
 	q := &LogQueue{
-		out: out, limits: limits, now: time.Now, tokens: float64(limits.QueueBytes), filled: time.Now(),
+		out: out, limits: limits, now: time.Now, tokens: float64(limits.QueueBytes), lastRefill: time.Now(),
 		wake: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	go q.run()
 	return q
 }
 
-// Write queues one line that is to be kept if at all possible.
+// Write queues a line with the full limits available to it.
 func (q *LogQueue) Write(line []byte) (int, error) {
-	q.add(line, 1)
+	q.enqueue(line, 1)
 	return len(line), nil
 }
 
-// Routine gives a writer for lines that tell of nothing unusual.
-func (q *LogQueue) Routine() io.Writer { return routineLines{q} }
+// Routine returns a writer for routine lines, which are dropped first.
+func (q *LogQueue) Routine() io.Writer { return routineWriter{q} }
 
-type routineLines struct{ q *LogQueue }
+type routineWriter struct{ q *LogQueue }
 
 // Write implements io.Writer.
-func (r routineLines) Write(line []byte) (int, error) {
-	r.q.add(line, routineShare)
+func (r routineWriter) Write(line []byte) (int, error) {
+	r.q.enqueue(line, routineShare)
 	return len(line), nil
 }
 
-// Dropped counts the lines that were left out since the start.
+// Dropped returns the number of lines dropped since the start.
 func (q *LogQueue) Dropped() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.total
+	return q.totalDrops
 }
 
-// add queues a line if a share of the limits leaves room for it.
-func (q *LogQueue) add(line []byte, share float64) {
+// enqueue queues a line if it fits into the given share of the limits.
+func (q *LogQueue) enqueue(line []byte, share float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.refill()
 	size := float64(len(line))
-	full := float64(q.limits.QueueBytes)
-	if float64(q.waiting)+size > share*full || q.tokens-size < (1-share)*full {
-		q.dropped++
-		q.total++
+	capacity := float64(q.limits.QueueBytes)
+	if float64(q.queuedBytes)+size > share*capacity || q.tokens-size < (1-share)*capacity {
+		q.unreportedDrops++
+		q.totalDrops++
 		return
 	}
-	if q.dropped > 0 {
-		q.push([]byte(fmt.Sprintf("%s WARN log lines dropped count=%d\n", q.now().UTC().Format(time.RFC3339Nano), q.dropped)))
-		q.dropped = 0
+	if q.unreportedDrops > 0 {
+		q.appendLine([]byte(fmt.Sprintf("%s WARN log lines dropped count=%d\n", q.now().UTC().Format(time.RFC3339Nano), q.unreportedDrops)))
+		q.unreportedDrops = 0
 	}
-	q.push(append([]byte(nil), line...))
+	q.appendLine(append([]byte(nil), line...))
 }
 
-func (q *LogQueue) push(line []byte) {
+func (q *LogQueue) appendLine(line []byte) {
 	q.lines = append(q.lines, line)
-	q.waiting += int64(len(line))
+	q.queuedBytes += int64(len(line))
 	q.tokens -= float64(len(line))
 	select {
 	case q.wake <- struct{}{}:
@@ -104,17 +104,17 @@
 
 func (q *LogQueue) refill() {
 	now := q.now()
-	q.tokens += now.Sub(q.filled).Seconds() * float64(q.limits.BytesPerSecond)
+	q.tokens += now.Sub(q.lastRefill).Seconds() * float64(q.limits.BytesPerSecond)
 	q.tokens = min(q.tokens, float64(q.limits.QueueBytes))
-	q.filled = now
+	q.lastRefill = now
 }
 
 func (q *LogQueue) run() {
 	defer close(q.done)
 	for {
-		block, closed := q.take()
+		block, closed := q.takeAll()
 		if len(block) > 0 {
-			_, _ = q.out.Write(block) // there is nowhere left to tell of it
+			_, _ = q.out.Write(block) // a failure of the log itself cannot be logged
 			continue
 		}
 		if closed {
@@ -124,19 +124,20 @@
 	}
 }
 
-// take gives all waiting lines as one block, so that each costs no call of its own.
-func (q *LogQueue) take() (block []byte, closed bool) {
+// takeAll removes all queued lines and returns them as one block, so that they are written
+// with one system call.
+func (q *LogQueue) takeAll() (block []byte, closed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, l := range q.lines {
 		block = append(block, l...)
 	}
-	q.lines, q.waiting = nil, 0
+	q.lines, q.queuedBytes = nil, 0
 	return block, q.closed
 }
 
-// Close writes what waits, for as long as most, and ends the queue.
-func (q *LogQueue) Close(most time.Duration) {
+// Close writes the queued lines, for at most timeout, and stops the queue.
+func (q *LogQueue) Close(timeout time.Duration) {
 	q.mu.Lock()
 	q.closed = true
 	q.mu.Unlock()
@@ -146,6 +147,6 @@
 	}
 	select {
 	case <-q.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/telemetry/logqueue_test.go
+++ b/internal/telemetry/logqueue_test.go
@@ -12,26 +12,26 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stuckReader takes nothing until it is let go.
-type stuckReader struct {
-	free chan struct{}
-	mu   sync.Mutex
-	b    bytes.Buffer
+// blockedWriter blocks every Write until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	buf     bytes.Buffer
 }
 
-func (r *stuckReader) Write(p []byte) (int, error) {
-	<-r.free
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.b.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(p)
 }
 
-// The reader of a process's log stops reading. Requests go on; the lines that do
-// not fit are left out and counted, and a line says so when the reader is back.
-func TestLogNeverWaitsForItsReader(t *testing.T) {
+// The reader of a process's log stops reading. Requests must continue; lines that do not
+// fit are dropped and counted, and a line reports their number when the reader resumes.
+func TestLogWriteDoesNotBlockOnItsReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &stuckReader{free: make(chan struct{})}
-		q := NewLogQueue(r, LogLimits{BytesPerSecond: 1 << 20, QueueBytes: 1000})
+		w := &blockedWriter{unblock: make(chan struct{})}
+		q := NewLogQueue(w, LogLimits{BytesPerSecond: 1 << 20, QueueBytes: 1000})
 		line := []byte(strings.Repeat("x", 99) + "\n")
 		for range 50 {
 			_, _ = q.Write(line)
@@ -39,18 +39,18 @@
 		}
 		synctest.Wait()
 		qt.Assert(t, q.Dropped() >= 30, qt.IsTrue)
-		close(r.free)
+		close(w.unblock)
 		synctest.Wait()
 		_, _ = q.Write([]byte("after\n"))
 		q.Close(time.Second)
-		qt.Assert(t, strings.Contains(r.b.String(), "log lines dropped count="), qt.IsTrue)
-		qt.Assert(t, strings.HasSuffix(r.b.String(), "after\n"), qt.IsTrue)
+		qt.Assert(t, strings.Contains(w.buf.String(), "log lines dropped count="), qt.IsTrue)
+		qt.Assert(t, strings.HasSuffix(w.buf.String(), "after\n"), qt.IsTrue)
 	})
 }
 
-// Under load routine lines use up their part of the volume. A failure in the midst
-// of them must still be told.
-func TestFailuresGoBeforeRoutineLines(t *testing.T) {
+// Under load routine lines use up their share of the volume. A failure logged among them
+// must still be written.
+func TestRoutineLinesLeaveRoomForFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		q := NewLogQueue(&out, LogLimits{BytesPerSecond: 1000, QueueBytes: 2000})
@@ -65,7 +65,7 @@
 	})
 }
 
-// The volume in the long run keeps to its bound.
+// The sustained log volume stays within its limit.
 func TestLogVolumeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
--- a/internal/telemetry/process.go
+++ b/internal/telemetry/process.go
@@ -14,41 +14,41 @@
 
 var startTime = time.Now()
 
-// registerProcess adds the figures of the process, read at each scrape.
-func registerProcess(r metrics.Registry) {
+// registerProcessMetrics adds the metrics of the process, which are read at each scrape.
+func registerProcessMetrics(r metrics.Registry) {
 	metrics.NewRegisteredFunctionalGauge("go_goroutines", r, func() int64 { return int64(runtime.NumGoroutine()) })
-	metrics.NewRegisteredFunctionalGauge("go_heap_bytes", r, reader("/memory/classes/heap/objects:bytes"))
-	metrics.NewRegisteredFunctionalGauge("go_heap_live_bytes", r, reader("/gc/heap/live:bytes"))
-	metrics.NewRegisteredFunctionalGauge("go_stack_bytes", r, reader("/memory/classes/heap/stacks:bytes"))
+	metrics.NewRegisteredFunctionalGauge("go_heap_bytes", r, runtimeMetric("/memory/classes/heap/objects:bytes"))
+	metrics.NewRegisteredFunctionalGauge("go_heap_live_bytes", r, runtimeMetric("/gc/heap/live:bytes"))
+	metrics.NewRegisteredFunctionalGauge("go_stack_bytes", r, runtimeMetric("/memory/classes/heap/stacks:bytes"))
 	metrics.NewRegisteredFunctionalGauge("process_resident_memory_bytes", r, ResidentBytes)
 	metrics.NewRegisteredFunctionalGaugeFloat64("process_cpu_seconds_total", r, func() float64 { return CPUTime().Seconds() })
 	metrics.NewRegisteredFunctionalGauge("process_start_time_seconds", r, startTime.Unix)
 }
 
-// reader gives a function that reads one figure of the Go runtime. Unlike
-// runtime.ReadMemStats it does not stop the process.
-func reader(name string) func() int64 {
+// runtimeMetric returns a function that reads one metric of the Go runtime. Unlike
+// runtime.ReadMemStats it does not stop the world.
+func runtimeMetric(name string) func() int64 {
 	return func() int64 {
-		s := []runtimemetrics.Sample{{Name: name}}
-		runtimemetrics.Read(s)
-		if s[0].Value.Kind() != runtimemetrics.KindUint64 {
+		samples := []runtimemetrics.Sample{{Name: name}}
+		runtimemetrics.Read(samples)
+		if samples[0].Value.Kind() != runtimemetrics.KindUint64 {
 			return 0
 		}
-		return int64(s[0].Value.Uint64())
+		return int64(samples[0].Value.Uint64())
 	}
 }
 
-// CPUTime gives the user and system processor time of this process.
+// CPUTime returns the user and system CPU time of this process.
 func CPUTime() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// ResidentBytes gives the resident memory of this process, or 0 where the
-// system does not tell it.
+// ResidentBytes returns the resident memory of this process, or 0 if the system does not
+// provide it.
 func ResidentBytes() int64 {
 	b, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/telemetry/retry.go
+++ b/internal/telemetry/retry.go
@@ -2,18 +2,17 @@
 
 import "wigeontray/internal/errkind"
 
-// RetryReason names why something was tried again.
+// RetryReason is the reason of a retry.
 type RetryReason uint8
 
-// The closed list of reasons for sending work again. The first four count tasks that were sent
-// to another guard, each after the first guard's final word that it will never
-// start the task.
+// The reasons of retries. The first four count tasks that were sent to another guard, each
+// after the first guard's final result that it will never start the task.
 const (
-	RetryBusy            RetryReason = iota // every slot of the worker was taken
+	RetryBusy            RetryReason = iota // every slot of the worker was in use
 	RetryDraining                           // the guard or its upstream is stopping
-	RetryUpstreamRefused                    // the upstream took no connection
-	RetryNotStarted                         // any other word that the task never started
-	RetrySameGuard                          // a link returned and its open tasks were sent again
+	RetryUpstreamRefused                    // the upstream refused the connection
+	RetryNotStarted                         // any other result with which the guard never starts the task
+	RetrySameGuard                          // a link reconnected and its open tasks were sent again
 	RetryForward                            // the link to the owning entry broke
 	retryCount
 )
@@ -27,10 +26,10 @@
 	RetryForward:         "forward",
 }
 
-// String gives the reason's word in counters.
+// String returns the name used in metrics.
 func (r RetryReason) String() string { return retryNames[r] }
 
-// RetryReasons lists every reason.
+// RetryReasons returns all reasons.
 func RetryReasons() []RetryReason {
 	out := make([]RetryReason, retryCount)
 	for i := range out {
@@ -39,8 +38,8 @@
 	return out
 }
 
-// RetryAfter gives the reason to count when a guard's final word of kind k
-// lets the entry send the task to another guard.
+// RetryAfter returns the reason to count when a guard's final result of kind k allows the
+// entry to send the task to another guard.
 func RetryAfter(k errkind.Kind) RetryReason {
 	switch k {
 	case errkind.Busy, errkind.Overloaded:
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -13,14 +13,14 @@
 	"wigeontray/internal/errkind"
 )
 
-func text(c *qt.C, r *Registry) string {
+func exposition(c *qt.C, r *Registry) string {
 	var b bytes.Buffer
 	c.Assert(r.WriteText(&b), qt.IsNil)
 	return b.String()
 }
 
-// A scraper reads each family under one HELP and one TYPE line, with a figure
-// for every error kind and retry reason from the first scrape on.
+// A scraper finds each family under one HELP and one TYPE line, with a metric for every
+// error kind and retry reason from the first scrape on.
 func TestExposition(t *testing.T) {
 	c := qt.New(t)
 	r := New()
@@ -36,7 +36,7 @@
 	metrics.GetOrRegisterCounter("guard.refused.busy", r.GoMetrics()).Inc(4)
 	metrics.GetOrRegisterHistogram("store.latency_us.put", r.GoMetrics(), metrics.NewUniformSample(8)).Update(700)
 	metrics.GetOrRegisterGauge("config.revision", r.GoMetrics()).Update(3)
-	out := text(c, r)
+	out := exposition(c, r)
 	c.Check(strings.Count(out, "\nwigeontray_config_revision "), qt.Equals, 1)
 	for _, want := range []string{
 		"# TYPE wigeontray_refusals_total counter\n",
@@ -61,12 +61,12 @@
 	}
 	for _, f := range Families() {
 		c.Check(strings.Count(out, "# TYPE "+f.Name+" "), qt.Equals, 1, qt.Commentf("%s", f.Name))
-		c.Check(strings.Contains(out, "\n"+f.Name), qt.IsTrue, qt.Commentf("%s has no figure", f.Name))
+		c.Check(strings.Contains(out, "\n"+f.Name), qt.IsTrue, qt.Commentf("%s has no metric", f.Name))
 		c.Check(f.Help, qt.Not(qt.Equals), "")
 	}
 }
 
-func TestCountingAllocatesNothing(t *testing.T) {
+func TestCountingDoesNotAllocate(t *testing.T) {
 	c := qt.New(t)
 	r := New()
 	allocs := testing.AllocsPerRun(100, func() {
@@ -85,7 +85,7 @@
 	c.Assert(r.Refusals(errkind.Internal), qt.Equals, int64(1))
 }
 
-func TestProcessFigures(t *testing.T) {
+func TestProcessMetrics(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(ResidentBytes() > 1<<20, qt.IsTrue)
 	c.Assert(CPUTime() > 0, qt.IsTrue)
