--- a/internal/httpserve/conn.go
+++ b/internal/httpserve/conn.go
@@ -9,77 +9,79 @@
 	"time"
 )
 
-// Timing of a stop.
+// Timing of a planned stop.
 const (
-	// lookForUnused is how often a server that stops looks for connections to end.
-	lookForUnused = 20 * time.Millisecond
-	// newFor is how long a connection without a request is kept then: the first one follows
-	// its connection by a round trip.
-	newFor = 100 * time.Millisecond
+	// unusedPollInterval is how often a stopping server checks for connections to close.
+	unusedPollInterval = 20 * time.Millisecond
+	// newConnGracePeriod is how long a stopping server keeps a connection without a
+	// request: the first request arrives one round trip after the connection.
+	newConnGracePeriod = 100 * time.Millisecond
 )
 
-// connTable follows the connections of a server.
-type connTable struct {
-	stopping atomic.Bool
-	mu       sync.Mutex
-	open     map[net.Conn]http.ConnState
-	wake     chan struct{} // closed when a connection changes; nil while nobody waits
+// connTracker tracks the connections of a server.
+type connTracker struct {
+	stopping     atomic.Bool
+	mu           sync.Mutex
+	states       map[net.Conn]http.ConnState
+	changeSignal chan struct{} // closed when a connection changes; nil while nothing waits for it
 }
 
-// note implements http.Server.ConnState.
-func (t *connTable) note(c net.Conn, state http.ConnState) {
-	if l := limitedOf(c); l != nil && state == http.StateIdle {
-		l.begun.Store(false)
+// onStateChange implements http.Server.ConnState.
+func (t *connTracker) onStateChange(c net.Conn, state http.ConnState) {
+	if l := asLimitedConn(c); l != nil && state == http.StateIdle {
+		l.hasUnansweredBytes.Store(false)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if state == http.StateHijacked || state == http.StateClosed {
-		delete(t.open, c)
+		delete(t.states, c)
 	} else {
-		t.open[c] = state
+		t.states[c] = state
 	}
-	if t.wake != nil {
-		close(t.wake)
-		t.wake = nil
+	if t.changeSignal != nil {
+		close(t.changeSignal)
+		t.changeSignal = nil
 	}
 }
 
-// changed is closed when a connection changes.
-func (t *connTable) changed() <-chan struct{} {
+// changed returns a channel that is closed when a connection changes.
+func (t *connTracker) changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.wake == nil {
-		t.wake = make(chan struct{})
+	if t.changeSignal == nil {
+		t.changeSignal = make(chan struct{})
 	}
-	return t.wake
+	return t.changeSignal
 }
 
-// endUnused ends the connections on which no request has arrived, and counts the others.
-func (t *connTable) endUnused() int {
+// closeUnused closes the connections on which no request has arrived, and returns the
+// number of the others.
+func (t *connTracker) closeUnused() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for c, state := range t.open {
-		if state != http.StateActive && unused(c, state) {
-			delete(t.open, c)
-			go c.Close() // TLS says goodbye, which may block
+	for c, state := range t.states {
+		if state != http.StateActive && isUnused(c, state) {
+			delete(t.states, c)
+			go c.Close() // TLS sends a close alert, which may block
 		}
 	}
-	return len(t.open)
+	return len(t.states)
 }
 
-func unused(c net.Conn, state http.ConnState) bool {
-	l := limitedOf(c)
+func isUnused(c net.Conn, state http.ConnState) bool {
+	l := asLimitedConn(c)
 	switch {
 	case l == nil:
 		return true
-	case state == http.StateNew && time.Since(l.since) < newFor:
+	case state == http.StateNew && time.Since(l.acceptedAt) < newConnGracePeriod:
 		return false
 	}
-	return !l.begun.Load() && !readable(l.Conn)
+	return !l.hasUnansweredBytes.Load() && !hasUnreadBytes(l.Conn)
 }
 
-// endWhileStopping lets each answer of a server that stops be the last of its connection.
-func (t *connTable) endWhileStopping(next http.Handler) http.Handler {
+// closeWhileStopping makes a stopping server close each connection after its current
+// response.
+func (t *connTracker) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if t.stopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -88,7 +90,7 @@
 	})
 }
 
-// onceListener may be closed more than once.
+// onceListener is a listener whose Close may be called more than once.
 type onceListener struct {
 	net.Listener
 	once sync.Once
@@ -101,33 +103,33 @@
 	return l.err
 }
 
-// limitedConn is a connection of a limitListener.
+// limitedConn is a connection accepted by a limitListener.
 type limitedConn struct {
 	net.Conn
-	since   time.Time
-	begun   atomic.Bool // bytes have come since the last answer
-	once    sync.Once
-	release func()
+	acceptedAt         time.Time
+	hasUnansweredBytes atomic.Bool // bytes have been received since the last response
+	releaseOnce        sync.Once
+	release            func()
 }
 
 // Read implements net.Conn.
 func (c *limitedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.begun.Store(true)
+		c.hasUnansweredBytes.Store(true)
 	}
 	return n, err
 }
 
-// Close implements net.Conn; the first call makes room for another connection.
+// Close implements net.Conn. The first call frees a slot for another connection.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.release)
+	c.releaseOnce.Do(c.release)
 	return err
 }
 
-// limitedOf gives the limitedConn under the wrapper of TLS, or nil.
-func limitedOf(c net.Conn) *limitedConn {
+// asLimitedConn returns the limitedConn under a TLS wrapper, or nil.
+func asLimitedConn(c net.Conn) *limitedConn {
 	if w, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = w.NetConn()
 	}
@@ -135,9 +137,9 @@
 	return l
 }
 
-// readable tells whether bytes lie in the receive buffer of a connection.
-func readable(c net.Conn) bool {
-	s, ok := socketOf(c).(syscall.Conn)
+// hasUnreadBytes reports whether there are bytes in the receive buffer of a connection.
+func hasUnreadBytes(c net.Conn) bool {
+	s, ok := unwrapSocket(c).(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -145,10 +147,10 @@
 	if err != nil {
 		return false
 	}
-	some := false
+	found := false
 	err = raw.Control(func(fd uintptr) {
-		n, _ := peek(int(fd))
-		some = n > 0
+		n, _ := peekByte(int(fd))
+		found = n > 0
 	})
-	return err == nil && some
+	return err == nil && found
 }
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -1,4 +1,6 @@
-// Package httpserve builds the HTTP servers of both binaries with their limits.
+// Package httpserve provides the HTTP servers of both binaries, with limits on the
+// resources that clients can use, a planned stop that answers every request that has
+// arrived, and detection of callers that have disconnected.
 package httpserve
 
 import (
@@ -17,16 +19,16 @@
 	"time"
 )
 
-// Limits bounds what strangers can make a server hold.
+// Limits bounds the resources that untrusted clients can occupy.
 type Limits struct {
 	HeaderTimeout time.Duration // to read a request's header
-	BodyTimeout   time.Duration // to read a request's body; 0 for no bound
-	IdleTimeout   time.Duration // between requests of a connection
+	BodyTimeout   time.Duration // to read a request's body; 0 for no limit
+	IdleTimeout   time.Duration // between the requests of a connection
 	HeaderBytes   int
-	Connections   int // open at once; more wait in the listen queue
+	Connections   int // maximum open at once; more wait in the listen queue
 }
 
-// DefaultLimits suit callers on the open side of an entry.
+// DefaultLimits returns limits for callers of an entry's public address.
 func DefaultLimits() Limits {
 	return Limits{HeaderTimeout: 5 * time.Second, BodyTimeout: 30 * time.Second, IdleTimeout: time.Minute, HeaderBytes: 16 << 10, Connections: 10_000}
 }
@@ -36,11 +38,11 @@
 	listener net.Listener
 	http     *http.Server
 	errors   *errorLog
-	conns    connTable
+	conns    connTracker
 }
 
-// Listen opens addr (host:port; port 0 picks one) and returns a server for h.
-// With a TLS configuration it serves HTTPS.
+// Listen opens addr (host:port; port 0 selects a free one) and returns a server for h. With
+// a TLS configuration it serves HTTPS.
 func Listen(addr string, h http.Handler, tlsConfig *tls.Config, l Limits) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -51,35 +53,35 @@
 
 func newServer(ln net.Listener, h http.Handler, tlsConfig *tls.Config, l Limits) *Server {
 	ln = &onceListener{Listener: ln}
-	h = notePeer(timeBodies(h, l.BodyTimeout))
+	h = recordAnswers(withBodyTimeout(h, l.BodyTimeout))
 	if l.Connections > 0 {
-		limited := &limitListener{Listener: ln, free: make(chan struct{}, l.Connections), closed: make(chan struct{})}
-		ln, h = limited, limited.closeWhenCrowded(h)
+		limited := &limitListener{Listener: ln, slots: make(chan struct{}, l.Connections), closed: make(chan struct{})}
+		ln, h = limited, limited.closeNearLimit(h)
 	}
 	if tlsConfig != nil {
 		ln = tls.NewListener(ln, tlsConfig)
 	}
-	errors := &errorLog{rest: os.Stderr}
-	s := &Server{listener: ln, errors: errors, conns: connTable{open: make(map[net.Conn]http.ConnState)}}
+	errors := &errorLog{out: os.Stderr}
+	s := &Server{listener: ln, errors: errors, conns: connTracker{states: make(map[net.Conn]http.ConnState)}}
 	s.http = &http.Server{
-		Handler:           s.conns.endWhileStopping(h),
+		Handler:           s.conns.closeWhileStopping(h),
 		ErrorLog:          log.New(errors, "", log.LstdFlags),
 		ReadHeaderTimeout: l.HeaderTimeout,
 		IdleTimeout:       l.IdleTimeout,
 		MaxHeaderBytes:    l.HeaderBytes,
-		ConnContext:       keepPeer,
-		ConnState:         s.conns.note,
+		ConnContext:       withPeer,
+		ConnState:         s.conns.onStateChange,
 	}
 	return s
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// HandshakesFailed counts connections that ended in their TLS handshake.
+// HandshakesFailed returns the number of connections that failed in their TLS handshake.
 func (s *Server) HandshakesFailed() int64 { return s.errors.handshakes.Load() }
 
-// Serve runs until Stop and returns nil after it.
+// Serve accepts requests until Stop or Close, and returns nil after either.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
 	if !errors.Is(err, http.ErrServerClosed) && !s.conns.stopping.Load() {
@@ -88,33 +90,34 @@
 	return nil
 }
 
-// Stop closes the listener and waits until every request in flight is answered
-// or ctx ends. A request that has arrived is in flight, also if it has not been read yet.
-// The server of net/http would drop one that it reads while it shuts down.
+// Stop closes the listener and waits until every request in flight is answered or ctx ends.
+// A request that has arrived counts as in flight even if it has not been read yet;
+// http.Server.Shutdown alone would drop a request that the server reads during the
+// shutdown.
 func (s *Server) Stop(ctx context.Context) error {
 	s.conns.stopping.Store(true)
-	_ = s.listener.Close() // it may be closed already
+	_ = s.listener.Close() // it may already be closed
 	for {
-		open := s.conns.endUnused()
+		open := s.conns.closeUnused()
 		if open == 0 {
 			return s.http.Shutdown(ctx)
 		}
 		select {
 		case <-s.conns.changed():
-		case <-time.After(lookForUnused):
+		case <-time.After(unusedPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// Close ends the listener and all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
-// timeBodies bounds the time in which a request's body arrives. Without it a
-// client that sends a byte a minute holds its connection and its share of the
-// limits for as long as it likes, and nothing shows it.
-func timeBodies(next http.Handler, timeout time.Duration) http.Handler {
+// withBodyTimeout limits the time in which a request's body must arrive. Without it a
+// client that sends one byte a minute could hold its connection and its share of the limits
+// indefinitely, without any sign of it.
+func withBodyTimeout(next http.Handler, timeout time.Duration) http.Handler {
 	if timeout <= 0 {
 		return next
 	}
@@ -124,14 +127,14 @@
 			return
 		}
 		conn := http.NewResponseController(w)
-		_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on what is no connection
+		_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only if the writer has no connection
 		r.Body = &timedBody{ReadCloser: r.Body, conn: conn}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// timedBody lifts the deadline at the body's end: the caller may then wait for
-// its answer for as long as the job takes.
+// timedBody removes the read deadline at the end of the body, so that the caller can wait
+// for its response for as long as the job takes.
 type timedBody struct {
 	io.ReadCloser
 	conn *http.ResponseController
@@ -146,42 +149,43 @@
 	return n, err
 }
 
-// limitListener accepts at most cap(free) connections at once. Without it a
-// flood of connections takes the process's file descriptors, and links to
-// guards fail for want of one.
+// limitListener accepts at most cap(slots) connections at once. Without it a flood of
+// connections would exhaust the file descriptors of the process, and links to guards could
+// not be opened.
 type limitListener struct {
 	net.Listener
-	free   chan struct{}
-	open   atomic.Int64
-	closed chan struct{}
-	once   sync.Once
+	slots     chan struct{}
+	openConns atomic.Int64
+	closed    chan struct{}
+	once      sync.Once
 }
 
-// Accept waits for room before it takes a connection from the listen queue.
+// Accept waits for a free slot before it accepts a connection from the listen queue.
 func (l *limitListener) Accept() (net.Conn, error) {
 	select {
-	case l.free <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.free
+		<-l.slots
 		return nil, err
 	}
-	l.open.Add(1)
-	return &limitedConn{Conn: c, since: time.Now(), release: func() { l.open.Add(-1); <-l.free }}, nil
+	l.openConns.Add(1)
+	return &limitedConn{Conn: c, acceptedAt: time.Now(), release: func() { l.openConns.Add(-1); <-l.slots }}, nil
 }
 
-// crowdedAt is the part of the limit from which on connections are not kept.
-const crowdedAt = 0.75
+// keepAliveMaxUse is the used fraction of the connection limit above which connections are
+// not kept alive.
+const keepAliveMaxUse = 0.75
 
-// closeWhenCrowded ends a connection after its answer while most of the limit is
-// used up. Otherwise idle connections of one caller could keep all others in the
-// listen queue for the whole idle time.
-func (l *limitListener) closeWhenCrowded(next http.Handler) http.Handler {
+// closeNearLimit closes a connection after its response while most of the limit is in use.
+// Otherwise idle connections of one caller could keep all other callers in the listen queue
+// for the whole idle timeout.
+func (l *limitListener) closeNearLimit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if float64(l.open.Load()) > crowdedAt*float64(cap(l.free)) {
+		if float64(l.openConns.Load()) > keepAliveMaxUse*float64(cap(l.slots)) {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
@@ -194,19 +198,19 @@
 	return l.Listener.Close()
 }
 
-// errorLog takes the lines that net/http writes. Failed handshakes are counted:
-// anybody who reaches the port can cause them, and a line for each would bury
-// the log. What remains, above all panics, is written.
+// errorLog receives the error lines of net/http. Failed handshakes are counted and not
+// logged: anyone who reaches the port can cause them, and a line for each would flood the
+// log. Other lines, in particular those of panics, are written.
 type errorLog struct {
-	handshakes atomic.Int64
-	rest       io.Writer
+	handshakes atomic.Int64 // failed ones
+	out        io.Writer
 }
 
-// Write implements io.Writer; each call is one line.
+// Write implements io.Writer. Each call carries one line.
 func (l *errorLog) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte("TLS handshake error")) {
 		l.handshakes.Add(1)
 		return len(line), nil
 	}
-	return l.rest.Write(line)
+	return l.out.Write(line)
 }
--- a/internal/httpserve/httpserve_test.go
+++ b/internal/httpserve/httpserve_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// pipeListener accepts connections that a test dials in memory.
+// pipeListener accepts in-memory connections that a test dials.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -33,15 +33,16 @@
 func (l *pipeListener) Close() error   { close(l.closed); return nil }
 func (l *pipeListener) Addr() net.Addr { return new(net.TCPAddr) }
 
-// site is a server with limits that a test speaks to byte by byte.
-type site struct {
+// testServer is a server with limits, whose connections a test reads and writes byte by
+// byte.
+type testServer struct {
 	*qt.C
-	l *pipeListener
+	listener *pipeListener
 }
 
-func newSite(t *testing.T, h http.HandlerFunc, limits Limits) *site {
-	l := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
-	s := newServer(l, h, nil, limits)
+func newTestServer(t *testing.T, h http.HandlerFunc, limits Limits) *testServer {
+	listener := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+	s := newServer(listener, h, nil, limits)
 	go func() { _ = s.Serve() }()
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -49,41 +50,41 @@
 		_ = s.Stop(ctx)
 		_ = s.http.Close()
 	})
-	return &site{C: qt.New(t), l: l}
+	return &testServer{C: qt.New(t), listener: listener}
 }
 
-// conn is the client's end of a connection.
-type conn struct {
+// clientConn is the client's end of a connection.
+type clientConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// dial connects; false if the server does not accept now.
-func (s *site) dial() (*conn, bool) {
-	ours, theirs := net.Pipe()
+// dial connects, and reports false if the server does not accept a connection now.
+func (s *testServer) dial() (*clientConn, bool) {
+	clientEnd, serverEnd := net.Pipe()
 	synctest.Wait()
 	select {
-	case s.l.conns <- theirs:
-		return &conn{Conn: ours, r: bufio.NewReader(ours)}, true
+	case s.listener.conns <- serverEnd:
+		return &clientConn{Conn: clientEnd, r: bufio.NewReader(clientEnd)}, true
 	default:
 		return nil, false
 	}
 }
 
-func (s *site) mustDial() *conn {
+func (s *testServer) mustDial() *clientConn {
 	c, ok := s.dial()
 	s.Assert(ok, qt.IsTrue)
 	s.Cleanup(func() { c.Close() })
 	return c
 }
 
-// send writes in the background, as a pipe holds nothing.
-func (c *conn) send(text string) {
+// send writes in the background, since a pipe has no buffer.
+func (c *clientConn) send(text string) {
 	go func() { _, _ = io.WriteString(c, text) }()
 }
 
-// answer reads an answer with its body.
-func (s *site) answer(c *conn) *http.Response {
+// readResponse reads a response with its body.
+func (s *testServer) readResponse(c *clientConn) *http.Response {
 	resp, err := http.ReadResponse(c.r, nil)
 	s.Assert(err, qt.IsNil)
 	body, err := io.ReadAll(resp.Body)
@@ -92,14 +93,15 @@
 	return resp
 }
 
-// ended waits until the server closes the connection and gives the time it took.
-func ended(c *conn) time.Duration {
-	began := time.Now()
+// timeUntilClosed waits until the server closes the connection and returns how long that
+// took.
+func timeUntilClosed(c *clientConn) time.Duration {
+	startedAt := time.Now()
 	_, _ = io.Copy(io.Discard, c.r)
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-func limits() Limits {
+func testLimits() Limits {
 	return Limits{HeaderTimeout: 5 * time.Second, BodyTimeout: 30 * time.Second, IdleTimeout: time.Minute, HeaderBytes: 1 << 10}
 }
 
@@ -112,64 +114,65 @@
 	_, _ = w.Write(b)
 }
 
-// A client sends its header a few bytes at a time, or its body. Unbounded, a
-// handful of machines could hold every connection of an entry for days, and
-// true callers would wait in the listen queue.
-func TestSlowClients(t *testing.T) {
+// A client sends its header, or its body, a few bytes at a time. Without a timeout a few
+// machines could hold every connection of an entry for days, and other callers would wait
+// in the listen queue.
+func TestSlowClientsAreDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, limits())
+		s := newTestServer(t, echo, testLimits())
 		header := s.mustDial()
 		header.send("POST / HTTP/1.1\r\nHo")
-		s.Assert(ended(header), qt.Equals, 5*time.Second)
+		s.Assert(timeUntilClosed(header), qt.Equals, 5*time.Second)
 		body := s.mustDial()
 		body.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nab")
-		began := time.Now()
-		s.Assert(s.answer(body).StatusCode, qt.Equals, http.StatusBadRequest)
-		s.Assert(time.Since(began), qt.Equals, 30*time.Second)
-		s.Assert(ended(body) < time.Second, qt.IsTrue)
+		startedAt := time.Now()
+		s.Assert(s.readResponse(body).StatusCode, qt.Equals, http.StatusBadRequest)
+		s.Assert(time.Since(startedAt), qt.Equals, 30*time.Second)
+		s.Assert(timeUntilClosed(body) < time.Second, qt.IsTrue)
 	})
 }
 
-// A refusal is sent before the body was read, and the client goes on sending
-// slowly. Its connection must end too.
-func TestSlowBodyThatNobodyReads(t *testing.T) {
+// A refusal is sent before the body is read, and the client continues to send slowly. Its
+// connection must be closed too.
+func TestSlowUnreadBodyIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusUnauthorized) }, limits())
+		s := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusUnauthorized) }, testLimits())
 		c := s.mustDial()
 		c.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nab")
-		s.Assert(ended(c) <= 31*time.Second, qt.IsTrue)
+		s.Assert(timeUntilClosed(c) <= 31*time.Second, qt.IsTrue)
 	})
 }
 
-// A job takes longer than the time for bodies. Its caller has sent all it had to,
-// so it must still get its answer, and its connection must serve another request.
-func TestBodyTimeEndsWithTheBody(t *testing.T) {
+// A job takes longer than the body timeout. Its caller has sent the whole request, so it
+// must still get its response, and the connection must serve another request.
+func TestBodyTimeoutEndsWithTheBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			echo(w, r)
 			select {
 			case <-time.After(10 * time.Minute):
 			case <-r.Context().Done():
-				t.Error("the request was taken for one whose client has gone")
+				t.Error("request context was cancelled although its client is still connected")
 			}
-		}, limits())
+		}, testLimits())
 		c := s.mustDial()
 		for range 2 {
 			c.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabcde")
-			resp := s.answer(c)
+			resp := s.readResponse(c)
 			s.Assert(resp.StatusCode, qt.Equals, http.StatusOK)
 		}
 	})
 }
 
-// A caller opens connections until the limit and keeps them idle. Those beyond
-// three quarters of it end after their answer, so that others find room.
-func TestTooManyConnections(t *testing.T) {
+// A caller opens connections up to the limit and keeps them idle. While more than three
+// quarters of the limit are in use, connections are closed after their response, so that
+// other callers get one.
+func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := limits()
+		l := testLimits()
 		l.Connections = 4
-		s := newSite(t, echo, l)
-		var conns []*conn
+		s := newTestServer(t, echo, l)
+		var conns []*clientConn
 		for range l.Connections {
 			conns = append(conns, s.mustDial())
 		}
@@ -177,22 +180,22 @@
 		s.Assert(ok, qt.IsFalse)
 		const request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 		conns[0].send(request)
-		resp := s.answer(conns[0])
+		resp := s.readResponse(conns[0])
 		s.Assert(resp.Close, qt.IsTrue)
-		ended(conns[0])
-		synctest.Wait() // the caller sees the end a moment before the server counts it
+		timeUntilClosed(conns[0])
+		synctest.Wait() // the client sees the close before the server counts it
 		conns[1].send(request)
-		s.Assert(s.answer(conns[1]).Close, qt.IsFalse) // below the mark: kept
+		s.Assert(s.readResponse(conns[1]).Close, qt.IsFalse) // below three quarters: kept alive
 		s.mustDial()
 	})
 }
 
-// A client sends a header of a megabyte. It is refused before it is held.
-func TestHugeHeader(t *testing.T) {
+// A client sends a header of 1 MiB. It is refused before it is held in memory.
+func TestOversizedHeaderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, echo, limits())
+		s := newTestServer(t, echo, testLimits())
 		c := s.mustDial()
 		c.send("GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 1<<20) + "\r\n\r\n")
-		s.Assert(s.answer(c).StatusCode, qt.Equals, http.StatusRequestHeaderFieldsTooLarge)
+		s.Assert(s.readResponse(c).StatusCode, qt.Equals, http.StatusRequestHeaderFieldsTooLarge)
 	})
 }
--- a/internal/httpserve/leave.go
+++ b/internal/httpserve/leave.go
@@ -6,62 +6,66 @@
 	"time"
 )
 
-// resendShare is the part of the time until callers send a request again after which it may
-// stand beside its successor at another server. The rest is for clocks that differ.
+// resendShare is the fraction of the callers' resend interval after which a request may
+// already be running elsewhere as a resent copy. The rest is a margin for clock
+// differences.
 const resendShare = 0.75
 
-// lookAgain is how long a request that may have been held up waits before it is begun. The
-// end of its connection follows it by a round trip, if the caller's TCP sends the two
-// apart: 2 ms between a caller and its failure domain, 6 ms between distant ones. It costs
-// the first request after a pause of a second 10 ms, and no other request.
-const lookAgain = 10 * time.Millisecond
+// recheckDelay is how long a request that may have been held up waits before it starts. If
+// the caller's TCP sends the end of the connection separately, it follows the request by up
+// to a round trip: 2 ms between a caller and its failure domain, 6 ms between distant ones.
+// Only the first request after a pause of a second pays this delay of 10 ms.
+const recheckDelay = 10 * time.Millisecond
 
-// returnTime is for how long requests that a cut has held up go on to arrive after the first
-// one, where a relay on a busy VM passes them on.
-const returnTime = 500 * time.Millisecond
+// heldUpBurst is the time within which requests that a network partition held up continue
+// to arrive after the first of them, if a relay on a busy VM forwards them.
+const heldUpBurst = 500 * time.Millisecond
 
-// LeaveCheck finds the requests for whose answer nobody waits any more. A cut may hold up
-// a request for longer than its caller waits; the caller then sends it to another server.
-// When the cut heals, the end of the connection may arrive some milliseconds after the
-// request: begun in between, its work would be done twice at once, and two escorts booked.
+// LeaveCheck detects requests whose caller no longer waits for the response. A network
+// partition may hold up a request for longer than its caller waits; the caller then sends
+// it to another server. After the partition heals, the end of the connection may arrive
+// some milliseconds after the request. If the request were started in between, its work
+// would run twice at once, and two escorts would be booked.
 type LeaveCheck struct {
-	heldUpAfter time.Duration // silence of a connection after which a request may be such
-	pause       func(time.Duration)
+	heldUpAfter time.Duration // silence on a connection after which a request may have been held up
+	sleep       func(time.Duration)
 
-	// Times since started, in nanoseconds: when the newest request came, and when the newest
-	// one came that none had come before for heldUpAfter.
-	newest, returned atomic.Int64
+	// Times since processStart, in nanoseconds: the arrival of the newest request, and of
+	// the newest request that followed a silence of heldUpAfter on all connections.
+	newestArrival, burstStart atomic.Int64
 }
 
-// NewLeaveCheck is for callers that wait for resend before they send a request again.
+// NewLeaveCheck returns a check for callers that resend a request after the interval
+// resend.
 func NewLeaveCheck(resend time.Duration) *LeaveCheck {
-	return &LeaveCheck{heldUpAfter: time.Duration(resendShare * float64(resend)), pause: time.Sleep}
+	return &LeaveCheck{heldUpAfter: time.Duration(resendShare * float64(resend)), sleep: time.Sleep}
 }
 
-// Left tells whether the caller of a request has ended its connection. It waits for
-// lookAgain if the request may have been held up.
+// Left reports whether the caller of a request has closed its connection. If the request
+// may have been held up, Left waits for recheckDelay and checks again.
 func (c *LeaveCheck) Left(r *http.Request) bool {
-	c.noteArrival(time.Since(started))
-	if PeerLeft(r) {
+	c.recordArrival(time.Since(processStart))
+	if PeerDisconnected(r) {
 		return true
 	}
-	if peerQuiet(r) < c.heldUpAfter {
+	if peerIdleTime(r) < c.heldUpAfter {
 		return false
 	}
-	c.pause(lookAgain)
-	return PeerLeft(r)
+	c.sleep(recheckDelay)
+	return PeerDisconnected(r)
 }
 
-// noteArrival notes that a request came at a time since started.
-func (c *LeaveCheck) noteArrival(now time.Duration) {
-	if now-time.Duration(c.newest.Load()) >= c.heldUpAfter {
-		c.returned.Store(int64(now))
+// recordArrival records the arrival of a request at a time since processStart.
+func (c *LeaveCheck) recordArrival(now time.Duration) {
+	if now-time.Duration(c.newestArrival.Load()) >= c.heldUpAfter {
+		c.burstStart.Store(int64(now))
 	}
-	c.newest.Store(int64(now))
+	c.newestArrival.Store(int64(now))
 }
 
-// HeldUp tells whether a cut has probably held up a request whose caller has not been seen to
-// leave: it is one of the first after a silence of all connections.
+// HeldUp reports whether a request was probably held up by a network partition although its
+// caller has not been seen to disconnect: it is one of the first requests after a silence
+// of all connections.
 func (c *LeaveCheck) HeldUp(r *http.Request) bool {
-	return peerQuiet(r) >= c.heldUpAfter && time.Since(started)-time.Duration(c.returned.Load()) < returnTime
+	return peerIdleTime(r) >= c.heldUpAfter && time.Since(processStart)-time.Duration(c.burstStart.Load()) < heldUpBurst
 }
--- a/internal/httpserve/leave_test.go
+++ b/internal/httpserve/leave_test.go
@@ -11,11 +11,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// askLeaveCheck sends one request and tells what a check says of its caller, who ends the
-// connection while the check pauses.
-func askLeaveCheck(t *testing.T, heldUpAfter time.Duration) (left, paused bool) {
+// runLeaveCheck sends one request and returns what a LeaveCheck reports for it. The caller
+// closes the connection when the check pauses.
+func runLeaveCheck(t *testing.T, heldUpAfter time.Duration) (left, paused bool) {
 	var client net.Conn
-	check := &LeaveCheck{heldUpAfter: heldUpAfter, pause: func(time.Duration) {
+	check := &LeaveCheck{heldUpAfter: heldUpAfter, sleep: func(time.Duration) {
 		paused = true
 		qt.Check(t, client.Close(), qt.IsNil)
 	}}
@@ -35,30 +35,32 @@
 	return left, paused
 }
 
-// A cut of the callers' network in one direction heals. A request that it held up is read
-// a moment before the end of its connection comes; its caller has sent the job to another
-// entry by then, where it runs. Begun here, its tasks are at work at two workers at once.
-func TestHeldUpRequestWhoseEndComesAMomentLaterIsNotBegun(t *testing.T) {
-	left, _ := askLeaveCheck(t, 0)
+// A network partition between callers and an entry, in one direction, heals. A request that
+// it held up is read a moment before the end of its connection arrives. The caller has
+// already sent the job to another entry, where it runs; if it were started here too, its
+// tasks would run on two workers at once.
+func TestHeldUpRequestIsRecheckedForDisconnect(t *testing.T) {
+	left, _ := runLeaveCheck(t, 0)
 	qt.Check(t, left, qt.IsTrue)
 }
 
-// Urgent requests on a connection in use are not delayed for the sake of one that a cut
-// might have held up.
-func TestRequestOnABusyConnectionDoesNotWait(t *testing.T) {
-	left, paused := askLeaveCheck(t, time.Hour)
+// Requests on a connection in use must not be delayed by the check for requests that a
+// partition held up.
+func TestRequestOnABusyConnectionIsNotDelayed(t *testing.T) {
+	left, paused := runLeaveCheck(t, time.Hour)
 	qt.Check(t, left, qt.IsFalse)
 	qt.Check(t, paused, qt.IsFalse)
 }
 
-// Guards against a request that a cut held up being taken for a new one, and against a delay of requests on one connection that was quiet while others were in use.
-func TestRequestsAreHeldUpAfterASilenceOfAllConnections(t *testing.T) {
+// A request that a partition held up must not be treated as a new one, and a request on a
+// connection that was idle while others were in use must not be delayed.
+func TestHeldUpRequiresSilenceOnAllConnections(t *testing.T) {
 	const resend = time.Second
 	c := NewLeaveCheck(resend)
-	now := time.Since(started)
+	now := time.Since(processStart)
 	request := func(quiet time.Duration) *http.Request {
 		p := new(peer)
-		p.answered.Store(int64(now - quiet))
+		p.lastAnswer.Store(int64(now - quiet))
 		r, err := http.NewRequestWithContext(context.WithValue(t.Context(), peerKey{}, p), http.MethodPost, "/", nil)
 		qt.Assert(t, err, qt.IsNil)
 		return r
@@ -71,10 +73,10 @@
 		{silence: resend, quiet: resend / 2}, // a new connection
 		{silence: resend / 2, quiet: resend},
 	} {
-		c.newest.Store(int64(now - k.silence))
-		c.returned.Store(int64(now - time.Hour))
-		c.noteArrival(now)
-		c.noteArrival(now + time.Microsecond) // the next one of the same burst
+		c.newestArrival.Store(int64(now - k.silence))
+		c.burstStart.Store(int64(now - time.Hour))
+		c.recordArrival(now)
+		c.recordArrival(now + time.Microsecond) // the next request of the same burst
 		qt.Check(t, c.HeldUp(request(k.quiet)), qt.Equals, k.heldUp, qt.Commentf("%+v", k))
 	}
 }
--- a/internal/httpserve/peer.go
+++ b/internal/httpserve/peer.go
@@ -10,80 +10,81 @@
 	"time"
 )
 
-// peerKey is the key of a request's peer in its context.
+// peerKey is the context key of the peer of a request.
 type peerKey struct{}
 
-// peer is the other end of a connection.
+// peer is the remote end of a connection.
 type peer struct {
 	conn net.Conn
-	// answered is when the last request of the connection was answered, or when the
-	// connection was accepted, in nanoseconds since started.
-	answered atomic.Int64
+	// lastAnswer is when the last request of the connection was answered, or when the
+	// connection was accepted, in nanoseconds since processStart.
+	lastAnswer atomic.Int64
 }
 
-// started is what times of peers are counted from.
-var started = time.Now()
+// processStart is the reference for the times of peers.
+var processStart = time.Now()
 
-// keepPeer lets handlers find their request's connection.
-func keepPeer(ctx context.Context, c net.Conn) context.Context {
+// withPeer implements http.Server.ConnContext. It makes the connection of a request
+// available to handlers.
+func withPeer(ctx context.Context, c net.Conn) context.Context {
 	p := &peer{conn: c}
-	p.noteAnswer()
+	p.recordAnswer()
 	return context.WithValue(ctx, peerKey{}, p)
 }
 
-func (p *peer) noteAnswer() { p.answered.Store(int64(time.Since(started))) }
+func (p *peer) recordAnswer() { p.lastAnswer.Store(int64(time.Since(processStart))) }
 
-// notePeer keeps the times that peerQuiet reads.
-func notePeer(next http.Handler) http.Handler {
+// recordAnswers records the times that peerIdleTime reads.
+func recordAnswers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(w, r)
 		if p, ok := r.Context().Value(peerKey{}).(*peer); ok {
-			p.noteAnswer()
+			p.recordAnswer()
 		}
 	})
 }
 
-// peerQuiet tells for how long nothing was answered on a request's connection: since the
-// answer before, or since the connection was accepted. A request that a cut held up was
-// sent within that time.
-func peerQuiet(r *http.Request) time.Duration {
+// peerIdleTime returns the time since the last response on a request's connection, or since
+// the connection was accepted. A request that a network partition held up was sent within
+// that time.
+func peerIdleTime(r *http.Request) time.Duration {
 	p, ok := r.Context().Value(peerKey{}).(*peer)
 	if !ok {
 		return 0
 	}
-	return time.Since(started) - time.Duration(p.answered.Load())
+	return time.Since(processStart) - time.Duration(p.lastAnswer.Load())
 }
 
-// PeerLeft tells whether the caller of a request has ended its connection already. The
-// request's context tells it too, but only once a goroutine of the server has run: the
-// request and the end of its connection may lie in the receive buffer together, after a
-// cut that the caller did not wait for. What a server begins in between is work for
-// nobody, beside the work on the same request at the server that the caller asked next.
+// PeerDisconnected reports whether the caller of a request has closed its connection. The
+// context of the request reports it too, but only once a goroutine of the server has run:
+// after a partition that outlasted the caller's timeout, the request and the end of its
+// connection may be in the receive buffer together. Work started in between would be
+// wasted, and would run beside the same request at the server that the caller tried next.
 //
-// The end is not seen behind bytes that are still unread. A connection of another kind
-// than a socket counts as open.
-func PeerLeft(r *http.Request) bool {
+// The end of the connection is not detected while there are unread bytes before it. A
+// connection that is not a socket counts as open.
+func PeerDisconnected(r *http.Request) bool {
 	p, ok := r.Context().Value(peerKey{}).(*peer)
 	if !ok {
 		return false
 	}
-	s, ok := socketOf(p.conn).(syscall.Conn)
+	s, ok := unwrapSocket(p.conn).(syscall.Conn)
 	if !ok {
 		return false
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return true // it is closed on this side
+		return true // closed on this side
 	}
-	left := false
-	if err := raw.Control(func(fd uintptr) { left = endOfStream(int(fd)) }); err != nil {
+	disconnected := false
+	if err := raw.Control(func(fd uintptr) { disconnected = atEndOfStream(int(fd)) }); err != nil {
 		return true
 	}
-	return left
+	return disconnected
 }
 
-// socketOf gives the socket under the wrappers of this package and of TLS.
-func socketOf(c net.Conn) net.Conn {
+// unwrapSocket returns the socket under the wrappers of this package and of TLS.
+func unwrapSocket(c net.Conn) net.Conn {
 	for {
 		switch w := c.(type) {
 		case *limitedConn:
@@ -96,21 +97,23 @@
 	}
 }
 
-// peek counts the next byte in the receive buffer, without taking it.
-func peek(fd int) (int, error) {
-	var next [1]byte
-	n, _, err := syscall.Recvfrom(fd, next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+// peekByte returns the number of bytes, at most one, in the receive buffer, without
+// consuming them.
+func peekByte(fd int) (int, error) {
+	var buf [1]byte
+	n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// endOfStream looks at the receive buffer without taking anything from it.
-func endOfStream(fd int) bool {
-	n, err := peek(fd)
+// atEndOfStream reports whether the receive buffer is at the end of the stream, without
+// consuming anything.
+func atEndOfStream(fd int) bool {
+	n, err := peekByte(fd)
 	switch {
 	case err == nil:
 		return n == 0
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return true
 	}
-	return false // nothing to read yet, or not known
+	return false // no data yet, or unknown
 }
--- a/internal/httpserve/peer_test.go
+++ b/internal/httpserve/peer_test.go
@@ -12,29 +12,30 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// askPeer sends a request and reports what PeerLeft says of its caller once the
+// peerDisconnected sends a request and returns what PeerDisconnected reports once the
 // request's body is read and send has returned.
-func askPeer(t *testing.T, send func(addr string)) bool {
-	sent, left := make(chan struct{}), make(chan bool, 1)
+func peerDisconnected(t *testing.T, send func(addr string)) bool {
+	sent, disconnected := make(chan struct{}), make(chan bool, 1)
 	s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
 		<-sent
-		left <- PeerLeft(r)
+		disconnected <- PeerDisconnected(r)
 	}), nil, DefaultLimits())
 	qt.Assert(t, err, qt.IsNil)
 	defer s.Close()
 	go s.Serve()
 	send(s.Addr())
 	close(sent)
-	return <-left
+	return <-disconnected
 }
 
 const peerRequest = "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"
 
-// A request and the end of its connection arrive together, as a cut held them up. Its
-// caller has sent it elsewhere; begun here as well, it would run twice at once.
-func TestCallerThatHasLeftIsNoticed(t *testing.T) {
-	qt.Assert(t, askPeer(t, func(addr string) {
+// A request and the end of its connection arrive together after a network partition held
+// them up. The caller has sent the request to another server; started here too, it would
+// run twice at once.
+func TestDisconnectedCallerIsDetected(t *testing.T) {
+	qt.Assert(t, peerDisconnected(t, func(addr string) {
 		c, err := net.Dial("tcp", addr)
 		qt.Assert(t, err, qt.IsNil)
 		fmt.Fprint(c, peerRequest)
@@ -42,10 +43,10 @@
 	}), qt.IsTrue)
 }
 
-func TestCallerThatWaitsIsNotTakenForGone(t *testing.T) {
-	for _, then := range []string{"", peerRequest} { // a second request may follow at once
+func TestWaitingCallerIsNotReportedDisconnected(t *testing.T) {
+	for _, then := range []string{"", peerRequest} { // a second request may follow immediately
 		var c net.Conn
-		qt.Assert(t, askPeer(t, func(addr string) {
+		qt.Assert(t, peerDisconnected(t, func(addr string) {
 			var err error
 			c, err = net.Dial("tcp", addr)
 			qt.Assert(t, err, qt.IsNil)
@@ -55,13 +56,14 @@
 	}
 }
 
-// A connection has been quiet since its last answer, not since it was opened: a caller
-// that keeps it busy would else be taken for one whose request was held up.
-func TestPeerIsQuietSinceItsLastAnswer(t *testing.T) {
+// The idle time of a connection counts from its last response and not from its start.
+// Otherwise a request on a long-lived busy connection would be treated as one that a
+// partition held up.
+func TestPeerIdleTimeCountsFromLastAnswer(t *testing.T) {
 	var quiet []time.Duration
 	var calls []time.Time
 	s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		quiet = append(quiet, peerQuiet(r))
+		quiet = append(quiet, peerIdleTime(r))
 		calls = append(calls, time.Now())
 	}), nil, DefaultLimits())
 	qt.Assert(t, err, qt.IsNil)
@@ -70,10 +72,10 @@
 	c, err := net.Dial("tcp", s.Addr())
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
-	answers := bufio.NewReader(c)
+	responses := bufio.NewReader(c)
 	for range 2 {
 		fmt.Fprint(c, peerRequest)
-		res, err := http.ReadResponse(answers, nil)
+		res, err := http.ReadResponse(responses, nil)
 		qt.Assert(t, err, qt.IsNil)
 		res.Body.Close()
 	}
--- a/internal/httpserve/unmatched.go
+++ b/internal/httpserve/unmatched.go
@@ -6,9 +6,9 @@
 	"wigeontray/internal/errkind"
 )
 
-// Unmatched serves mux, and answers requests that it has no handler for by
-// write. The mux's own answers are plain text, which a client that expects the
-// closed list of errors takes for the answer of something else on the way.
+// Unmatched serves mux, and answers requests without a matching handler through write. The
+// mux's own responses are plain text, which a client that expects the listed error kinds
+// would attribute to an intermediary.
 func Unmatched(mux *http.ServeMux, write func(http.ResponseWriter, *errkind.Error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h, pattern := mux.Handler(r)
@@ -22,7 +22,7 @@
 	})
 }
 
-// refusal turns the mux's answer into an error. Allow is kept.
+// refusal converts the mux's response to an error and keeps its Allow header.
 func refusal(w http.ResponseWriter, r *http.Request, probe *probeWriter) *errkind.Error {
 	if probe.status != http.StatusMethodNotAllowed {
 		return errkind.New(errkind.NotFound, "no such path")
@@ -32,7 +32,7 @@
 	return errkind.New(errkind.MethodNotAllowed, "want %s", allow)
 }
 
-// probeWriter takes an answer for its status and header alone.
+// probeWriter records the status and header of a response and discards its body.
 type probeWriter struct {
 	header http.Header
 	status int
