--- a/internal/settings/batch.go
+++ b/internal/settings/batch.go
@@ -4,23 +4,23 @@
 	"time"
 )
 
-// BatchEntry is the settings of an entry whose workers run tasks under leases.
+// BatchEntry holds the settings of an entry whose workers run tasks under leases.
 type BatchEntry struct {
 	Name          string
 	FailureDomain string
 	Callers       string // listening address
 	Readiness     string // listening address
 	Links         string // listening address for guards
-	Advertised    string // address where guards reach Links; Links itself if empty
+	Advertised    string // address at which guards reach Links; Links itself if empty
 	Metrics       string // listening address; empty for none
 	Store         string // address of the platform's store
 	Stop          time.Duration
-	Resend        time.Duration // when callers without an answer send a job again
+	Resend        time.Duration // delay after which callers without an answer resend a job
 	Memory        int64         // megabytes
 	Log           BoundedLog
 }
 
-// BatchGuard is the settings of a guard whose worker runs tasks under leases.
+// BatchGuard holds the settings of a guard whose worker runs tasks under leases.
 type BatchGuard struct {
 	Name    string
 	Entries []string // addresses of entries
@@ -30,84 +30,84 @@
 	Texts   string   // listening address for other guards; empty for none
 	Store   string   // address of the platform's store
 	Stop    time.Duration
-	Resend  time.Duration // when callers without an answer send a job again
+	Resend  time.Duration // delay after which callers without an answer resend a job
 	Memory  int64         // megabytes
 	Log     BoundedLog
 }
 
-// BoundedLog is a log whose volume has a bound.
+// BoundedLog holds the settings of a log with a limited volume.
 type BoundedLog struct {
 	Log
-	BytesPerSecond int64 // in the long run
-	QueueBytes     int64 // that wait for the reader, and that may come at once
+	BytesPerSecond int64 // sustained rate
+	QueueBytes     int64 // maximum queued for the reader, and maximum burst
 }
 
-// resendDoc is about the time that leases and heartbeats have to fit into.
+// resendDoc documents the resend time, which leases and heartbeats must fit into.
 const resendDoc = "Time after which a caller without an answer sends its job again. What ran for a lost process has ended before it, unless it is below 600 ms."
 
-// stopDoc is about the bound of a planned stop.
+// stopDoc documents the time limit of a planned stop.
 const stopDoc = "Time from the request to stop until the process is killed."
 
-var batchEntryFields = join(
+var batchEntryFields = concat(
 	[]field[BatchEntry]{
-		name("node", "name", "Name of this process, unique in the fleet.", func(e *BatchEntry) *string { return &e.Name }).need(),
-		name("node", "failure_domain", "Failure domain of this process.", func(e *BatchEntry) *string { return &e.FailureDomain }).need(),
-		address("listen", "callers", "", "Address for callers.", func(e *BatchEntry) *string { return &e.Callers }).need(),
-		address("listen", "readiness", "", "Address for readiness.", func(e *BatchEntry) *string { return &e.Readiness }).need(),
-		address("listen", "links", "", "Address for guards.", func(e *BatchEntry) *string { return &e.Links }).need(),
-		address("listen", "links_advertised", "", "Address that is registered for guards, where it differs from links: behind an address translation or a relay.", func(e *BatchEntry) *string { return &e.Advertised }),
-		address("listen", "metrics", "", "Address for counters; none if left out.", func(e *BatchEntry) *string { return &e.Metrics }),
-		address("store", "address", "", "Address of the platform's store.", func(e *BatchEntry) *string { return &e.Store }).need(),
+		nameField("node", "name", "Name of this process, unique in the fleet.", func(e *BatchEntry) *string { return &e.Name }).markRequired(),
+		nameField("node", "failure_domain", "Failure domain of this process.", func(e *BatchEntry) *string { return &e.FailureDomain }).markRequired(),
+		addressField("listen", "callers", "", "Address for callers.", func(e *BatchEntry) *string { return &e.Callers }).markRequired(),
+		addressField("listen", "readiness", "", "Address for readiness.", func(e *BatchEntry) *string { return &e.Readiness }).markRequired(),
+		addressField("listen", "links", "", "Address for guards.", func(e *BatchEntry) *string { return &e.Links }).markRequired(),
+		addressField("listen", "links_advertised", "", "Address that is registered for guards, where it differs from links: behind an address translation or a relay.", func(e *BatchEntry) *string { return &e.Advertised }),
+		addressField("listen", "metrics", "", "Address for counters; none if left out.", func(e *BatchEntry) *string { return &e.Metrics }),
+		addressField("store", "address", "", "Address of the platform's store.", func(e *BatchEntry) *string { return &e.Store }).markRequired(),
 	},
-	batchLimits(func(e *BatchEntry) (stop, resend *time.Duration, memory *int64) { return &e.Stop, &e.Resend, &e.Memory }),
+	batchLimitFields(func(e *BatchEntry) (stop, resend *time.Duration, memory *int64) { return &e.Stop, &e.Resend, &e.Memory }),
 	boundedLogFields(func(e *BatchEntry) *BoundedLog { return &e.Log }),
 )
 
-var batchGuardFields = join(
+var batchGuardFields = concat(
 	[]field[BatchGuard]{
-		name("node", "name", "Name of this process, unique in the fleet.", func(g *BatchGuard) *string { return &g.Name }).need(),
-		addresses("entries", "addresses", "Addresses of entries. Others are learned from them and from the store.", func(g *BatchGuard) *[]string { return &g.Entries }),
-		address("listen", "reports", "", "Address for the reports of the worker on this VM.", func(g *BatchGuard) *string { return &g.Reports }).need(),
-		address("listen", "metrics", "", "Address for counters; none if left out.", func(g *BatchGuard) *string { return &g.Metrics }),
-		address("listen", "texts", "", "Address at which other guards fetch texts of jobs, so that an entry with a thin link sends each text once; none if left out.", func(g *BatchGuard) *string { return &g.Texts }),
-		address("worker", "address", "", "Address of the worker on this VM.", func(g *BatchGuard) *string { return &g.Worker }).need(),
-		address("store", "address", "", "Address of the platform's store.", func(g *BatchGuard) *string { return &g.Store }).need(),
+		nameField("node", "name", "Name of this process, unique in the fleet.", func(g *BatchGuard) *string { return &g.Name }).markRequired(),
+		addressListField("entries", "addresses", "Addresses of entries. Others are learned from them and from the store.", func(g *BatchGuard) *[]string { return &g.Entries }),
+		addressField("listen", "reports", "", "Address for the reports of the worker on this VM.", func(g *BatchGuard) *string { return &g.Reports }).markRequired(),
+		addressField("listen", "metrics", "", "Address for counters; none if left out.", func(g *BatchGuard) *string { return &g.Metrics }),
+		addressField("listen", "texts", "", "Address at which other guards fetch texts of jobs, so that an entry with a thin link sends each text once; none if left out.", func(g *BatchGuard) *string { return &g.Texts }),
+		addressField("worker", "address", "", "Address of the worker on this VM.", func(g *BatchGuard) *string { return &g.Worker }).markRequired(),
+		addressField("store", "address", "", "Address of the platform's store.", func(g *BatchGuard) *string { return &g.Store }).markRequired(),
 	},
-	batchLimits(func(g *BatchGuard) (stop, resend *time.Duration, memory *int64) { return &g.Stop, &g.Resend, &g.Memory }),
+	batchLimitFields(func(g *BatchGuard) (stop, resend *time.Duration, memory *int64) { return &g.Stop, &g.Resend, &g.Memory }),
 	boundedLogFields(func(g *BatchGuard) *BoundedLog { return &g.Log }),
 )
 
-func batchLimits[T any](at func(*T) (stop, resend *time.Duration, memory *int64)) []field[T] {
-	stop := seconds("limits", "stop_s", stopDoc, func(t *T) *time.Duration { d, _, _ := at(t); return d })
+func batchLimitFields[T any](target func(*T) (stop, resend *time.Duration, memory *int64)) []field[T] {
+	stop := secondsField("limits", "stop_s", stopDoc, func(t *T) *time.Duration { d, _, _ := target(t); return d })
 	return []field[T]{
-		stop.need(),
-		millis("limits", "resend_ms", 1300, 1, 3_600_000, resendDoc, func(t *T) *time.Duration { _, d, _ := at(t); return d }),
-		integer("limits", "memory_mb", "megabytes", 128, 32, 1<<20, "Memory of the process. Above half of it garbage is collected more often.",
-			func(t *T) *int64 { _, _, n := at(t); return n }),
+		stop.markRequired(),
+		millisField("limits", "resend_ms", 1300, 1, 3_600_000, resendDoc, func(t *T) *time.Duration { _, d, _ := target(t); return d }),
+		integerField("limits", "memory_mb", "megabytes", 128, 32, 1<<20, "Memory of the process. Above half of it garbage is collected more often.",
+			func(t *T) *int64 { _, _, n := target(t); return n }),
 	}
 }
 
-func boundedLogFields[T any](at func(*T) *BoundedLog) []field[T] {
-	return append(logFields(func(t *T) *Log { return &at(t).Log }),
-		integer("log", "bytes_per_second", "bytes/s", 32*kib, kib, 1<<30, "Most that is written in the long run. What exceeds it is dropped, routine lines first, and counted in a line. A line has about 250 bytes.",
-			func(t *T) *int64 { return &at(t).BytesPerSecond }),
-		integer("log", "queue_bytes", "bytes", 512*kib, 16*kib, 1<<30, "Most that waits for the reader of the log, and that may come at once.",
-			func(t *T) *int64 { return &at(t).QueueBytes }))
+func boundedLogFields[T any](target func(*T) *BoundedLog) []field[T] {
+	return append(logFields(func(t *T) *Log { return &target(t).Log }),
+		integerField("log", "bytes_per_second", "bytes/s", 32*kib, kib, 1<<30, "Most that is written in the long run. What exceeds it is dropped, routine lines first, and counted in a line. A line has about 250 bytes.",
+			func(t *T) *int64 { return &target(t).BytesPerSecond }),
+		integerField("log", "queue_bytes", "bytes", 512*kib, 16*kib, 1<<30, "Most that waits for the reader of the log, and that may come at once.",
+			func(t *T) *int64 { return &target(t).QueueBytes }))
 }
 
-// LoadBatchEntry reads and checks an entry's file.
+// LoadBatchEntry reads and validates the settings file of an entry.
 func LoadBatchEntry(path string) (*BatchEntry, error) {
-	return parseTable(path, path, batchEntryFields)
+	return loadTable(path, path, batchEntryFields)
 }
 
-// LoadBatchGuard reads and checks a guard's file.
+// LoadBatchGuard reads and validates the settings file of a guard.
 func LoadBatchGuard(path string) (*BatchGuard, error) {
-	return parseTable(path, path, batchGuardFields)
+	return loadTable(path, path, batchGuardFields)
 }
 
-func parseTable[T any](file string, source any, fields []field[T]) (*T, error) {
+func loadTable[T any](file string, source any, fields []field[T]) (*T, error) {
 	t := new(T)
-	defaults(fields, t)
+	applyDefaults(fields, t)
 	if err := load(file, source, fields, t); err != nil {
 		return nil, err
 	}
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -11,134 +11,134 @@
 	"time"
 )
 
-// field is one key of a settings file: what the reference says about it, and
-// how its text is read into a T.
+// field is one key of a settings file: its entry in the reference page, and how its value
+// is parsed into a T.
 type field[T any] struct {
 	section, key string
 	unit         string // empty for text
-	standard     string // default; empty for none
-	bounds       string // allowed values, for people
+	defaultValue string // default value; empty for none
+	allowed      string // allowed values, for the reference page
 	doc          string
 	required     bool
 	set          func(*T, string) error
 }
 
-// name gives "[section] key".
-func (f *field[T]) name() string { return "[" + f.section + "] " + f.key }
+// qualifiedName returns "[section] key".
+func (f *field[T]) qualifiedName() string { return "[" + f.section + "] " + f.key }
 
-// need marks a field without which a process cannot start.
-func (f field[T]) need() field[T] {
+// markRequired returns f as a field without which a process cannot start.
+func (f field[T]) markRequired() field[T] {
 	f.required = true
 	return f
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,48}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,48}$`)
 
-func text[T any](section, key, standard, doc string, at func(*T) *string) field[T] {
-	return field[T]{section: section, key: key, standard: standard, bounds: "any text", doc: doc,
-		set: func(t *T, v string) error { *at(t) = v; return nil }}
+func textField[T any](section, key, defaultValue, doc string, target func(*T) *string) field[T] {
+	return field[T]{section: section, key: key, defaultValue: defaultValue, allowed: "any text", doc: doc,
+		set: func(t *T, v string) error { *target(t) = v; return nil }}
 }
 
-// name is text that stands in identities and in records.
-func name[T any](section, key, doc string, at func(*T) *string) field[T] {
-	return field[T]{section: section, key: key, bounds: "1 to 49 lower-case letters, digits, hyphens", doc: doc,
+// nameField is a name that is used in identities and records.
+func nameField[T any](section, key, doc string, target func(*T) *string) field[T] {
+	return field[T]{section: section, key: key, allowed: "1 to 49 lower-case letters, digits, hyphens", doc: doc,
 		set: func(t *T, v string) error {
-			if !nameForm.MatchString(v) {
+			if !namePattern.MatchString(v) {
 				return fmt.Errorf("%q: want 1 to 49 lower-case letters, digits or hyphens", v)
 			}
-			*at(t) = v
+			*target(t) = v
 			return nil
 		}}
 }
 
-func choice[T any](section, key, standard, doc string, choices []string, at func(*T) *string) field[T] {
-	return field[T]{section: section, key: key, standard: standard, bounds: strings.Join(choices, ", "), doc: doc,
+func choiceField[T any](section, key, defaultValue, doc string, choices []string, target func(*T) *string) field[T] {
+	return field[T]{section: section, key: key, defaultValue: defaultValue, allowed: strings.Join(choices, ", "), doc: doc,
 		set: func(t *T, v string) error {
 			if !slices.Contains(choices, v) {
 				return fmt.Errorf("%q is none of %s", v, strings.Join(choices, ", "))
 			}
-			*at(t) = v
+			*target(t) = v
 			return nil
 		}}
 }
 
-func flag[T any](section, key, doc string, at func(*T) *bool) field[T] {
-	return field[T]{section: section, key: key, standard: "false", bounds: "true, false", doc: doc,
+func boolField[T any](section, key, doc string, target func(*T) *bool) field[T] {
+	return field[T]{section: section, key: key, defaultValue: "false", allowed: "true, false", doc: doc,
 		set: func(t *T, v string) error {
 			if v != "true" && v != "false" {
 				return fmt.Errorf("%q: want true or false", v)
 			}
-			*at(t) = v == "true"
+			*target(t) = v == "true"
 			return nil
 		}}
 }
 
-func integer[T any](section, key, unit string, standard, low, high int64, doc string, at func(*T) *int64) field[T] {
-	return field[T]{section: section, key: key, unit: unit, standard: strconv.FormatInt(standard, 10),
-		bounds: fmt.Sprintf("%d to %d", low, high), doc: doc,
+func integerField[T any](section, key, unit string, defaultValue, minValue, maxValue int64, doc string, target func(*T) *int64) field[T] {
+	return field[T]{section: section, key: key, unit: unit, defaultValue: strconv.FormatInt(defaultValue, 10),
+		allowed: fmt.Sprintf("%d to %d", minValue, maxValue), doc: doc,
 		set: func(t *T, v string) error {
-			n, err := parseInteger(v, low, high)
-			*at(t) = n
+			n, err := parseInteger(v, minValue, maxValue)
+			*target(t) = n
 			return err
 		}}
 }
 
-// millis is a time that the file gives in whole milliseconds.
-func millis[T any](section, key string, standard, low, high int64, doc string, at func(*T) *time.Duration) field[T] {
+// millisField is a duration given in whole milliseconds.
+func millisField[T any](section, key string, defaultValue, minValue, maxValue int64, doc string, target func(*T) *time.Duration) field[T] {
 	var n int64
-	f := integer(section, key, "ms", standard, low, high, doc, func(*T) *int64 { return &n })
+	f := integerField(section, key, "ms", defaultValue, minValue, maxValue, doc, func(*T) *int64 { return &n })
 	f.set = func(t *T, v string) error {
-		n, err := parseInteger(v, low, high)
-		*at(t) = time.Duration(n) * time.Millisecond
+		n, err := parseInteger(v, minValue, maxValue)
+		*target(t) = time.Duration(n) * time.Millisecond
 		return err
 	}
 	return f
 }
 
-// seconds is a time that the file gives in seconds, with or without a fraction.
-func seconds[T any](section, key, doc string, at func(*T) *time.Duration) field[T] {
-	return field[T]{section: section, key: key, unit: "s", bounds: "0.1 to 3600", doc: doc,
+// secondsField is a duration given in seconds, optionally with a fraction.
+func secondsField[T any](section, key, doc string, target func(*T) *time.Duration) field[T] {
+	return field[T]{section: section, key: key, unit: "s", allowed: "0.1 to 3600", doc: doc,
 		set: func(t *T, v string) error {
 			n, err := strconv.ParseFloat(v, 64)
 			if err != nil || !(n >= 0.1 && n <= 3600) {
 				return fmt.Errorf("%q: want a number of seconds within 0.1 to 3600", v)
 			}
-			*at(t) = time.Duration(n * float64(time.Second))
+			*target(t) = time.Duration(n * float64(time.Second))
 			return nil
 		}}
 }
 
-func parseInteger(v string, low, high int64) (int64, error) {
+func parseInteger(v string, minValue, maxValue int64) (int64, error) {
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("%q: want a whole number", v)
 	}
-	if n < low || n > high {
-		return 0, fmt.Errorf("%d is not within %d to %d", n, low, high)
+	if n < minValue || n > maxValue {
+		return 0, fmt.Errorf("%d is not within %d to %d", n, minValue, maxValue)
 	}
 	return n, nil
 }
 
-// address is where a process listens: an IP number and a port.
-func address[T any](section, key, standard, doc string, at func(*T) *string) field[T] {
-	return field[T]{section: section, key: key, standard: standard, bounds: "IP number:port", doc: doc,
-		set: func(t *T, v string) error { *at(t) = v; return checkAddress(v) }}
+// addressField is a listening address: an IP address and a port.
+func addressField[T any](section, key, defaultValue, doc string, target func(*T) *string) field[T] {
+	return field[T]{section: section, key: key, defaultValue: defaultValue, allowed: "IP number:port", doc: doc,
+		set: func(t *T, v string) error { *target(t) = v; return checkAddress(v) }}
 }
 
-func addresses[T any](section, key, doc string, at func(*T) *[]string) field[T] {
-	return field[T]{section: section, key: key, bounds: "IP number:port, separated by commas", doc: doc,
+func addressListField[T any](section, key, doc string, target func(*T) *[]string) field[T] {
+	return field[T]{section: section, key: key, allowed: "IP number:port, separated by commas", doc: doc,
 		set: func(t *T, v string) error {
-			*at(t) = splitList(v)
-			return checkEach(*at(t), checkAddress)
+			*target(t) = splitList(v)
+			return checkEach(*target(t), checkAddress)
 		}}
 }
 
-// urls are base addresses such as "http://10.0.0.5:2379".
-func urls[T any](section, key, doc string, at func(*T) *[]string) field[T] {
-	return field[T]{section: section, key: key, bounds: "http or https URLs without path, separated by commas", doc: doc,
+// urlListField is a list of base URLs such as "http://10.0.0.5:2379".
+func urlListField[T any](section, key, doc string, target func(*T) *[]string) field[T] {
+	return field[T]{section: section, key: key, allowed: "http or https URLs without path, separated by commas", doc: doc,
 		set: func(t *T, v string) error {
-			*at(t) = splitList(v)
-			return checkEach(*at(t), checkURL)
+			*target(t) = splitList(v)
+			return checkEach(*target(t), checkURL)
 		}}
 }
 
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// isLoopback tells whether only processes of this machine reach an address.
+// isLoopback reports whether only processes of this machine can reach an address.
 func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	ip := net.ParseIP(host)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,13 +8,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// Error says which setting is wrong and why.
+// Error reports which setting is invalid and why.
 type Error struct {
 	File, Section, Key string
 	Problem            string
 }
 
-// Error gives "file: [section] key: problem".
+// Error returns "file: [section] key: problem".
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.File + ": ")
@@ -27,8 +27,9 @@
 	return b.String() + e.Problem
 }
 
-// iniOptions reads values as they stand: no continuation lines, no comments
-// behind a value, and a key that stands twice is noticed, not overruled.
+// iniOptions reads values verbatim, without line continuation and without comments after a
+// value. A key that occurs twice is reported as an error; by default the second occurrence
+// would silently replace the first.
 var iniOptions = ini.LoadOptions{
 	KeyValueDelimiters:         "=",
 	IgnoreContinuation:         true,
@@ -37,42 +38,42 @@
 	AllowDuplicateShadowValues: true,
 }
 
-// load reads source (a path or bytes) into t by its table. It reports every
-// problem that it finds, joined, each as an *Error.
+// load reads source (a path or bytes) into t. It reports all problems found, joined, each
+// as an *Error.
 func load[T any](file string, source any, fields []field[T], t *T) error {
 	parsed, err := ini.LoadSources(iniOptions, source)
 	if err != nil {
 		return &Error{File: file, Problem: err.Error()}
 	}
-	l := loader[T]{file: file, known: map[string]*field[T]{}, given: map[string]bool{}}
+	l := loader[T]{file: file, fieldsByName: map[string]*field[T]{}, isSet: map[string]bool{}}
 	for i := range fields {
-		l.known[fields[i].name()] = &fields[i]
+		l.fieldsByName[fields[i].qualifiedName()] = &fields[i]
 	}
 	for _, section := range parsed.Sections() {
 		l.section(section, t)
 	}
 	for i := range fields {
-		if f := &fields[i]; f.required && !l.given[f.name()] {
-			l.fail(f.section, f.key, "missing")
+		if f := &fields[i]; f.required && !l.isSet[f.qualifiedName()] {
+			l.addError(f.section, f.key, "missing")
 		}
 	}
 	return errors.Join(l.errs...)
 }
 
 type loader[T any] struct {
-	file  string
-	known map[string]*field[T]
-	given map[string]bool
-	errs  []error
+	file         string
+	fieldsByName map[string]*field[T]
+	isSet        map[string]bool
+	errs         []error
 }
 
-func (l *loader[T]) fail(section, key, format string, args ...any) {
+func (l *loader[T]) addError(section, key, format string, args ...any) {
 	l.errs = append(l.errs, &Error{File: l.file, Section: section, Key: key, Problem: fmt.Sprintf(format, args...)})
 }
 
 func (l *loader[T]) section(s *ini.Section, t *T) {
 	if !l.hasSection(s.Name()) && (s.Name() != ini.DefaultSection || len(s.Keys()) > 0) {
-		l.fail(s.Name(), "", "unknown section")
+		l.addError(s.Name(), "", "unknown section")
 		return
 	}
 	for _, key := range s.Keys() {
@@ -81,7 +82,7 @@
 }
 
 func (l *loader[T]) hasSection(name string) bool {
-	for _, f := range l.known {
+	for _, f := range l.fieldsByName {
 		if f.section == name {
 			return true
 		}
@@ -90,43 +91,43 @@
 }
 
 func (l *loader[T]) key(section string, key *ini.Key, t *T) {
-	f := l.known["["+section+"] "+key.Name()]
+	f := l.fieldsByName["["+section+"] "+key.Name()]
 	if f == nil {
-		l.fail(section, key.Name(), "unknown key")
+		l.addError(section, key.Name(), "unknown key")
 		return
 	}
 	if len(key.ValueWithShadows()) > 1 {
-		l.fail(section, key.Name(), "stands twice")
+		l.addError(section, key.Name(), "stands twice")
 		return
 	}
-	// Value, not String: the latter would expand %(name)s.
+	// Value, unlike String, does not expand %(name)s.
 	v := key.Value()
 	if v == "" {
-		if f.standard != "" {
-			l.fail(section, key.Name(), "empty; leave the key out for its default")
+		if f.defaultValue != "" {
+			l.addError(section, key.Name(), "empty; leave the key out for its default")
 		}
 		return
 	}
-	l.given[f.name()] = true
+	l.isSet[f.qualifiedName()] = true
 	if err := f.set(t, v); err != nil {
-		l.fail(section, key.Name(), "%v", err)
+		l.addError(section, key.Name(), "%v", err)
 	}
 }
 
-// defaults fills t with what the table says.
-func defaults[T any](fields []field[T], t *T) {
+// applyDefaults sets t to the default values of the table.
+func applyDefaults[T any](fields []field[T], t *T) {
 	for _, f := range fields {
-		if f.standard == "" {
+		if f.defaultValue == "" {
 			continue
 		}
-		if err := f.set(t, f.standard); err != nil {
-			panic(fmt.Sprintf("default of %s: %v", f.name(), err)) // the table is constant
+		if err := f.set(t, f.defaultValue); err != nil {
+			panic(fmt.Sprintf("default of %s: %v", f.qualifiedName(), err)) // the table is constant
 		}
 	}
 }
 
-// IsGuard tells whether a file is meant for a guard: it has a section that only
-// guards have. It says nothing about whether the file is valid.
+// IsGuard reports whether a file is meant for a guard: it has a section that only guards
+// have. It does not validate the file.
 func IsGuard(file string) bool {
 	parsed, err := ini.LoadSources(iniOptions, file)
 	return err == nil && (parsed.HasSection("upstream") || parsed.HasSection("entries"))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const goodEntry = `
+const validEntry = `
 [node]
 name = entry-1
 region = lima
@@ -24,7 +24,7 @@
 endpoints = http://127.0.0.1:2379
 `
 
-const goodGuard = `
+const validGuard = `
 [node]
 worker = w-1
 rack = r-1
@@ -39,19 +39,19 @@
 
 func TestDefaults(t *testing.T) {
 	c := qt.New(t)
-	e, err := parseEntry("e.ini", []byte(goodEntry))
+	e, err := parseEntry("e.ini", []byte(validEntry))
 	c.Assert(err, qt.IsNil)
 	c.Assert(e.AdvertiseInner, qt.Equals, "127.0.0.1:7002")
 	c.Assert(e.Limits.HeaderTimeout, qt.Equals, 5*time.Second)
 	c.Assert(e.Store.Endpoints, qt.DeepEquals, []string{"http://127.0.0.1:2379"})
-	g, err := parseGuard("g.ini", []byte(goodGuard))
+	g, err := parseGuard("g.ini", []byte(validGuard))
 	c.Assert(err, qt.IsNil)
 	c.Assert(g.Upstream.Slots, qt.Equals, int64(8))
 	c.Assert(g.Upstream.Connections, qt.Equals, int64(64))
 	c.Assert(g.Log.Format, qt.Equals, "text")
 }
 
-func TestSampleFiles(t *testing.T) {
+func TestExampleFilesLoad(t *testing.T) {
 	for _, member := range []string{"ayni", "leeuwin"} {
 		dir := filepath.Join("..", "..", "examples", member)
 		_, err := LoadEntry(filepath.Join(dir, "entry.ini"))
@@ -61,10 +61,10 @@
 	}
 }
 
-// A settings file has a slip in it. A key that is passed over in silence leaves
-// a default in force that the operator believes to have changed; the process
-// must refuse to start and name file, section and key.
-func TestSlipsAreRefused(t *testing.T) {
+// If an unknown or invalid key were ignored, the process would run with a default although
+// the operator expects a changed value. The process must refuse to start and name the file,
+// section and key.
+func TestInvalidSettingsAreRefused(t *testing.T) {
 	for text, want := range map[string]string{
 		"[limits]\nbody = 1":                           `e.ini: \[limits\] body: unknown key`,
 		"[limit]\nbody_bytes = 1":                      `e.ini: \[limit\] unknown section`,
@@ -85,14 +85,14 @@
 		"[log]\nnonsense":  `e.ini: .*nonsense.*`,
 		"[DEFAULT]\na = 1": `e.ini: \[DEFAULT\] unknown section`,
 	} {
-		_, err := parseEntry("e.ini", []byte(goodEntry+text))
+		_, err := parseEntry("e.ini", []byte(validEntry+text))
 		qt.Check(t, err, qt.ErrorMatches, want, qt.Commentf("%q", text))
 	}
 }
 
-// A file lacks an address or a name. Each that is missing is named at once, so
-// that the operator does not start the process once for each.
-func TestMissingKeysAreNamed(t *testing.T) {
+// All missing keys are reported at once, so that the operator does not need one start for
+// each of them.
+func TestAllMissingKeysAreReported(t *testing.T) {
 	_, err := parseEntry("e.ini", []byte("[node]\nname =\n"))
 	qt.Assert(t, err, qt.ErrorMatches, `e.ini: \[node\] name: missing
 e.ini: \[node\] region: missing
@@ -102,26 +102,25 @@
 e.ini: \[store\] endpoints: missing`)
 }
 
-// An entry listens beyond the machine without TLS. Tokens and bookings would
-// cross the network in the clear and nothing would show it; only a setting
-// that says so in so many words permits it.
-func TestPlaintextBeyondLoopback(t *testing.T) {
+// An entry that listens beyond loopback without TLS would send tokens and bookings over the
+// network unencrypted, without any sign of it. Only an explicit setting permits this.
+func TestPlaintextBeyondLoopbackIsRefused(t *testing.T) {
 	c := qt.New(t)
-	open := strings.Replace(goodEntry, "callers = 127.0.0.1", "callers = 10.0.0.5", 1)
-	_, err := parseEntry("e.ini", []byte(open))
+	exposed := strings.Replace(validEntry, "callers = 127.0.0.1", "callers = 10.0.0.5", 1)
+	_, err := parseEntry("e.ini", []byte(exposed))
 	c.Assert(err, qt.ErrorMatches, `e.ini: \[listen\] callers: 10.0.0.5:7001 is beyond loopback: .*`)
-	_, err = parseEntry("e.ini", []byte(open+"[tls]\nallow_plaintext_beyond_loopback = true\n"))
+	_, err = parseEntry("e.ini", []byte(exposed+"[tls]\nallow_plaintext_beyond_loopback = true\n"))
 	c.Assert(err, qt.IsNil)
-	_, err = parseEntry("e.ini", []byte(open+"[tls]\ncert = c.pem\nkey = k.pem\nclient_ca = ca.pem\n"))
+	_, err = parseEntry("e.ini", []byte(exposed+"[tls]\ncert = c.pem\nkey = k.pem\nclient_ca = ca.pem\n"))
 	c.Assert(err, qt.IsNil)
-	_, err = parseEntry("e.ini", []byte(strings.Replace(goodEntry, "inner = 127.0.0.1", "inner = 0.0.0.0", 1)+
+	_, err = parseEntry("e.ini", []byte(strings.Replace(validEntry, "inner = 127.0.0.1", "inner = 0.0.0.0", 1)+
 		"[tls]\ncert = c.pem\nkey = k.pem\nclient_ca = ca.pem\n"))
 	c.Assert(err, qt.ErrorMatches, `e.ini: \[listen\] advertise_inner: 0.0.0.0 is no address that others can reach`)
-	_, err = parseGuard("g.ini", []byte(strings.Replace(goodGuard, "127.0.0.1:7002", "10.0.0.5:7002", 1)))
+	_, err = parseGuard("g.ini", []byte(strings.Replace(validGuard, "127.0.0.1:7002", "10.0.0.5:7002", 1)))
 	c.Assert(err, qt.ErrorMatches, `g.ini: \[entries\] addresses: 10.0.0.5:7002 is beyond loopback: .*`)
 }
 
-func TestMissingFileIsNamed(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	_, err := LoadEntry(filepath.Join(t.TempDir(), "none.ini"))
 	qt.Assert(t, err, qt.ErrorMatches, `.*none.ini: .*no such file.*`)
 }
@@ -138,12 +137,12 @@
 	c.Assert(key, qt.Equals, "0123456789abcdef")
 }
 
-// The certificate's file is missing at start. The process must say so; without
-// TLS it would serve in the clear.
-func TestMissingCertificate(t *testing.T) {
+// If the certificate file is missing at start, the process must report it; without TLS it
+// would serve unencrypted.
+func TestMissingCertificateIsReported(t *testing.T) {
 	c := qt.New(t)
-	none := &TLS{}
-	conf, err := none.Server(true)
+	disabled := &TLS{}
+	conf, err := disabled.Server(true)
 	c.Assert(err, qt.IsNil)
 	c.Assert(conf, qt.Equals, (*tls.Config)(nil))
 	_, err = (&TLS{Cert: "no.pem", Key: "no.key"}).Server(true)
@@ -152,9 +151,9 @@
 	c.Assert(err, qt.ErrorMatches, `\[tls\] cert, key: .*`)
 }
 
-var update = flags.Bool("update", false, "write the pages that are generated")
+var update = flags.Bool("update", false, "write the generated pages")
 
-func TestReferenceIsCommitted(t *testing.T) {
+func TestReferencePageIsUpToDate(t *testing.T) {
 	file := filepath.Join("..", "..", "docs", "settings.md")
 	if *update {
 		qt.Assert(t, os.WriteFile(file, []byte(Reference()), 0o644), qt.IsNil)
@@ -164,10 +163,10 @@
 	qt.Assert(t, string(page), qt.Equals, Reference())
 }
 
-// A settings file can hold any bytes after a faulty copy. The process must say
-// what is wrong and not crash, and whatever it accepts must be in range.
+// A corrupted settings file can contain arbitrary bytes. The process must report the
+// problem and not crash, and every value that it accepts must be in range.
 func FuzzEntry(f *testing.F) {
-	f.Add([]byte(goodEntry))
+	f.Add([]byte(validEntry))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e, err := parseEntry("e.ini", b)
 		if err != nil {
@@ -177,14 +176,14 @@
 			t.Fatalf("accepted: %+v", e)
 		}
 		if !e.TLS.Enabled() && !e.TLS.AllowPlaintextBeyondLoopback && !isLoopback(e.Callers) {
-			t.Fatalf("accepted in the clear: %+v", e)
+			t.Fatalf("accepted plaintext beyond loopback: %+v", e)
 		}
 	})
 }
 
-// As for the entry's file.
+// FuzzGuard is FuzzEntry for the settings file of a guard.
 func FuzzGuard(f *testing.F) {
-	f.Add([]byte(goodGuard))
+	f.Add([]byte(validGuard))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		g, err := parseGuard("g.ini", b)
 		if err == nil && (g.Worker == "" || len(g.Entries) == 0 || g.Upstream.Slots < 1 || checkURL(g.Upstream.URL) != nil) {
--- a/internal/settings/tls_test.go
+++ b/internal/settings/tls_test.go
@@ -19,9 +19,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// writePair writes a certificate for loopback that vouches for itself, as three
-// settings of one process.
-func writePair(c *qt.C, dir, name string) *TLS {
+// writeCertificate writes a self-signed certificate for loopback and returns the TLS
+// settings that use it.
+func writeCertificate(c *qt.C, dir, name string) *TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	c.Assert(err, qt.IsNil)
 	template := &x509.Certificate{
@@ -40,11 +40,11 @@
 	return t
 }
 
-// A process with a certificate of some other authority, or with none, opens a
-// link. It must not get in: it could start tasks in a member's name.
-func TestOnlyTheFleetsCertificatesOpenLinks(t *testing.T) {
+// A process without a certificate, or with one of another authority, must not be able to
+// open a link: it could start tasks in a member's name.
+func TestOnlyFleetCertificatesAreAccepted(t *testing.T) {
 	c, dir := qt.New(t), t.TempDir()
-	fleet, stranger := writePair(c, dir, "fleet"), writePair(c, dir, "stranger")
+	fleet, otherAuthority := writeCertificate(c, dir, "fleet"), writeCertificate(c, dir, "stranger")
 	server := httptest.NewUnstartedServer(http.NotFoundHandler())
 	var err error
 	server.TLS, err = fleet.Server(true)
@@ -63,12 +63,12 @@
 	conf, err := fleet.Client()
 	c.Assert(err, qt.IsNil)
 	c.Assert(get(conf), qt.IsNil)
-	without := conf.Clone()
-	without.Certificates = nil
-	c.Assert(get(without), qt.IsNotNil)
-	strange, err := stranger.Client()
+	noCertificate := conf.Clone()
+	noCertificate.Certificates = nil
+	c.Assert(get(noCertificate), qt.IsNotNil)
+	otherClient, err := otherAuthority.Client()
 	c.Assert(err, qt.IsNil)
-	c.Assert(get(strange), qt.IsNotNil) // does not know the server
-	strange.RootCAs = conf.RootCAs
-	c.Assert(get(strange), qt.IsNotNil) // is not known to it
+	c.Assert(get(otherClient), qt.IsNotNil) // it does not trust the server
+	otherClient.RootCAs = conf.RootCAs
+	c.Assert(get(otherClient), qt.IsNotNil) // the server does not trust it
 }
