--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -69,7 +69,7 @@
 // String returns the name used in responses.
 func (r Ran) String() string { return [...]string{"unknown", "no", "yes"}[r] }
 
-// Advice tells a caller how to proceed after an error.
+// Advice states how a caller can proceed after an error.
 type Advice uint8
 
 // Values of Advice.
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -156,7 +156,7 @@
 	Healthy  bool   `cbor:"6,keyasint,omitempty"`
 }
 
-// Reserve tells a guard how many tasks at the entry wait for a slot. It replaces the
+// Reserve reports to a guard how many tasks at the entry wait for a slot. It replaces the
 // entry's previous Reserve; zero withdraws it.
 type Reserve struct {
 	Want int `cbor:"1,keyasint"`
@@ -170,7 +170,7 @@
 	Load   Load   `cbor:"3,keyasint"`
 }
 
-// Fence tells a guard to ignore the entry Gone permanently. The guard responds with all
+// Fence instructs a guard to ignore the entry Gone permanently. The guard responds with all
 // tasks that it ever started for that entry.
 type Fence struct {
 	Gone identity.Incarnation `cbor:"1,keyasint"`
@@ -208,7 +208,7 @@
 	Of      int      `cbor:"4,keyasint,omitempty"` // number of tasks in the job; 0 if the job is unknown
 }
 
-// Witness tells a peer at which guards the sender starts tasks, so that the peer can
+// Witness reports to a peer at which guards the sender starts tasks, so that the peer can
 // determine after a failure of the sender which guards have to be queried. The sender uses
 // a new guard only once its witnesses have acknowledged it. See package recovery.
 type Witness struct {
--- a/internal/wire/runs.go
+++ b/internal/wire/runs.go
@@ -79,8 +79,8 @@
 	SelfLimiting bool `cbor:"12,keyasint,omitempty"`
 }
 
-// RunDemand tells a guard which resources the waiting tasks of an entry need. The zero
-// value means that no task waits.
+// RunDemand describes the resources that the waiting tasks of an entry need. The zero value
+// means that no task waits.
 type RunDemand struct {
 	CPU      int64 `cbor:"1,keyasint,omitempty"` // total, in thousandths of a core
 	LeastCPU int64 `cbor:"2,keyasint,omitempty"` // of the smallest task
@@ -178,8 +178,8 @@
 // Same reports whether both list the same domains, regardless of the revision.
 func (d *Drains) Same(o *Drains) bool { return slices.Equal(d.Domains, o.Domains) }
 
-// WorkerCrash tells an entry which tasks of other entries were on a worker when it crashed,
-// since their jobs may be submitted to this entry next.
+// WorkerCrash reports to an entry which tasks of other entries were on a worker when it
+// crashed, since their jobs may be submitted to this entry next.
 type WorkerCrash struct {
 	Tasks []TaskName `cbor:"1,keyasint"`
 	// Suspects lists the tasks that may have been on the worker.
