--- a/internal/wire/runs.go
+++ b/internal/wire/runs.go
@@ -89,7 +89,7 @@
 	UrgentCPU int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// RunTask is one task. Run counts its starts, from 1.
+// RunTask is one task to start. Run numbers the starts of the task, from 1.
 type RunTask struct {
 	Step  int        `cbor:"1,keyasint"`
 	Index int        `cbor:"2,keyasint"`
