--- a/internal/store/answer.go
+++ b/internal/store/answer.go
@@ -12,57 +12,61 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// errNoRevision means that an answer lacks what every answer of etcd has.
-var errNoRevision = errors.New("no revision in it")
+// errMissingRevision means that a response lacks the revision that every
+// response of etcd carries.
+var errMissingRevision = errors.New("no revision in it")
 
-// decodeAnswer reads an answer. One without a revision does not come from the
-// service but from something in between; an empty object would otherwise read
-// as a conflict, or as a store without records.
-func decodeAnswer(body io.Reader, resp answer) error {
-	if err := json.NewDecoder(io.LimitReader(body, maxAnswer)).Decode(resp); err != nil {
+// decodeResponse decodes the body of a successful call. A response without a
+// revision comes from something between client and service, such as a proxy.
+// Without this check an empty object would read as a conflict or as a store
+// without records.
+func decodeResponse(body io.Reader, resp response) error {
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseSize)).Decode(resp); err != nil {
 		return err
 	}
 	if resp.StoreRevision() <= 0 {
-		return errNoRevision
+		return errMissingRevision
 	}
 	return nil
 }
 
-// answer is the answer to one call.
-type answer interface{ StoreRevision() int64 }
+// response is the decoded response to one call.
+type response interface{ StoreRevision() int64 }
 
-// sendError sorts a failure of the transport: without a connection nothing was
-// sent.
-func sendError(err error) error {
+// classifySendError returns the sentinel error for a transport failure:
+// ErrNotSent if no connection could be made, else ErrUnavailable.
+func classifySendError(err error) error {
 	if op, ok := errors.AsType[*net.OpError](err); ok && op.Op == "dial" {
 		return ErrNotSent
 	}
 	return ErrUnavailable
 }
 
-func readError(resp *http.Response) error {
+// responseError converts a response with a status other than 200 into an error.
+func responseError(resp *http.Response) error {
 	var body etcdjson.Error
-	// An error page of a proxy is no JSON; the status then decides alone.
-	_ = json.NewDecoder(io.LimitReader(resp.Body, maxErrorBody)).Decode(&body)
-	return errorOf(resp.StatusCode, body)
+	// An error page of a proxy is not JSON; then the status alone decides.
+	_ = json.NewDecoder(io.LimitReader(resp.Body, maxErrorBodySize)).Decode(&body)
+	return gatewayError(resp.StatusCode, body)
 }
 
-// definite holds the statuses that are given before a call is carried out.
-var definite = map[int]bool{
+// rejectedStatuses holds the statuses that the gateway returns before it
+// executes a call.
+var rejectedStatuses = map[int]bool{
 	http.StatusBadRequest: true, http.StatusUnauthorized: true, http.StatusForbidden: true,
 	http.StatusNotFound: true, http.StatusRequestEntityTooLarge: true,
 }
 
-// errorOf sorts an error of the gateway. Only an answer that rules out that
-// the call took effect may be anything but ErrUnavailable.
-func errorOf(status int, body etcdjson.Error) error {
+// gatewayError converts an error of the gateway. It returns an error other than
+// ErrUnavailable only if the response proves that the call had no effect.
+func gatewayError(status int, body etcdjson.Error) error {
 	kind := ErrUnavailable
 	switch {
 	case body.Code == etcdjson.CodeNotFound && strings.Contains(body.Message, "lease"):
 		kind = ErrLeaseGone
 	case body.Code == etcdjson.CodeOutOfRange && strings.Contains(body.Message, "compacted"):
 		kind = ErrCompacted
-	case body.Code == etcdjson.CodeInvalidArgument, definite[status]:
+	case body.Code == etcdjson.CodeInvalidArgument, rejectedStatuses[status]:
 		kind = ErrRefused
 	}
 	return fmt.Errorf("%w: status %d, code %d: %s", kind, status, body.Code, body.Message)
--- a/internal/store/etcd.go
+++ b/internal/store/etcd.go
@@ -20,48 +20,53 @@
 
 // Defaults and limits of the client.
 const (
-	DefaultTimeout = 2 * time.Second
-	maxAnswer      = 64 << 20 // bytes of an answer that is not a watch
-	maxErrorBody   = 4 << 10  // bytes of an error's body that are read
-	idleConns      = 4        // kept connections an endpoint
-	latencySamples = 256      // kept of each method's latency
+	DefaultTimeout          = 2 * time.Second
+	maxResponseSize         = 64 << 20 // bytes read of a response other than a watch stream
+	maxErrorBodySize        = 4 << 10  // bytes read of an error response
+	maxIdleConnsPerEndpoint = 4        // idle connections kept for each endpoint
+	latencySampleSize       = 256      // latencies kept for each method
 )
 
-// A connection that died without a word (a switch lost, a VM replaced) is
-// noticed by these probes after about six seconds. Without them a watch on it
-// would wait for hours and the entry would obey an old configuration.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
+// tcpKeepAlive detects a connection that broke without a FIN or RST (a failed
+// switch, a replaced VM) after about six seconds. Without these probes a watch
+// on such a connection would wait for hours while the entry used an outdated
+// configuration.
+var tcpKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: time.Second, Count: 3}
 
-// Options of an Etcd client.
+// Options configures an Etcd client.
 type Options struct {
 	// Endpoints are base URLs such as "http://10.0.0.5:2379".
 	Endpoints []string
-	// Timeout bounds each attempt of a call but Watch; 0 is DefaultTimeout.
+	// Timeout bounds each attempt of every call except Watch; 0 means
+	// DefaultTimeout.
 	Timeout time.Duration
-	// CallsPerSecond bounds the calls of this process; 0 is no bound. A call
-	// over it waits, so that a fault of ours cannot use up the service's rate.
+	// CallsPerSecond limits the call rate of this process; 0 means no limit.
+	// Calls above the limit wait, so that a bug in this process cannot use up
+	// the service's rate limit.
 	CallsPerSecond float64
-	// Registry takes the counters; nil is a registry of the client's own.
+	// Registry receives the counters; nil means a registry private to the
+	// client.
 	Registry metrics.Registry
-	// Transport replaces the network, for a store in the same process.
+	// Transport replaces the network transport, for a store in the same
+	// process.
 	Transport http.RoundTripper
 }
 
-// Etcd is a Store over the JSON gateway of etcd v3.
+// Etcd is a Store that uses the JSON gateway of etcd v3.
 type Etcd struct {
-	endpoints []string
-	timeout   time.Duration
-	client    *http.Client
-	limit     *rate.Limiter
-	registry  metrics.Registry
-	preferred atomic.Uint32 // index of the endpoint that answered last
+	endpoints         []string
+	timeout           time.Duration
+	client            *http.Client
+	limiter           *rate.Limiter
+	registry          metrics.Registry
+	preferredEndpoint atomic.Uint32 // index of the endpoint that the next call tries first
 }
 
 var _ Store = (*Etcd)(nil)
 
-// NewEtcd makes a client. It opens no connection until the first call.
+// NewEtcd returns a client. It opens no connection before the first call.
 func NewEtcd(o Options) *Etcd {
-	e := &Etcd{timeout: o.Timeout, registry: o.Registry, limit: rate.NewLimiter(rate.Inf, 0)}
+	e := &Etcd{timeout: o.Timeout, registry: o.Registry, limiter: rate.NewLimiter(rate.Inf, 0)}
 	for _, u := range o.Endpoints {
 		e.endpoints = append(e.endpoints, strings.TrimRight(u, "/"))
 	}
@@ -69,7 +74,7 @@
 		e.timeout = DefaultTimeout
 	}
 	if o.CallsPerSecond > 0 {
-		e.limit = rate.NewLimiter(rate.Limit(o.CallsPerSecond), max(1, int(o.CallsPerSecond)))
+		e.limiter = rate.NewLimiter(rate.Limit(o.CallsPerSecond), max(1, int(o.CallsPerSecond)))
 	}
 	if e.registry == nil {
 		e.registry = metrics.NewRegistry()
@@ -83,24 +88,24 @@
 }
 
 func newTransport(timeout time.Duration) *http.Transport {
-	dialer := &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive}
+	dialer := &net.Dialer{Timeout: timeout, KeepAliveConfig: tcpKeepAlive}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
 		TLSHandshakeTimeout: timeout,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerEndpoint,
 		IdleConnTimeout:     time.Minute,
 	}
 }
 
-// refuseRedirect keeps net/http from sending a write again to another address:
-// a 307 or 308 would repeat the POST with its body.
+// refuseRedirect keeps net/http from following redirects: on a 307 or 308 it
+// would send the POST again, with its body, to another address.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Range reads all keys with the prefix.
+// Range implements Store.
 func (e *Etcd) Range(ctx context.Context, prefix string) ([]KV, int64, error) {
 	req := etcdjson.RangeRequest{Key: []byte(prefix), RangeEnd: etcdjson.PrefixEnd(prefix)}
 	var resp etcdjson.RangeResponse
-	if err := e.read(ctx, "range", etcdjson.PathRange, req, &resp); err != nil {
+	if err := e.callIdempotent(ctx, "range", etcdjson.PathRange, req, &resp); err != nil {
 		return nil, 0, err
 	}
 	kvs := make([]KV, 0, len(resp.KVs))
@@ -110,14 +115,15 @@
 	return kvs, resp.Header.Revision, nil
 }
 
-// Latest tells whether a prefix changed, at the cost of one small call.
+// Latest returns a summary of a prefix. It costs one call with a small
+// response, so that callers can check cheaply whether the prefix changed.
 func (e *Etcd) Latest(ctx context.Context, prefix string) (Latest, error) {
 	req := etcdjson.RangeRequest{
 		Key: []byte(prefix), RangeEnd: etcdjson.PrefixEnd(prefix), Limit: 1, KeysOnly: true,
 		SortTarget: etcdjson.TargetMod, SortOrder: etcdjson.SortDescend,
 	}
 	var resp etcdjson.RangeResponse
-	if err := e.read(ctx, "latest", etcdjson.PathRange, req, &resp); err != nil {
+	if err := e.callIdempotent(ctx, "latest", etcdjson.PathRange, req, &resp); err != nil {
 		return Latest{}, err
 	}
 	l := Latest{Count: resp.Count, Revision: resp.Header.Revision}
@@ -127,37 +133,39 @@
 	return l, nil
 }
 
-// Put writes key by compare-and-swap.
-func (e *Etcd) Put(ctx context.Context, key string, value []byte, expect int64, lease LeaseID) (int64, error) {
+// Put implements Store.
+func (e *Etcd) Put(ctx context.Context, key string, value []byte, expectedRevision int64, lease LeaseID) (int64, error) {
 	put := etcdjson.PutRequest{Key: []byte(key), Value: value, Lease: int64(lease)}
-	return e.swap(ctx, "put", key, expect, etcdjson.RequestOp{Put: &put})
+	return e.compareAndSwap(ctx, "put", key, expectedRevision, etcdjson.RequestOp{Put: &put})
 }
 
-// Delete removes key by compare-and-swap.
-func (e *Etcd) Delete(ctx context.Context, key string, expect int64) (int64, error) {
+// Delete implements Store.
+func (e *Etcd) Delete(ctx context.Context, key string, expectedRevision int64) (int64, error) {
 	del := etcdjson.DeleteRequest{Key: []byte(key)}
-	return e.swap(ctx, "delete", key, expect, etcdjson.RequestOp{Delete: &del})
+	return e.compareAndSwap(ctx, "delete", key, expectedRevision, etcdjson.RequestOp{Delete: &del})
 }
 
-func (e *Etcd) swap(ctx context.Context, method, key string, expect int64, op etcdjson.RequestOp) (int64, error) {
+// compareAndSwap executes op if the key's ModRevision equals expectedRevision.
+// Otherwise it returns a ConflictError.
+func (e *Etcd) compareAndSwap(ctx context.Context, method, key string, expectedRevision int64, op etcdjson.RequestOp) (int64, error) {
 	req := etcdjson.TxnRequest{
 		Compare: []etcdjson.Compare{{
-			Key: []byte(key), Target: etcdjson.TargetMod, Result: etcdjson.CompareEqual, ModRevision: expect,
+			Key: []byte(key), Target: etcdjson.TargetMod, Result: etcdjson.CompareEqual, ModRevision: expectedRevision,
 		}},
 		Success: []etcdjson.RequestOp{op},
 		Failure: []etcdjson.RequestOp{{Range: &etcdjson.RangeRequest{Key: []byte(key)}}},
 	}
 	var resp etcdjson.TxnResponse
-	if err := e.write(ctx, method, etcdjson.PathTxn, req, &resp); err != nil {
+	if err := e.callNonIdempotent(ctx, method, etcdjson.PathTxn, req, &resp); err != nil {
 		return 0, err
 	}
 	if !resp.Succeeded {
-		return 0, fmt.Errorf("store %s: %w", method, conflict(key, resp.Responses))
+		return 0, fmt.Errorf("store %s: %w", method, newConflictError(key, resp.Responses))
 	}
 	return resp.Header.Revision, nil
 }
 
-func conflict(key string, responses []etcdjson.ResponseOp) *ConflictError {
+func newConflictError(key string, responses []etcdjson.ResponseOp) *ConflictError {
 	c := &ConflictError{Current: KV{Key: key}}
 	for _, r := range responses {
 		if r.Range != nil && len(r.Range.KVs) > 0 {
@@ -167,21 +175,22 @@
 	return c
 }
 
-// Grant makes a lease. The service counts in whole seconds; ttl is rounded up.
+// Grant implements Store. The service counts in whole seconds; ttl is rounded
+// up.
 func (e *Etcd) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var resp etcdjson.LeaseResponse
-	if err := e.write(ctx, "grant", etcdjson.PathGrant, etcdjson.GrantRequest{TTL: seconds}, &resp); err != nil {
+	if err := e.callNonIdempotent(ctx, "grant", etcdjson.PathGrant, etcdjson.GrantRequest{TTL: seconds}, &resp); err != nil {
 		return 0, err
 	}
 	return LeaseID(resp.ID), nil
 }
 
-// KeepAlive renews a lease. Renewing twice does no harm, so that it may be
-// tried on another endpoint.
+// KeepAlive implements Store. Renewing a lease is idempotent, so the call may
+// be retried on another endpoint.
 func (e *Etcd) KeepAlive(ctx context.Context, id LeaseID) error {
 	var msg etcdjson.KeepAliveMessage
-	err := e.read(ctx, "keepalive", etcdjson.PathKeepAlive, etcdjson.LeaseRequest{ID: int64(id)}, &msg)
+	err := e.callIdempotent(ctx, "keepalive", etcdjson.PathKeepAlive, etcdjson.LeaseRequest{ID: int64(id)}, &msg)
 	if err != nil {
 		return err
 	}
@@ -191,53 +200,55 @@
 	return nil
 }
 
-// Revoke ends a lease.
+// Revoke implements Store.
 func (e *Etcd) Revoke(ctx context.Context, id LeaseID) error {
 	var resp etcdjson.LeaseResponse
-	return e.write(ctx, "revoke", etcdjson.PathRevoke, etcdjson.LeaseRequest{ID: int64(id)}, &resp)
+	return e.callNonIdempotent(ctx, "revoke", etcdjson.PathRevoke, etcdjson.LeaseRequest{ID: int64(id)}, &resp)
 }
 
 func toKV(kv etcdjson.KeyValue) KV {
 	return KV{Key: string(kv.Key), Value: kv.Value, ModRevision: kv.ModRevision}
 }
 
-// read does an idempotent call, on each endpoint in turn until one answers.
-func (e *Etcd) read(ctx context.Context, method, path string, req any, resp answer) error {
-	return e.try(ctx, method, path, req, resp, func(err error) bool { return errors.Is(err, ErrUnavailable) })
+// callIdempotent sends an idempotent call to each endpoint in turn until one
+// answers.
+func (e *Etcd) callIdempotent(ctx context.Context, method, path string, req any, resp response) error {
+	return e.call(ctx, method, path, req, resp, func(err error) bool { return errors.Is(err, ErrUnavailable) })
 }
 
-// write does a call that must not be repeated. Another endpoint is tried only
-// when no connection could be made, that is, when nothing was sent.
-func (e *Etcd) write(ctx context.Context, method, path string, req any, resp answer) error {
-	return e.try(ctx, method, path, req, resp, neverSent)
+// callNonIdempotent sends a call that must not be repeated. It tries another
+// endpoint only if no connection could be made, so that nothing was sent.
+func (e *Etcd) callNonIdempotent(ctx context.Context, method, path string, req any, resp response) error {
+	return e.call(ctx, method, path, req, resp, isNotSent)
 }
 
-// NextEndpoint makes later calls start at another endpoint, for a caller that
-// finds this one's answers wanting.
+// NextEndpoint makes later calls start at another endpoint. Callers use it when
+// the responses of the current endpoint are stale or invalid.
 func (e *Etcd) NextEndpoint() {
 	if n := uint32(len(e.endpoints)); n > 0 {
-		e.preferred.Store((e.preferred.Load() + 1) % n)
+		e.preferredEndpoint.Store((e.preferredEndpoint.Load() + 1) % n)
 	}
 }
 
-// neverSent tells whether err proves that the service saw nothing of the call.
-func neverSent(err error) bool { return errors.Is(err, ErrNotSent) }
+// isNotSent reports whether err proves that the call never reached the service.
+func isNotSent(err error) bool { return errors.Is(err, ErrNotSent) }
 
-func (e *Etcd) try(ctx context.Context, method, path string, req any, resp answer, again func(error) bool) error {
+func (e *Etcd) call(ctx context.Context, method, path string, req any, resp response, shouldRetry func(error) bool) error {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return fmt.Errorf("store %s: %w", method, err)
 	}
-	err = ErrNotSent // for a client without endpoints
-	first := int(e.preferred.Load())
+	err = ErrNotSent // result for a client without endpoints
+	first := int(e.preferredEndpoint.Load())
 	for i := range e.endpoints {
-		at := (first + i) % len(e.endpoints)
-		err = e.once(ctx, method, e.endpoints[at]+path, body, resp)
+		index := (first + i) % len(e.endpoints)
+		err = e.attempt(ctx, method, e.endpoints[index]+path, body, resp)
 		if errors.Is(err, ErrUnavailable) {
-			// The next call starts elsewhere, or each would wait for this one first.
-			e.preferred.Store(uint32((at + 1) % len(e.endpoints)))
+			// Later calls start at the next endpoint. Otherwise each of them
+			// would first wait for the failed one.
+			e.preferredEndpoint.Store(uint32((index + 1) % len(e.endpoints)))
 		}
-		if err == nil || !again(err) || ctx.Err() != nil {
+		if err == nil || !shouldRetry(err) || ctx.Err() != nil {
 			break
 		}
 	}
@@ -247,61 +258,63 @@
 	return nil
 }
 
-// once does one attempt: one call in the service's accounts.
-func (e *Etcd) once(ctx context.Context, method, url string, body []byte, resp answer) error {
+// attempt sends the call once. It counts as one call against the service's rate
+// limit.
+func (e *Etcd) attempt(ctx context.Context, method, url string, body []byte, resp response) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
 	start := time.Now()
-	r, err := e.post(ctx, method, url, body)
+	httpResp, err := e.post(ctx, method, url, body)
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
-	if err := decodeAnswer(r.Body, resp); err != nil {
-		e.count(method, "failed")
+	defer httpResp.Body.Close()
+	if err := decodeResponse(httpResp.Body, resp); err != nil {
+		e.incCounter(method, "failed")
 		return fmt.Errorf("%w: answer: %w", ErrUnavailable, err)
 	}
-	e.noteLatency(method, time.Since(start))
+	e.recordLatency(method, time.Since(start))
 	return nil
 }
 
-// noteLatency uses a histogram, as a Timer or Meter of go-metrics starts a
-// goroutine that never ends.
-func (e *Etcd) noteLatency(method string, d time.Duration) {
+// recordLatency uses a histogram because a Timer or Meter of go-metrics starts
+// a goroutine that never ends.
+func (e *Etcd) recordLatency(method string, d time.Duration) {
 	h := e.registry.GetOrRegister("store.latency_us."+method, func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewUniformSample(latencySamples))
+		return metrics.NewHistogram(metrics.NewUniformSample(latencySampleSize))
 	})
 	h.(metrics.Histogram).Update(d.Microseconds())
 }
 
-// post sends one request, and turns an answer other than 200 into an error.
+// post sends one request and converts a response with a status other than 200
+// into an error.
 func (e *Etcd) post(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
-	if err := e.limit.Wait(ctx); err != nil {
+	if err := e.limiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: rate of calls: %w", ErrNotSent, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	// The transport repeats a request by itself when it can rewind the body and
-	// takes the request for replayable. A repeated write would meet its own
-	// first copy and be reported as lost against another operator.
+	// The transport resends a request on its own if it can rewind the body and
+	// considers the request replayable. A resent write would conflict with its
+	// own first copy and be reported as a conflict with another operator.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
-	e.count(method, "calls")
+	e.incCounter(method, "calls")
 	resp, err := e.client.Do(req)
 	if err != nil {
-		e.count(method, "failed")
-		return nil, fmt.Errorf("%w: %w", sendError(err), err)
+		e.incCounter(method, "failed")
+		return nil, fmt.Errorf("%w: %w", classifySendError(err), err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		e.count(method, "refused")
-		return nil, readError(resp)
+		e.incCounter(method, "refused")
+		return nil, responseError(resp)
 	}
 	return resp, nil
 }
 
-func (e *Etcd) count(method, what string) {
-	metrics.GetOrRegisterCounter("store."+what+"."+method, e.registry).Inc(1)
+func (e *Etcd) incCounter(method, event string) {
+	metrics.GetOrRegisterCounter("store."+event+"."+method, e.registry).Inc(1)
 }
--- a/internal/store/etcd_test.go
+++ b/internal/store/etcd_test.go
@@ -20,8 +20,9 @@
 	"wigeontray/internal/store/standin"
 )
 
-// embedded gives a client of a stand-in in the same process.
-func embedded(t *testing.T) (*store.Etcd, *standin.Server) {
+// newEmbedded returns a client of an in-process stand-in server, and the
+// server.
+func newEmbedded(t *testing.T) (*store.Etcd, *standin.Server) {
 	server := standin.New()
 	t.Cleanup(server.Close)
 	return store.NewEtcd(store.Options{
@@ -31,7 +32,7 @@
 
 func TestCompareAndSwap(t *testing.T) {
 	c, ctx := qt.New(t), t.Context()
-	e, _ := embedded(t)
+	e, _ := newEmbedded(t)
 	first, err := e.Put(ctx, "/a/1", []byte("x\x00\xff"), 0, 0)
 	c.Assert(err, qt.IsNil)
 	second, err := e.Put(ctx, "/a/2", []byte("y"), 0, 0)
@@ -55,10 +56,10 @@
 	c.Assert(latest, qt.Equals, store.Latest{ModRevision: second, Count: 1, Revision: second + 1})
 }
 
-func TestWatchDeliversHistoryAndNews(t *testing.T) {
+func TestWatchDeliversPastAndNewEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, ctx := qt.New(t), t.Context()
-		e, _ := embedded(t)
+		e, _ := newEmbedded(t)
 		first, _ := e.Put(ctx, "/a/1", []byte("x"), 0, 0)
 		ctx, cancel := context.WithCancel(ctx)
 		out, ended := make(chan store.Batch), make(chan error, 1)
@@ -76,12 +77,12 @@
 	})
 }
 
-// The store compacts its history while an entry is cut off from it. If the
-// watch went on as if nothing were missing, the entry would never see the
-// changes in between and obey an old configuration for good.
-func TestWatchOfCompactedRevisionSaysSo(t *testing.T) {
+// The store compacts its history while an entry is disconnected. A watch that
+// resumed as if no event were missing would leave the entry with an outdated
+// configuration permanently, so it must fail.
+func TestWatchOfCompactedRevisionFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, server := embedded(t)
+		e, server := newEmbedded(t)
 		first, _ := e.Put(t.Context(), "/a", nil, 0, 0)
 		_, _ = e.Put(t.Context(), "/a", nil, first, 0)
 		server.Compact()
@@ -90,13 +91,13 @@
 	})
 }
 
-// The holder of a lease is paused for longer than the lease lives, and then
-// goes on as if nothing had happened. It must be told that the lease and its
-// keys are gone, or it would count itself present while others do not.
-func TestLeaseLapsesWhileItsHolderIsPaused(t *testing.T) {
+// The holder of a lease is paused for longer than the lease's TTL and then
+// resumes. Renewing the lease must fail, or the holder would count itself as
+// registered while other processes see its keys deleted.
+func TestLeaseExpiresWhileItsHolderIsPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, ctx := qt.New(t), t.Context()
-		e, _ := embedded(t)
+		e, _ := newEmbedded(t)
 		id, err := e.Grant(ctx, 3*time.Second)
 		c.Assert(err, qt.IsNil)
 		_, err = e.Put(ctx, "/entries/a", []byte("x"), 0, id)
@@ -116,12 +117,12 @@
 	})
 }
 
-// The store hangs. A call without a time limit of its own would hang with it,
-// and whoever waits for the call as well.
+// The store hangs. Without its own timeout the call would hang too, and so
+// would its caller.
 func TestSlowStoreTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e, server := embedded(t)
+		e, server := newEmbedded(t)
 		server.SetDelay(time.Hour)
 		start := time.Now()
 		_, err := e.Put(t.Context(), "/a", nil, 0, 0)
@@ -131,11 +132,11 @@
 	})
 }
 
-// A write took effect and the connection broke before its answer. The client
-// must say that it does not know; "not written" would be false.
-func TestLostAnswerIsUnavailable(t *testing.T) {
+// A write takes effect and the connection breaks before the response arrives.
+// The client must report the outcome as unknown and not as "not written".
+func TestLostResponseIsUnavailable(t *testing.T) {
 	c := qt.New(t)
-	e, server := embedded(t)
+	e, server := newEmbedded(t)
 	server.LoseAnswers(1)
 	_, err := e.Put(t.Context(), "/a", []byte("x"), 0, 0)
 	c.Assert(err, qt.ErrorIs, store.ErrUnavailable)
@@ -144,75 +145,76 @@
 	c.Assert(kvs, qt.HasLen, 1)
 }
 
-// cutter is a listener's handler that answers the first request and cuts every
-// later one after it has been read, as a server does that dies under load.
-func cutter(seen *atomic.Int32) http.HandlerFunc {
+// cutAfterFirst returns a handler that answers the first request. It reads
+// every later one and then closes the connection, as a server does that crashes
+// under load.
+func cutAfterFirst(requests *atomic.Int32) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		if seen.Add(1) > 1 {
+		if requests.Add(1) > 1 {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, `{"header":{"revision":"2"},"succeeded":true}`)
 	}
 }
 
-// net/http repeats some requests by itself when a kept connection breaks. A
-// repeated write meets its own first copy: the operator would be told that
-// somebody else had changed the record, and nobody had.
+// net/http resends some requests on its own if an idle connection turns out to
+// be broken. A resent write conflicts with its own first copy and would be
+// reported as a conflict with another operator.
 func TestWritesAreSentOnce(t *testing.T) {
 	c := qt.New(t)
-	var seen atomic.Int32
-	server := httptest.NewServer(cutter(&seen))
+	var requests atomic.Int32
+	server := httptest.NewServer(cutAfterFirst(&requests))
 	defer server.Close()
 	e := store.NewEtcd(store.Options{Endpoints: []string{server.URL}})
 	_, err := e.Put(t.Context(), "/a", nil, 0, 0)
 	c.Assert(err, qt.IsNil)
 	_, err = e.Put(t.Context(), "/a", nil, 2, 0)
 	c.Assert(err, qt.ErrorIs, store.ErrUnavailable)
-	c.Assert(seen.Load(), qt.Equals, int32(2))
+	c.Assert(requests.Load(), qt.Equals, int32(2))
 }
 
-// A balancer in front of the store redirects. net/http follows a 307 by sending
-// the body again, to an address that nobody has configured.
+// A load balancer in front of the store redirects a write. net/http follows a
+// 307 by sending the body again, to an address that is not configured.
 func TestWritesAreNotRedirected(t *testing.T) {
 	c := qt.New(t)
-	var seen atomic.Int32
-	other := httptest.NewServer(cutter(&seen))
+	var requests atomic.Int32
+	other := httptest.NewServer(cutAfterFirst(&requests))
 	defer other.Close()
 	server := httptest.NewServer(http.RedirectHandler(other.URL, http.StatusTemporaryRedirect))
 	defer server.Close()
 	e := store.NewEtcd(store.Options{Endpoints: []string{server.URL}})
 	_, err := e.Put(t.Context(), "/a", nil, 0, 0)
 	c.Assert(err, qt.ErrorIs, store.ErrUnavailable)
-	c.Assert(seen.Load(), qt.Equals, int32(0))
+	c.Assert(requests.Load(), qt.Equals, int32(0))
 }
 
-// One of the store's endpoints is gone. Reads go to the next one, and so do
-// writes, as long as no connection could be made; a write that may have been
-// received is never sent to a second endpoint.
-func TestSeveralEndpoints(t *testing.T) {
+// One endpoint of the store is down. Reads fail over to the next one, and so do
+// writes if no connection could be made. A write that may have been received is
+// never sent to a second endpoint.
+func TestEndpointFailover(t *testing.T) {
 	c, ctx := qt.New(t), t.Context()
-	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	closed.Close()
-	dead := "http://" + closed.Addr().String()
+	closedListener.Close()
+	deadURL := "http://" + closedListener.Addr().String()
 	live := httptest.NewServer(standin.New())
 	defer live.Close()
 
 	registry := metrics.NewRegistry()
-	e := store.NewEtcd(store.Options{Endpoints: []string{dead, live.URL}, Registry: registry})
+	e := store.NewEtcd(store.Options{Endpoints: []string{deadURL, live.URL}, Registry: registry})
 	_, err = e.Put(ctx, "/a", nil, 0, 0)
 	c.Assert(err, qt.IsNil)
 	_, _, err = e.Range(ctx, "/a")
 	c.Assert(err, qt.IsNil)
-	calls := func(name string) int64 { return metrics.GetOrRegisterCounter(name, registry).Count() }
-	c.Assert(calls("store.calls.put"), qt.Equals, int64(2))
-	c.Assert(calls("store.failed.put"), qt.Equals, int64(1))
-	c.Assert(calls("store.calls.range"), qt.Equals, int64(1)) // the dead one is passed over now
-
-	cutting, second := standin.New(), standin.New()
-	cutting.LoseAnswers(1)
-	a, b := httptest.NewServer(cutting), httptest.NewServer(second)
+	counter := func(name string) int64 { return metrics.GetOrRegisterCounter(name, registry).Count() }
+	c.Assert(counter("store.calls.put"), qt.Equals, int64(2))
+	c.Assert(counter("store.failed.put"), qt.Equals, int64(1))
+	c.Assert(counter("store.calls.range"), qt.Equals, int64(1)) // the unreachable endpoint is now tried last
+
+	dropping, second := standin.New(), standin.New()
+	dropping.LoseAnswers(1)
+	a, b := httptest.NewServer(dropping), httptest.NewServer(second)
 	defer a.Close()
 	defer b.Close()
 	e = store.NewEtcd(store.Options{Endpoints: []string{a.URL, b.URL}})
@@ -221,18 +223,18 @@
 	c.Assert(second.Calls(etcdjson.PathTxn), qt.Equals, 0)
 }
 
-// A value is larger than the store takes. The store says so for certain, and an
-// operator must not be told that the outcome is unknown.
-func TestRefusalIsDefinite(t *testing.T) {
-	e, _ := embedded(t)
+// A value exceeds the store's size limit. The store rejects it, so the error
+// must not report the outcome as unknown.
+func TestTooLargeValueIsRefused(t *testing.T) {
+	e, _ := newEmbedded(t)
 	_, err := e.Put(t.Context(), "/a", make([]byte, 1<<20+1), 0, 0)
 	qt.Assert(t, err, qt.ErrorIs, store.ErrRefused)
 }
 
-// Something between the client and the store answers in its place: a login
-// page, a balancer's own 200, half an answer. An empty object must not read as
-// "no records" or "somebody else won".
-func TestAnswersThatAreNotTheStores(t *testing.T) {
+// Something between client and store responds in its place: a login page, a
+// load balancer's own 200, a truncated response. An empty object must not read
+// as "no records" or as a conflict.
+func TestInvalidResponsesAreUnavailable(t *testing.T) {
 	for _, body := range []string{"", "{}", "null", "<html>", `{"header":{}}`, `{"succeeded":true`, `{"result":{}}`, `{"header":{"revision":"x"}}`} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body) }))
 		e := store.NewEtcd(store.Options{Endpoints: []string{server.URL}})
--- a/internal/store/etcdjson/etcdjson.go
+++ b/internal/store/etcdjson/etcdjson.go
@@ -1,9 +1,9 @@
-// Package etcdjson holds the messages of the etcd v3 API in the JSON form that
-// its gateway publishes, as far as the project uses them. Bytes are base64,
-// 64-bit integers are decimal strings, and a zero value is left out.
+// Package etcdjson defines the messages of the etcd v3 API in the JSON encoding
+// of its gateway, limited to the fields that the project uses. Bytes are
+// base64, 64-bit integers are decimal strings, and zero values are omitted.
 package etcdjson
 
-// Paths of the gateway.
+// URL paths of the gateway.
 const (
 	PathRange     = "/v3/kv/range"
 	PathTxn       = "/v3/kv/txn"
@@ -13,7 +13,7 @@
 	PathRevoke    = "/v3/lease/revoke"
 )
 
-// Codes of gRPC that an Error carries.
+// gRPC status codes in an Error.
 const (
 	CodeInvalidArgument   = 3
 	CodeNotFound          = 5
@@ -22,7 +22,7 @@
 	CodeUnavailable       = 14
 )
 
-// Values of the enumerations that are used.
+// Enumeration values that the project uses.
 const (
 	CompareEqual = "EQUAL"
 	TargetMod    = "MOD"
@@ -30,21 +30,22 @@
 	EventDelete  = "DELETE"
 )
 
-// Header stands in every answer.
+// Header is part of every response.
 type Header struct {
 	Revision int64 `json:"revision,string,omitempty"`
 }
 
-// StoreRevision gives the store's revision when it answered.
+// StoreRevision returns the store's revision at the time of the response.
 func (r *RangeResponse) StoreRevision() int64 { return r.Header.Revision }
 
-// StoreRevision gives the store's revision when it answered.
+// StoreRevision returns the store's revision at the time of the response.
 func (r *TxnResponse) StoreRevision() int64 { return r.Header.Revision }
 
-// StoreRevision gives the store's revision when it answered.
+// StoreRevision returns the store's revision at the time of the response.
 func (r *LeaseResponse) StoreRevision() int64 { return r.Header.Revision }
 
-// StoreRevision gives the store's revision when it answered.
+// StoreRevision returns the store's revision at the time of the response, or 0
+// if the message has no result.
 func (r *KeepAliveMessage) StoreRevision() int64 {
 	if r.Result == nil {
 		return 0
@@ -52,7 +53,7 @@
 	return r.Result.Header.Revision
 }
 
-// KeyValue is one key with its value.
+// KeyValue is a key with its value and metadata.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	Value          []byte `json:"value,omitempty"`
@@ -62,7 +63,8 @@
 	Lease          int64  `json:"lease,string,omitempty"`
 }
 
-// RangeRequest reads [Key, RangeEnd), or Key alone.
+// RangeRequest reads the keys in [Key, RangeEnd), or Key alone if RangeEnd is
+// empty.
 type RangeRequest struct {
 	Key        []byte `json:"key,omitempty"`
 	RangeEnd   []byte `json:"range_end,omitempty"`
@@ -73,7 +75,7 @@
 }
 
 // RangeResponse answers a RangeRequest. Count is the number of keys in the
-// range, whatever Limit was.
+// range, regardless of Limit.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -87,7 +89,7 @@
 	Lease int64  `json:"lease,string,omitempty"`
 }
 
-// DeleteRequest removes a key.
+// DeleteRequest deletes a key.
 type DeleteRequest struct {
 	Key []byte `json:"key,omitempty"`
 }
@@ -100,21 +102,21 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// RequestOp is one operation of a transaction; one field is set.
+// RequestOp is one operation of a transaction. Exactly one field is set.
 type RequestOp struct {
 	Range  *RangeRequest  `json:"request_range,omitempty"`
 	Put    *PutRequest    `json:"request_put,omitempty"`
 	Delete *DeleteRequest `json:"request_delete_range,omitempty"`
 }
 
-// TxnRequest does Success if every Compare holds, else Failure.
+// TxnRequest executes Success if every Compare holds, else Failure.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// ResponseOp answers one RequestOp.
+// ResponseOp is the response to one RequestOp.
 type ResponseOp struct {
 	Range *RangeResponse `json:"response_range,omitempty"`
 }
@@ -131,20 +133,20 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate says what to watch: events of [Key, RangeEnd) from StartRevision.
+// WatchCreate selects the events of [Key, RangeEnd) from StartRevision on.
 type WatchCreate struct {
 	Key           []byte `json:"key,omitempty"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
 	StartRevision int64  `json:"start_revision,string,omitempty"`
 }
 
-// WatchMessage is one line of a watch's stream; one field is set.
+// WatchMessage is one line of a watch stream. Exactly one field is set.
 type WatchMessage struct {
 	Result *WatchResponse `json:"result,omitempty"`
 	Error  *Error         `json:"error,omitempty"`
 }
 
-// WatchResponse carries events, or the end of the watch.
+// WatchResponse carries events or reports the end of the watch.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -154,43 +156,43 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// Event is one change; an empty Type is a put.
+// Event is one change. An empty Type means a put.
 type Event struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
 }
 
-// GrantRequest makes a lease of TTL seconds.
+// GrantRequest creates a lease of TTL seconds.
 type GrantRequest struct {
 	TTL int64 `json:"TTL,string"`
 }
 
-// LeaseRequest names a lease, for keepalive and revoke.
+// LeaseRequest identifies the lease of a keepalive or revoke.
 type LeaseRequest struct {
 	ID int64 `json:"ID,string"`
 }
 
-// LeaseResponse answers a grant, and inside KeepAliveMessage a keepalive. A TTL
-// of 0 means that the lease is gone.
+// LeaseResponse answers a grant or revoke and, inside a KeepAliveMessage, a
+// keepalive. A TTL of 0 in a keepalive means that the lease no longer exists.
 type LeaseResponse struct {
 	Header Header `json:"header"`
 	ID     int64  `json:"ID,string,omitempty"`
 	TTL    int64  `json:"TTL,string,omitempty"`
 }
 
-// KeepAliveMessage is the one line of a keepalive's stream.
+// KeepAliveMessage is the single line of a keepalive stream.
 type KeepAliveMessage struct {
 	Result *LeaseResponse `json:"result,omitempty"`
 	Error  *Error         `json:"error,omitempty"`
 }
 
-// Error is the body of an answer whose HTTP status is not 200.
+// Error is the body of a response whose HTTP status is not 200.
 type Error struct {
 	Code    int    `json:"code,omitempty"`
 	Message string `json:"message,omitempty"`
 }
 
-// PrefixEnd gives the range end that selects all keys with prefix.
+// PrefixEnd returns the range end that selects all keys with prefix.
 func PrefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -199,5 +201,5 @@
 			return end[:i+1]
 		}
 	}
-	return []byte{0} // to the last key
+	return []byte{0} // selects all keys from prefix on
 }
--- a/internal/store/standin/faults.go
+++ b/internal/store/standin/faults.go
@@ -7,42 +7,44 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// Faults are the failures that are switched on now.
-type Faults struct {
-	down      bool
-	delay     time.Duration
-	loseWrite int
-	past      int64
-	stalled   bool
-	late      []time.Duration
+// faultState holds the faults that are currently injected.
+type faultState struct {
+	down          bool
+	delay         time.Duration
+	dropResponses int
+	staleRevision int64
+	stalled       bool
+	writeDelays   []time.Duration
 }
 
-// nextLate takes the time by which the next write comes late.
-func (f *Faults) nextLate(path string) time.Duration {
-	if len(f.late) == 0 || path != etcdjson.PathTxn {
+// takeWriteDelay returns and removes the delay for the next write.
+func (f *faultState) takeWriteDelay(path string) time.Duration {
+	if len(f.writeDelays) == 0 || path != etcdjson.PathTxn {
 		return 0
 	}
-	d := f.late[0]
-	f.late = f.late[1:]
+	d := f.writeDelays[0]
+	f.writeDelays = f.writeDelays[1:]
 	return d
 }
 
-// loses tells whether the answer of a call that is done is to be lost.
-func (f *Faults) loses(path string, wrote bool) bool {
-	if f.loseWrite == 0 || !wrote || path != etcdjson.PathTxn {
+// takeDroppedResponse reports whether the response of a completed call is to be
+// dropped, and counts it.
+func (f *faultState) takeDroppedResponse(path string, wrote bool) bool {
+	if f.dropResponses == 0 || !wrote || path != etcdjson.PathTxn {
 		return false
 	}
-	f.loseWrite--
+	f.dropResponses--
 	return true
 }
 
-// before counts the call and plays the faults that come ahead of it.
-func (s *Server) before(r *http.Request) {
+// beginCall counts the call and applies the faults that act before its
+// execution.
+func (s *Server) beginCall(r *http.Request) {
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
-	delay, late := s.faults.delay, s.faults.nextLate(r.URL.Path)
+	delay, writeDelay := s.faults.delay, s.faults.takeWriteDelay(r.URL.Path)
 	s.mu.Unlock()
-	time.Sleep(late)
+	time.Sleep(writeDelay)
 	if delay > 0 {
 		select {
 		case <-time.After(delay):
@@ -58,85 +60,86 @@
 	}
 }
 
-// SetDown cuts every connection, now and until it is called with false.
+// SetDown sets whether the server is down. While it is, every connection is
+// closed.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.down = down
-	s.wake()
+	s.notifyWatches()
 }
 
-// SetDelay makes each call wait before it is carried out. A call whose client
-// gives up in that time has no effect.
+// SetDelay delays the execution of each call. A call whose client gives up
+// during the delay has no effect.
 func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.delay = d
 }
 
-// LoseAnswers lets the next n writes take effect and cuts the connection in
-// place of their answers.
+// LoseAnswers executes the next n writes and closes the connection instead of
+// sending their responses.
 func (s *Server) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.loseWrite = n
+	s.faults.dropResponses = n
 }
 
-// DelayWrites makes the next writes wait, each for its time, and carries them
-// out whether or not their clients still wait, as a queue in the service does.
-func (s *Server) DelayWrites(late ...time.Duration) {
+// DelayWrites delays the next writes, one delay each. The writes are executed
+// even if their clients have given up, as by a queue in the service.
+func (s *Server) DelayWrites(writeDelays ...time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.late = late
+	s.faults.writeDelays = writeDelays
 }
 
-// AnswerFrom makes reads answer with the content at a past revision, as a
-// replica does that lags behind; 0 ends it.
+// AnswerFrom makes reads return the content at a past revision, as a lagging
+// replica does. 0 ends the fault.
 func (s *Server) AnswerFrom(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.past = revision
+	s.faults.staleRevision = revision
 }
 
-// StallWatches keeps watches open and silent; false lets them go on.
+// StallWatches sets whether watches stay open without sending events.
 func (s *Server) StallWatches(stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.stalled = stalled
-	s.wake()
+	s.notifyWatches()
 }
 
-// DropWatches cuts the watches that are open.
+// DropWatches closes all open watches.
 func (s *Server) DropWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.streams++
-	s.wake()
+	s.streamGeneration++
+	s.notifyWatches()
 }
 
-// Compact forgets the events up to the present revision.
+// Compact removes all events up to the current revision.
 func (s *Server) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.compact(s.state.revision)
-	s.wake()
+	s.notifyWatches()
 }
 
 // ExpireLease ends a lease as if its holder had not renewed it.
 func (s *Server) ExpireLease(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state.endLease(id) {
-		s.wake()
+	if s.state.removeLease(id) {
+		s.notifyWatches()
 	}
 }
 
-// ExpireLeases ends every lease.
+// ExpireLeases ends all leases as ExpireLease does.
 func (s *Server) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.state.leases {
-		s.state.endLease(id)
+		s.state.removeLease(id)
 	}
-	s.wake()
+	s.notifyWatches()
 }
--- a/internal/store/standin/standin.go
+++ b/internal/store/standin/standin.go
@@ -1,9 +1,9 @@
-// Package standin is a small stand-in of the platform's key-value service: the
-// part of etcd v3's JSON gateway that package store uses, in memory, in one
-// process. Tests run against it and set its Faults; the standalone command
-// embeds it. It keeps nothing over a restart.
+// Package standin implements an in-memory replacement for the platform's
+// key-value service: the part of etcd v3's JSON gateway that package store
+// uses. Tests run against it and inject faults with the Server's methods; the
+// standalone command embeds it. It does not persist its content.
 //
-// It may import store/etcdjson and nothing else of the project.
+// It may import store/etcdjson and no other package of the project.
 package standin
 
 import (
@@ -17,84 +17,85 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// Limits of the service that the brief describes.
+// Limits of the platform's key-value service.
 const (
-	maxValue = 1 << 20 // bytes of a value
-	maxBody  = 2 << 20 // bytes of a request, whose values are base64
+	maxValueSize = 1 << 20 // bytes of a value
+	maxBodySize  = 2 << 20 // bytes of a request body, with its values in base64
 )
 
-// Server is the stand-in; it is an http.Handler.
+// Server is the stand-in. It implements http.Handler.
 type Server struct {
-	mu      sync.Mutex
-	state   *state
-	changed chan struct{} // closed and replaced when a watch must look again
-	faults  Faults
-	calls   map[string]int
-	streams int // number that ends the streams opened under a lower one
-	mux     *http.ServeMux
+	mu               sync.Mutex
+	state            *state
+	changed          chan struct{} // closed and replaced when watches must check for new events
+	faults           faultState
+	calls            map[string]int
+	streamGeneration int // watches opened under a lower generation are closed
+	mux              *http.ServeMux
 }
 
-// New makes an empty store at revision 1.
+// New returns an empty store at revision 1.
 func New() *Server {
 	s := &Server{state: newState(), changed: make(chan struct{}), calls: map[string]int{}, mux: http.NewServeMux()}
-	s.mux.HandleFunc(etcdjson.PathRange, handle(s, s.doRange))
-	s.mux.HandleFunc(etcdjson.PathTxn, handle(s, s.doTxn))
-	s.mux.HandleFunc(etcdjson.PathGrant, handle(s, s.doGrant))
-	s.mux.HandleFunc(etcdjson.PathKeepAlive, handle(s, s.doKeepAlive))
-	s.mux.HandleFunc(etcdjson.PathRevoke, handle(s, s.doRevoke))
-	s.mux.HandleFunc(etcdjson.PathWatch, s.watch)
+	s.mux.HandleFunc(etcdjson.PathRange, handle(s, s.handleRange))
+	s.mux.HandleFunc(etcdjson.PathTxn, handle(s, s.handleTxn))
+	s.mux.HandleFunc(etcdjson.PathGrant, handle(s, s.handleGrant))
+	s.mux.HandleFunc(etcdjson.PathKeepAlive, handle(s, s.handleKeepAlive))
+	s.mux.HandleFunc(etcdjson.PathRevoke, handle(s, s.handleRevoke))
+	s.mux.HandleFunc(etcdjson.PathWatch, s.handleWatch)
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		writeError(w, http.StatusNotImplemented, etcdjson.Error{Message: "only POST"})
 		return
 	}
-	r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+	r.Body = http.MaxBytesReader(w, r.Body, maxBodySize)
 	s.mux.ServeHTTP(w, r)
 }
 
-// Calls tells how many calls came in for a path, failed ones included.
+// Calls returns the number of calls received for a path, failed ones included.
 func (s *Server) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Revision gives the store's revision.
+// Revision returns the store's current revision.
 func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.revision
 }
 
-// Close stops the timers of leases and ends the watches.
+// Close stops the lease timers and closes all watches.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.state.leases {
 		l.timer.Stop()
 	}
-	s.streams++
-	s.wake()
+	s.streamGeneration++
+	s.notifyWatches()
 }
 
-// wake makes every watch look again. The caller holds the lock.
-func (s *Server) wake() {
+// notifyWatches makes every watch check for new events. The caller holds s.mu.
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// apiError is what an operation refuses with.
+// apiError is the error response of an operation.
 type apiError struct {
 	status int
 	body   etcdjson.Error
 }
 
-// handle wraps one operation: decode, faults, the operation under the lock,
-// faults, answer.
+// handle returns the handler of one operation. It decodes the request, applies
+// the faults that act before the execution, runs op under the lock, and sends
+// or drops the response.
 func handle[Req any](s *Server, op func(*Req) (any, *apiError)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := new(Req)
@@ -102,49 +103,49 @@
 			writeError(w, http.StatusBadRequest, etcdjson.Error{Code: etcdjson.CodeInvalidArgument, Message: err.Error()})
 			return
 		}
-		s.before(r)
-		resp, refused, lose := s.run(r.URL.Path, func() (any, *apiError) { return op(req) })
-		if lose {
-			// The write took effect; its answer never arrives.
+		s.beginCall(r)
+		resp, opErr, dropResponse := s.runOp(r.URL.Path, func() (any, *apiError) { return op(req) })
+		if dropResponse {
+			// The write took effect, but its response is dropped.
 			panic(http.ErrAbortHandler)
 		}
-		if refused != nil {
-			writeError(w, refused.status, refused.body)
+		if opErr != nil {
+			writeError(w, opErr.status, opErr.body)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(resp) // the client has gone
+		_ = json.NewEncoder(w).Encode(resp) // fails only if the client has disconnected
 	}
 }
 
-func (s *Server) run(path string, op func() (any, *apiError)) (resp any, refused *apiError, lose bool) {
+func (s *Server) runOp(path string, op func() (any, *apiError)) (resp any, opErr *apiError, dropResponse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.state.revision
-	resp, refused = op()
-	wrote := s.state.revision != before
+	oldRevision := s.state.revision
+	resp, opErr = op()
+	wrote := s.state.revision != oldRevision
 	if wrote {
-		s.wake()
+		s.notifyWatches()
 	}
-	return resp, refused, s.faults.loses(path, wrote)
+	return resp, opErr, s.faults.takeDroppedResponse(path, wrote)
 }
 
 func writeError(w http.ResponseWriter, status int, body etcdjson.Error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client has gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
 func (s *Server) header() etcdjson.Header { return etcdjson.Header{Revision: s.state.revision} }
 
-func (s *Server) doRange(req *etcdjson.RangeRequest) (any, *apiError) {
-	if past := s.faults.past; past > 0 {
-		return rangeOf(req, s.state.at(past), past), nil
+func (s *Server) handleRange(req *etcdjson.RangeRequest) (any, *apiError) {
+	if staleRevision := s.faults.staleRevision; staleRevision > 0 {
+		return queryRange(req, s.state.contentAt(staleRevision), staleRevision), nil
 	}
-	return rangeOf(req, s.state.live, s.state.revision), nil
+	return queryRange(req, s.state.current, s.state.revision), nil
 }
 
-func rangeOf(req *etcdjson.RangeRequest, content map[string]etcdjson.KeyValue, revision int64) *etcdjson.RangeResponse {
+func queryRange(req *etcdjson.RangeRequest, content map[string]etcdjson.KeyValue, revision int64) *etcdjson.RangeResponse {
 	resp := &etcdjson.RangeResponse{Header: etcdjson.Header{Revision: revision}}
 	for k, kv := range content {
 		if !inRange(k, req.Key, req.RangeEnd) {
@@ -168,22 +169,22 @@
 	return resp
 }
 
-func (s *Server) doTxn(req *etcdjson.TxnRequest) (any, *apiError) {
+func (s *Server) handleTxn(req *etcdjson.TxnRequest) (any, *apiError) {
 	resp := &etcdjson.TxnResponse{Succeeded: true}
 	for _, c := range req.Compare {
 		if c.Target != etcdjson.TargetMod || c.Result != etcdjson.CompareEqual {
-			return nil, invalid("only an equal mod_revision can be compared")
+			return nil, invalidArgument("only an equal mod_revision can be compared")
 		}
-		resp.Succeeded = resp.Succeeded && s.state.live[string(c.Key)].ModRevision == c.ModRevision
+		resp.Succeeded = resp.Succeeded && s.state.current[string(c.Key)].ModRevision == c.ModRevision
 	}
 	ops := req.Failure
 	if resp.Succeeded {
 		ops = req.Success
 	}
 	for _, op := range ops {
-		r, refused := s.apply(op)
-		if refused != nil {
-			return nil, refused
+		r, opErr := s.applyOp(op)
+		if opErr != nil {
+			return nil, opErr
 		}
 		resp.Responses = append(resp.Responses, r)
 	}
@@ -191,11 +192,11 @@
 	return resp, nil
 }
 
-func (s *Server) apply(op etcdjson.RequestOp) (etcdjson.ResponseOp, *apiError) {
+func (s *Server) applyOp(op etcdjson.RequestOp) (etcdjson.ResponseOp, *apiError) {
 	switch {
 	case op.Put != nil:
-		if len(op.Put.Value) > maxValue {
-			return etcdjson.ResponseOp{}, invalid("etcdserver: request is too large")
+		if len(op.Put.Value) > maxValueSize {
+			return etcdjson.ResponseOp{}, invalidArgument("etcdserver: request is too large")
 		}
 		if op.Put.Lease != 0 && s.state.leases[op.Put.Lease] == nil {
 			return etcdjson.ResponseOp{}, leaseNotFound()
@@ -204,14 +205,14 @@
 	case op.Delete != nil:
 		s.state.remove(string(op.Delete.Key))
 	case op.Range != nil:
-		return etcdjson.ResponseOp{Range: rangeOf(op.Range, s.state.live, s.state.revision)}, nil
+		return etcdjson.ResponseOp{Range: queryRange(op.Range, s.state.current, s.state.revision)}, nil
 	}
 	return etcdjson.ResponseOp{}, nil
 }
 
-func (s *Server) doGrant(req *etcdjson.GrantRequest) (any, *apiError) {
+func (s *Server) handleGrant(req *etcdjson.GrantRequest) (any, *apiError) {
 	if req.TTL <= 0 {
-		return nil, invalid("etcdserver: too small lease TTL")
+		return nil, invalidArgument("etcdserver: too small lease TTL")
 	}
 	s.state.lastLease++
 	id, ttl := s.state.lastLease, time.Duration(req.TTL)*time.Second
@@ -219,8 +220,9 @@
 	return &etcdjson.LeaseResponse{Header: s.header(), ID: id, TTL: req.TTL}, nil
 }
 
-// doKeepAlive answers a TTL of 0 for a lease that is gone, as etcd does.
-func (s *Server) doKeepAlive(req *etcdjson.LeaseRequest) (any, *apiError) {
+// handleKeepAlive returns a TTL of 0 for a lease that does not exist, as etcd
+// does.
+func (s *Server) handleKeepAlive(req *etcdjson.LeaseRequest) (any, *apiError) {
 	resp := &etcdjson.LeaseResponse{Header: s.header(), ID: req.ID}
 	if l := s.state.leases[req.ID]; l != nil {
 		l.timer.Reset(l.ttl)
@@ -229,14 +231,14 @@
 	return &etcdjson.KeepAliveMessage{Result: resp}, nil
 }
 
-func (s *Server) doRevoke(req *etcdjson.LeaseRequest) (any, *apiError) {
-	if !s.state.endLease(req.ID) {
+func (s *Server) handleRevoke(req *etcdjson.LeaseRequest) (any, *apiError) {
+	if !s.state.removeLease(req.ID) {
 		return nil, leaseNotFound()
 	}
 	return &etcdjson.LeaseResponse{Header: s.header()}, nil
 }
 
-func invalid(message string) *apiError {
+func invalidArgument(message string) *apiError {
 	return &apiError{http.StatusBadRequest, etcdjson.Error{Code: etcdjson.CodeInvalidArgument, Message: message}}
 }
 
--- a/internal/store/standin/state.go
+++ b/internal/store/standin/state.go
@@ -9,8 +9,9 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// maxHistory is how many events are kept for watches before the older half is
-// compacted, so that a process that runs for months does not grow.
+// maxHistory is the number of events kept for watches. When it is exceeded the
+// older half is compacted, so that memory stays bounded in a process that runs
+// for months.
 const maxHistory = 10_000
 
 // change is one event of the history.
@@ -19,18 +20,18 @@
 	deleted bool
 }
 
-// lease holds a time to live and the timer that ends it.
+// lease is a time to live and the timer that ends the lease.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// state is the store's content. The caller holds the server's lock.
+// state is the store's content. Callers of its methods hold the server's lock.
 type state struct {
 	revision  int64
-	compacted int64 // events up to here are gone
-	live      map[string]etcdjson.KeyValue
-	base      map[string]etcdjson.KeyValue // content at compacted
+	compacted int64 // events up to this revision have been removed
+	current   map[string]etcdjson.KeyValue
+	baseline  map[string]etcdjson.KeyValue // content at revision compacted
 	history   []change
 	leases    map[int64]*lease
 	lastLease int64
@@ -39,14 +40,14 @@
 func newState() *state {
 	return &state{
 		revision: 1,
-		live:     map[string]etcdjson.KeyValue{},
-		base:     map[string]etcdjson.KeyValue{},
+		current:  map[string]etcdjson.KeyValue{},
+		baseline: map[string]etcdjson.KeyValue{},
 		leases:   map[int64]*lease{},
 	}
 }
 
-// inRange follows etcd: no end selects key alone, an end of one zero byte all
-// keys from key on.
+// inRange reports whether k is in [key, end) by etcd's rules: an empty end
+// selects key alone, and an end of one zero byte selects all keys from key on.
 func inRange(k string, key, end []byte) bool {
 	switch {
 	case len(end) == 0:
@@ -59,7 +60,7 @@
 
 func (s *state) put(req *etcdjson.PutRequest) {
 	s.revision++
-	old := s.live[string(req.Key)]
+	old := s.current[string(req.Key)]
 	kv := etcdjson.KeyValue{
 		Key: req.Key, Value: req.Value, Lease: req.Lease, ModRevision: s.revision,
 		CreateRevision: old.CreateRevision, Version: old.Version + 1,
@@ -67,19 +68,19 @@
 	if kv.CreateRevision == 0 {
 		kv.CreateRevision = s.revision
 	}
-	s.live[string(req.Key)] = kv
+	s.current[string(req.Key)] = kv
 	s.record(change{kv: kv})
 }
 
-// remove deletes keys at one revision, as etcd does for one request.
+// remove deletes keys in a single revision, as etcd does for one request.
 func (s *state) remove(keys ...string) {
-	keys = slices.DeleteFunc(keys, func(k string) bool { return s.live[k].ModRevision == 0 })
+	keys = slices.DeleteFunc(keys, func(k string) bool { return s.current[k].ModRevision == 0 })
 	if len(keys) == 0 {
 		return
 	}
 	s.revision++
 	for _, k := range keys {
-		delete(s.live, k)
+		delete(s.current, k)
 		s.record(change{kv: etcdjson.KeyValue{Key: []byte(k), ModRevision: s.revision}, deleted: true})
 	}
 }
@@ -91,11 +92,11 @@
 	}
 }
 
-// compact forgets the events up to revision.
+// compact removes the events up to revision from the history.
 func (s *state) compact(revision int64) {
 	n := 0
 	for n < len(s.history) && s.history[n].kv.ModRevision <= revision {
-		s.history[n].apply(s.base)
+		s.history[n].apply(s.baseline)
 		n++
 	}
 	s.history = slices.Clone(s.history[n:])
@@ -110,9 +111,9 @@
 	content[string(c.kv.Key)] = c.kv
 }
 
-// at gives the content at a revision that is not compacted.
-func (s *state) at(revision int64) map[string]etcdjson.KeyValue {
-	content := maps.Clone(s.base)
+// contentAt returns the content at a revision that is not compacted.
+func (s *state) contentAt(revision int64) map[string]etcdjson.KeyValue {
+	content := maps.Clone(s.baseline)
 	for _, c := range s.history {
 		if c.kv.ModRevision <= revision {
 			c.apply(content)
@@ -121,8 +122,8 @@
 	return content
 }
 
-// since lists the events of a range from revision start on.
-func (s *state) since(start int64, key, end []byte) []etcdjson.Event {
+// eventsSince returns the events of a key range from revision start on.
+func (s *state) eventsSince(start int64, key, end []byte) []etcdjson.Event {
 	var out []etcdjson.Event
 	for _, c := range s.history {
 		if c.kv.ModRevision < start || !inRange(string(c.kv.Key), key, end) {
@@ -137,8 +138,9 @@
 	return out
 }
 
-// endLease deletes the lease with its keys, and tells whether it existed.
-func (s *state) endLease(id int64) bool {
+// removeLease deletes the lease and its keys. It reports whether the lease
+// existed.
+func (s *state) removeLease(id int64) bool {
 	l := s.leases[id]
 	if l == nil {
 		return false
@@ -146,7 +148,7 @@
 	l.timer.Stop()
 	delete(s.leases, id)
 	var keys []string
-	for k, kv := range s.live {
+	for k, kv := range s.current {
 		if kv.Lease == id {
 			keys = append(keys, k)
 		}
--- a/internal/store/standin/transport.go
+++ b/internal/store/standin/transport.go
@@ -7,20 +7,21 @@
 	"sync"
 )
 
-// errCut is what a client sees when the handler cut the connection.
-var errCut = errors.New("standin: connection cut")
+// errConnectionCut is returned to a client if the handler aborted the
+// connection.
+var errConnectionCut = errors.New("standin: connection cut")
 
-// Transport carries requests to Handler in the same process, without a
-// socket: the embedded store of a standalone process opens no port.
+// Transport passes requests to Handler in the same process without a socket, so
+// that the embedded store of a standalone process opens no port.
 type Transport struct {
 	Handler http.Handler
 }
 
-// RoundTrip runs the handler in a goroutine of its own and returns at the
-// first byte of the answer.
+// RoundTrip runs the handler in its own goroutine and returns when the handler
+// starts its response.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	pr, pw := io.Pipe()
-	w := &pipeWriter{header: http.Header{}, body: pw, started: make(chan int, 1)}
+	w := &pipeWriter{header: http.Header{}, body: pw, statusCh: make(chan int, 1)}
 	failed := make(chan error, 1)
 	go func() {
 		if err := w.serve(t.Handler, r.Clone(r.Context())); err != nil {
@@ -28,8 +29,8 @@
 		}
 	}()
 	select {
-	case status := <-w.started:
-		stop := closeOnDone(r, pw)
+	case status := <-w.statusCh:
+		stop := closeBodyOnDone(r, pw)
 		return &http.Response{
 			Status: http.StatusText(status), StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 			Header: w.header.Clone(), Body: &pipeBody{PipeReader: pr, stop: stop}, ContentLength: -1, Request: r,
@@ -42,8 +43,8 @@
 	}
 }
 
-// closeOnDone ends the answer's body when the request's context ends.
-func closeOnDone(r *http.Request, pw *io.PipeWriter) (stop func()) {
+// closeBodyOnDone closes the response body when the request's context ends.
+func closeBodyOnDone(r *http.Request, pw *io.PipeWriter) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		select {
@@ -55,32 +56,32 @@
 	return sync.OnceFunc(func() { close(done) })
 }
 
-// pipeBody is an answer's body that a reader may close before its end.
+// pipeBody is a response body that the reader may close before its end.
 type pipeBody struct {
 	*io.PipeReader
 	stop func()
 }
 
-// Close frees the goroutine that waits for the context.
+// Close also ends the goroutine that waits for the context.
 func (b *pipeBody) Close() error {
 	b.stop()
 	return b.PipeReader.Close()
 }
 
-// pipeWriter is the handler's side of an answer.
+// pipeWriter is the http.ResponseWriter passed to the handler.
 type pipeWriter struct {
-	header  http.Header
-	body    *io.PipeWriter
-	once    sync.Once
-	started chan int
+	header   http.Header
+	body     *io.PipeWriter
+	once     sync.Once
+	statusCh chan int
 }
 
-// serve returns an error only if the handler cut the connection before it
-// answered anything.
+// serve runs the handler. It returns an error if the handler aborted the
+// connection. RoundTrip sees this error only if no response was started.
 func (w *pipeWriter) serve(h http.Handler, r *http.Request) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = errCut
+			err = errConnectionCut
 			w.body.CloseWithError(io.ErrUnexpectedEOF)
 			return
 		}
@@ -94,7 +95,7 @@
 func (w *pipeWriter) Header() http.Header { return w.header }
 
 func (w *pipeWriter) WriteHeader(status int) {
-	w.once.Do(func() { w.started <- status })
+	w.once.Do(func() { w.statusCh <- status })
 }
 
 func (w *pipeWriter) Write(b []byte) (int, error) {
@@ -102,5 +103,5 @@
 	return w.body.Write(b)
 }
 
-// FlushError does nothing: a pipe holds nothing back.
+// FlushError does nothing: a pipe is not buffered.
 func (w *pipeWriter) FlushError() error { return nil }
--- a/internal/store/standin/watch.go
+++ b/internal/store/standin/watch.go
@@ -7,29 +7,29 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// watch streams the events of a range until the client goes.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
+// handleWatch streams the events of a key range until the client disconnects.
+func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request) {
 	var req etcdjson.WatchRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		writeError(w, http.StatusBadRequest, etcdjson.Error{Code: etcdjson.CodeInvalidArgument, Message: err.Error()})
 		return
 	}
-	s.before(r)
+	s.beginCall(r)
 	st := s.openStream(req.Create)
-	send := sender(w)
+	send := newSender(w)
 	if !send(&etcdjson.WatchResponse{Header: etcdjson.Header{Revision: s.Revision()}, Created: true}) {
 		return
 	}
 	for {
-		resp, wait, ended := s.next(st)
-		if ended {
+		resp, notify, isClosed := s.nextResponse(st)
+		if isClosed {
 			panic(http.ErrAbortHandler)
 		}
 		if resp != nil && (!send(resp) || resp.Canceled) {
 			return
 		}
 		select {
-		case <-wait:
+		case <-notify:
 		case <-r.Context().Done():
 			return
 		}
@@ -38,8 +38,8 @@
 
 // stream is one open watch.
 type stream struct {
-	create etcdjson.WatchCreate
-	number int
+	create     etcdjson.WatchCreate
+	generation int
 }
 
 func (s *Server) openStream(c etcdjson.WatchCreate) *stream {
@@ -48,24 +48,25 @@
 	if c.StartRevision == 0 {
 		c.StartRevision = s.state.revision + 1
 	}
-	return &stream{create: c, number: s.streams}
+	return &stream{create: c, generation: s.streamGeneration}
 }
 
-// next gives what a watch has to send now, and the channel that is closed when
-// it should ask again.
-func (s *Server) next(st *stream) (resp *etcdjson.WatchResponse, wait <-chan struct{}, ended bool) {
+// nextResponse returns the message that the watch has to send now, if any, and
+// a channel that is closed when the watch must check again. isClosed means that
+// the watch is to be aborted.
+func (s *Server) nextResponse(st *stream) (resp *etcdjson.WatchResponse, notify <-chan struct{}, isClosed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &st.create
 	switch {
-	case st.number < s.streams || s.faults.down:
+	case st.generation < s.streamGeneration || s.faults.down:
 		return nil, nil, true
 	case s.faults.stalled:
 		return nil, s.changed, false
 	case c.StartRevision <= s.state.compacted:
 		return &etcdjson.WatchResponse{Header: s.header(), Canceled: true, CompactRevision: s.state.compacted + 1}, s.changed, false
 	}
-	events := s.state.since(c.StartRevision, c.Key, c.RangeEnd)
+	events := s.state.eventsSince(c.StartRevision, c.Key, c.RangeEnd)
 	c.StartRevision = max(c.StartRevision, s.state.revision+1)
 	if len(events) == 0 {
 		return nil, s.changed, false
@@ -73,15 +74,16 @@
 	return &etcdjson.WatchResponse{Header: s.header(), Events: events}, s.changed, false
 }
 
-// sender writes one line of the stream and flushes it.
-func sender(w http.ResponseWriter) func(*etcdjson.WatchResponse) bool {
+// newSender returns a function that writes one message to the stream and
+// flushes it. The function reports whether the client is still connected.
+func newSender(w http.ResponseWriter) func(*etcdjson.WatchResponse) bool {
 	w.Header().Set("Content-Type", "application/json")
-	lines := json.NewEncoder(w)
-	flush := http.NewResponseController(w)
+	encoder := json.NewEncoder(w)
+	controller := http.NewResponseController(w)
 	return func(resp *etcdjson.WatchResponse) bool {
-		if err := lines.Encode(&etcdjson.WatchMessage{Result: resp}); err != nil {
+		if err := encoder.Encode(&etcdjson.WatchMessage{Result: resp}); err != nil {
 			return false
 		}
-		return flush.Flush() == nil
+		return controller.Flush() == nil
 	}
 }
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -13,8 +13,8 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// Watch delivers the changes under prefix after revision. It uses the endpoint
-// that answered last and does not change over by itself: the caller reopens.
+// Watch implements Store. It uses the preferred endpoint and does not fail over
+// by itself: the caller calls Watch again.
 func (e *Etcd) Watch(ctx context.Context, prefix string, revision int64, out chan<- Batch) error {
 	defer close(out)
 	if len(e.endpoints) == 0 {
@@ -27,16 +27,17 @@
 	if err != nil {
 		return fmt.Errorf("store watch: %w", err)
 	}
-	at := e.preferred.Load() % uint32(len(e.endpoints))
-	err = e.stream(ctx, e.endpoints[at]+etcdjson.PathWatch, body, out)
+	index := e.preferredEndpoint.Load() % uint32(len(e.endpoints))
+	err = e.readStream(ctx, e.endpoints[index]+etcdjson.PathWatch, body, out)
 	if errors.Is(err, ErrUnavailable) && ctx.Err() == nil {
-		e.preferred.Store((at + 1) % uint32(len(e.endpoints)))
+		e.preferredEndpoint.Store((index + 1) % uint32(len(e.endpoints)))
 	}
 	return fmt.Errorf("store watch: %w", err)
 }
 
-// stream reads one watch to its end. The error is never nil.
-func (e *Etcd) stream(ctx context.Context, url string, body []byte, out chan<- Batch) error {
+// readStream reads one watch stream to its end. It always returns a non-nil
+// error.
+func (e *Etcd) readStream(ctx context.Context, url string, body []byte, out chan<- Batch) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	resp, err := e.post(ctx, "watch", url, body)
@@ -44,22 +45,22 @@
 		return err
 	}
 	defer resp.Body.Close()
-	open := metrics.GetOrRegisterCounter("store.watches_open", e.registry)
-	open.Inc(1)
-	defer open.Dec(1)
-	lines := json.NewDecoder(resp.Body)
+	openWatches := metrics.GetOrRegisterCounter("store.watches_open", e.registry)
+	openWatches.Inc(1)
+	defer openWatches.Dec(1)
+	decoder := json.NewDecoder(resp.Body)
 	for {
 		var msg etcdjson.WatchMessage
-		if err := lines.Decode(&msg); err != nil {
-			return streamEnd(ctx, err)
+		if err := decoder.Decode(&msg); err != nil {
+			return streamError(ctx, err)
 		}
-		if err := deliver(ctx, msg, out); err != nil {
+		if err := deliverMessage(ctx, msg, out); err != nil {
 			return err
 		}
 	}
 }
 
-func streamEnd(ctx context.Context, err error) error {
+func streamError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -69,9 +70,11 @@
 	return fmt.Errorf("%w: stream: %w", ErrUnavailable, err)
 }
 
-func deliver(ctx context.Context, msg etcdjson.WatchMessage, out chan<- Batch) error {
+// deliverMessage sends the events of one message to out. It returns an error if
+// the message ends the watch.
+func deliverMessage(ctx context.Context, msg etcdjson.WatchMessage, out chan<- Batch) error {
 	if msg.Error != nil {
-		return errorOf(http.StatusInternalServerError, *msg.Error)
+		return gatewayError(http.StatusInternalServerError, *msg.Error)
 	}
 	r := msg.Result
 	switch {
@@ -92,9 +95,9 @@
 	}
 }
 
-// toBatch takes the batch's revision from its events. The header's is the
-// store's own and can be ahead of a batch that is one of several: a watch
-// resumed from there would leave out changes for good.
+// toBatch derives the batch's revision from its events. The revision in the
+// header is that of the store and can be ahead of a batch that is one of
+// several. A watch resumed from it would skip changes permanently.
 func toBatch(events []etcdjson.Event) Batch {
 	var b Batch
 	for _, ev := range events {
