--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -10,17 +10,17 @@
 	"wigeontray/internal/settings"
 )
 
-// What a checked file is.
+// Types of a checked file.
 const (
 	FileEntry  = "entry"  // settings of `wigeontray serve`
 	FileGuard  = "guard"  // settings of wigeontray-guard
-	FileRecord = "record" // a record
+	FileRecord = "record" // a configuration record
 )
 
-// Checked is the result of checking one file.
-type Checked struct {
+// CheckResult is the result of checking one file.
+type CheckResult struct {
 	File string `json:"file"`
-	// Type is one of the File constants, Kind and Name are a record's.
+	// Type is one of the File constants. Kind and Name are set for a record.
 	Type     string      `json:"type"`
 	Kind     record.Kind `json:"kind,omitempty"`
 	Name     string      `json:"name,omitempty"`
@@ -31,19 +31,22 @@
 // ErrInvalid means that a checked file is not valid.
 var ErrInvalid = errors.New("not valid")
 
-func isInvalid(err error) bool {
-	_, field := errors.AsType[*record.FieldError](err)
-	return field || errors.Is(err, ErrInvalid) || errors.Is(err, record.ErrSchemaTooNew)
+// isValidationError reports whether err means that a file or record is not
+// valid.
+func isValidationError(err error) bool {
+	_, isFieldError := errors.AsType[*record.FieldError](err)
+	return isFieldError || errors.Is(err, ErrInvalid) || errors.Is(err, record.ErrSchemaTooNew)
 }
 
-// Check checks settings and record files. A file that ends in ".json" is a
-// record; an INI file with a section [upstream] or [entries] is a guard's, any
-// other an entry's. The error is ErrInvalid if any file is not valid.
-func Check(files []string) ([]Checked, error) {
-	out := make([]Checked, 0, len(files))
+// Check validates settings and record files. A file whose name ends in ".json"
+// is a record. An INI file with a section [upstream] or [entries] holds
+// settings of a guard, any other file settings of an entry. The error is
+// ErrInvalid if any file is not valid.
+func Check(files []string) ([]CheckResult, error) {
+	out := make([]CheckResult, 0, len(files))
 	var err error
 	for _, file := range files {
-		c := checkOne(file)
+		c := checkFile(file)
 		if !c.OK {
 			err = fmt.Errorf("%s: %w", file, ErrInvalid)
 		}
@@ -52,8 +55,8 @@
 	return out, err
 }
 
-func checkOne(file string) Checked {
-	c := Checked{File: file, Type: FileEntry}
+func checkFile(file string) CheckResult {
+	c := CheckResult{File: file, Type: FileEntry}
 	var err error
 	switch {
 	case filepath.Ext(file) == ".json":
@@ -66,11 +69,11 @@
 		_, err = settings.LoadEntry(file)
 	}
 	c.OK = err == nil
-	c.Problems = problems(err)
+	c.Problems = problemTexts(err)
 	return c
 }
 
-func checkRecord(file string, c *Checked) error {
+func checkRecord(file string, c *CheckResult) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -82,8 +85,8 @@
 	return err
 }
 
-// problems takes a joined error apart.
-func problems(err error) []string {
+// problemTexts returns the texts of all errors joined in err.
+func problemTexts(err error) []string {
 	if err == nil {
 		return nil
 	}
@@ -93,7 +96,7 @@
 	}
 	var out []string
 	for _, e := range joined.Unwrap() {
-		out = append(out, problems(e)...)
+		out = append(out, problemTexts(e)...)
 	}
 	return out
 }
--- a/internal/operator/exit.go
+++ b/internal/operator/exit.go
@@ -11,21 +11,21 @@
 	"wigeontray/internal/errkind"
 )
 
-// Exit codes of the commands. Scripts may rely on them.
+// Exit codes of the commands. They are stable, for use in scripts.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1 // anything not listed here
+	ExitFailed      = 1 // any other error
 	ExitUsage       = 2 // the command line is wrong
 	ExitInvalid     = 3 // a file or record is not valid; nothing was sent or written
-	ExitNotFound    = 4 // no such record, or it is another member's
-	ExitConflict    = 5 // somebody else amended the record first; nothing was written
-	ExitRefused     = 6 // the token is unknown or may not do this
+	ExitNotFound    = 4 // the record does not exist or belongs to another member
+	ExitConflict    = 5 // the record was amended by someone else first; nothing was written
+	ExitRefused     = 6 // the token is unknown or lacks the permission
 	ExitUnavailable = 7 // the entry or the store cannot be reached; nothing was written
-	ExitUnknown     = 8 // the outcome of an amendment is not known
+	ExitUnknown     = 8 // the outcome of an amendment is unknown
 )
 
-// exitOfKind holds the codes of the kinds that the operators' API answers with.
-var exitOfKind = map[string]int{
+// exitCodeByKind maps the error kinds of the operator API to exit codes.
+var exitCodeByKind = map[string]int{
 	errkind.RecordInvalid.String():   ExitInvalid,
 	errkind.TooLarge.String():        ExitInvalid,
 	errkind.BadRequest.String():      ExitInvalid,
@@ -35,50 +35,51 @@
 	errkind.Forbidden.String():       ExitRefused,
 }
 
-// ExitCode gives the exit code of a command that ended with err.
+// ExitCode returns the exit code of a command that returned err.
 func ExitCode(err error) int {
 	if err == nil {
 		return ExitOK
 	}
-	if api, ok := errors.AsType[*APIError](err); ok {
-		return exitOfAPI(api)
+	if apiErr, ok := errors.AsType[*APIError](err); ok {
+		return apiExitCode(apiErr)
 	}
 	switch {
 	case errors.Is(err, ErrOutcomeUnknown):
 		return ExitUnknown
 	case errors.Is(err, ErrUnreachable):
 		return ExitUnavailable
-	case isInvalid(err):
+	case isValidationError(err):
 		return ExitInvalid
 	}
 	return ExitFailed
 }
 
-func exitOfAPI(e *APIError) int {
+func apiExitCode(e *APIError) int {
 	if e.Detail.Kind == errkind.StoreUnavailable.String() {
 		if e.Detail.Ran == errkind.RanNo.String() {
 			return ExitUnavailable
 		}
 		return ExitUnknown
 	}
-	if code, ok := exitOfKind[e.Detail.Kind]; ok {
+	if code, ok := exitCodeByKind[e.Detail.Kind]; ok {
 		return code
 	}
 	return ExitFailed
 }
 
-// connectError marks the errors that prove that nothing was sent.
-func connectError(err error) error {
-	op, connecting := errors.AsType[*net.OpError](err)
-	_, certificate := errors.AsType[*tls.CertificateVerificationError](err)
-	if connecting && op.Op == "dial" || certificate {
+// wrapConnectError adds ErrUnreachable to an error that proves that nothing was
+// sent: a failed dial, or a certificate that failed verification.
+func wrapConnectError(err error) error {
+	op, isOpError := errors.AsType[*net.OpError](err)
+	_, isCertError := errors.AsType[*tls.CertificateVerificationError](err)
+	if isOpError && op.Op == "dial" || isCertError {
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	return err
 }
 
-// WriteJSON writes v as indented JSON, one value after another, for programs
-// that read a command's output.
+// WriteJSON writes v as indented JSON for programs that read a command's
+// output. Successive calls write one value after another.
 func WriteJSON(w io.Writer, v any) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -20,14 +20,15 @@
 	"wigeontray/internal/store/standin"
 )
 
-// site is an entry's API that cuts the connection after or before an amendment.
-type site struct {
+// testEntry is an entry's operator API that can close the connection before or
+// after it executes an amendment.
+type testEntry struct {
 	*qt.C
-	client               *Client
-	loseAnswer, loseCall bool
+	client                    *Client
+	dropResponse, dropRequest bool
 }
 
-func run(t *testing.T, test func(ctx context.Context, s *site)) {
+func withEntry(t *testing.T, test func(ctx context.Context, e *testEntry)) {
 	synctest.Test(t, func(t *testing.T) {
 		server := standin.New()
 		defer server.Close()
@@ -38,10 +39,10 @@
 		defer cancel()
 		go func() { _ = sync.Run(ctx) }()
 		synctest.Wait()
-		s := &site{C: qt.New(t)}
+		e := &testEntry{C: qt.New(t)}
 		api := recordapi.New(recordapi.Options{Sync: sync, Authenticate: authenticate})
-		s.client = New(Options{Address: "http://entry", Token: "consortium", Transport: &standin.Transport{Handler: s.faulty(api)}})
-		test(ctx, s)
+		e.client = New(Options{Address: "http://entry", Token: "consortium", Transport: &standin.Transport{Handler: e.withFaults(api)}})
+		test(ctx, e)
 	})
 }
 
@@ -55,95 +56,96 @@
 	return recordapi.Principal{}, errkind.New(errkind.Unauthenticated, "unknown token")
 }
 
-func (s *site) faulty(api http.Handler) http.Handler {
+func (e *testEntry) withFaults(api http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method != http.MethodGet && s.loseCall {
+		if r.Method != http.MethodGet && e.dropRequest {
 			panic(http.ErrAbortHandler)
 		}
-		if r.Method != http.MethodGet && s.loseAnswer {
-			api.ServeHTTP(&discard{}, r)
+		if r.Method != http.MethodGet && e.dropResponse {
+			api.ServeHTTP(&discardWriter{}, r)
 			panic(http.ErrAbortHandler)
 		}
 		api.ServeHTTP(w, r)
 	})
 }
 
-// discard takes an answer that nobody gets.
-type discard struct{ header http.Header }
+// discardWriter is a ResponseWriter that discards the response.
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header {
+func (d *discardWriter) Header() http.Header {
 	if d.header == nil {
 		d.header = http.Header{}
 	}
 	return d.header
 }
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d *discard) WriteHeader(int)             {}
+func (d *discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardWriter) WriteHeader(int)             {}
 
-var ayni = []byte(`{"kind":"member","name":"ayni","schema":1}`)
+var ayniRecord = []byte(`{"kind":"member","name":"ayni","schema":1}`)
 
 func TestCommandsAndExitCodes(t *testing.T) {
-	run(t, func(ctx context.Context, s *site) {
-		put, err := s.client.Put(ctx, ayni, 0)
-		s.Assert(err, qt.IsNil)
+	withEntry(t, func(ctx context.Context, e *testEntry) {
+		put, err := e.client.Put(ctx, ayniRecord, 0)
+		e.Assert(err, qt.IsNil)
 		synctest.Wait()
-		got, err := s.client.Get(ctx, record.KindMember, "ayni")
-		s.Assert(err, qt.IsNil)
-		s.Assert(got.Revision, qt.Equals, put.Revision)
-		list, err := s.client.List(ctx, record.KindMember)
-		s.Assert(err, qt.IsNil)
-		s.Assert(list.Records, qt.HasLen, 1)
-
-		_, err = s.client.Put(ctx, ayni, 0)
-		s.Assert(ExitCode(err), qt.Equals, ExitConflict)
-		s.Assert(err, qt.ErrorMatches, `record_conflict \(status 412\): .*; amend revision 2`)
-		_, err = s.client.Put(ctx, []byte(`{"kind":"member"}`), 0)
-		s.Assert(ExitCode(err), qt.Equals, ExitInvalid)
-		_, err = s.client.Get(ctx, record.KindService, "ayni/reserva")
-		s.Assert(ExitCode(err), qt.Equals, ExitNotFound)
-		_, err = s.client.Delete(ctx, record.KindMember, "ayni", put.Revision)
-		s.Assert(ExitCode(err), qt.Equals, ExitOK)
-		s.client.token = "wrong"
-		_, err = s.client.List(ctx, "")
-		s.Assert(ExitCode(err), qt.Equals, ExitRefused)
+		got, err := e.client.Get(ctx, record.KindMember, "ayni")
+		e.Assert(err, qt.IsNil)
+		e.Assert(got.Revision, qt.Equals, put.Revision)
+		list, err := e.client.List(ctx, record.KindMember)
+		e.Assert(err, qt.IsNil)
+		e.Assert(list.Records, qt.HasLen, 1)
+
+		_, err = e.client.Put(ctx, ayniRecord, 0)
+		e.Assert(ExitCode(err), qt.Equals, ExitConflict)
+		e.Assert(err, qt.ErrorMatches, `record_conflict \(status 412\): .*; amend revision 2`)
+		_, err = e.client.Put(ctx, []byte(`{"kind":"member"}`), 0)
+		e.Assert(ExitCode(err), qt.Equals, ExitInvalid)
+		_, err = e.client.Get(ctx, record.KindService, "ayni/reserva")
+		e.Assert(ExitCode(err), qt.Equals, ExitNotFound)
+		_, err = e.client.Delete(ctx, record.KindMember, "ayni", put.Revision)
+		e.Assert(ExitCode(err), qt.Equals, ExitOK)
+		e.client.token = "wrong"
+		_, err = e.client.List(ctx, "")
+		e.Assert(ExitCode(err), qt.Equals, ExitRefused)
 	})
 }
 
-// The connection to the entry breaks after the record was written. The command
-// must not report a failure; the operator would amend again and meet a conflict
-// with itself.
-func TestAnswerOfTheEntryIsLost(t *testing.T) {
-	run(t, func(ctx context.Context, s *site) {
-		s.loseAnswer = true
-		put, err := s.client.Put(ctx, ayni, 0)
-		s.Assert(err, qt.IsNil)
-		s.Assert(put.Revision, qt.Equals, int64(2))
+// The connection to the entry breaks after the record was written. If the
+// command reported a failure, the operator would amend the record again and get
+// a conflict with their own write.
+func TestPutSucceedsWhenTheResponseIsLost(t *testing.T) {
+	withEntry(t, func(ctx context.Context, e *testEntry) {
+		e.dropResponse = true
+		put, err := e.client.Put(ctx, ayniRecord, 0)
+		e.Assert(err, qt.IsNil)
+		e.Assert(put.Revision, qt.Equals, int64(2))
 	})
 }
 
 // The connection to the entry breaks before the entry has read the request. The
-// command cannot know that, and must say so rather than "failed".
-func TestCallToTheEntryIsLost(t *testing.T) {
-	run(t, func(ctx context.Context, s *site) {
-		s.loseCall = true
-		_, err := s.client.Put(ctx, ayni, 0)
-		s.Assert(ExitCode(err), qt.Equals, ExitUnknown)
-		_, err = s.client.Delete(ctx, record.KindMember, "ayni", 2)
-		s.Assert(ExitCode(err), qt.Equals, ExitUnknown)
+// command cannot detect that, so it must report an unknown outcome and not a
+// failure.
+func TestLostRequestHasUnknownOutcome(t *testing.T) {
+	withEntry(t, func(ctx context.Context, e *testEntry) {
+		e.dropRequest = true
+		_, err := e.client.Put(ctx, ayniRecord, 0)
+		e.Assert(ExitCode(err), qt.Equals, ExitUnknown)
+		_, err = e.client.Delete(ctx, record.KindMember, "ayni", 2)
+		e.Assert(ExitCode(err), qt.Equals, ExitUnknown)
 	})
 }
 
-// No entry listens at the address. Nothing was sent, and the command says so.
-func TestEntryThatIsNotThere(t *testing.T) {
+// No entry listens at the address. Nothing was sent, and the exit code says so.
+func TestUnreachableEntryIsUnavailable(t *testing.T) {
 	c := qt.New(t)
-	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	closed.Close()
-	_, err = New(Options{Address: "http://" + closed.Addr().String()}).Put(t.Context(), ayni, 0)
+	listener.Close()
+	_, err = New(Options{Address: "http://" + listener.Addr().String()}).Put(t.Context(), ayniRecord, 0)
 	c.Assert(ExitCode(err), qt.Equals, ExitUnavailable)
 }
 
-func TestCheckAcceptsTheSamples(t *testing.T) {
+func TestCheckAcceptsTheExamples(t *testing.T) {
 	c := qt.New(t)
 	for _, pattern := range []string{"*/*.ini", "*/records/*.json"} {
 		files, err := filepath.Glob(filepath.Join("..", "..", "examples", pattern))
@@ -154,8 +156,9 @@
 	}
 }
 
-// Several files have slips; each is named, with every problem in it.
-func TestCheckNamesEverySlip(t *testing.T) {
+// Several files are not valid. The result must name each of them with every
+// problem in it.
+func TestCheckReportsEveryProblem(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -165,13 +168,13 @@
 	}
 	checked, err := Check([]string{
 		write("guard.ini", "[upstream]\nslots = 0\n"), write("record.json", `{"kind":"member","name":"a","schema":1,"x":1,"y":2}`),
-		write("good.json", string(ayni)), filepath.Join(dir, "none.json"),
+		write("good.json", string(ayniRecord)), filepath.Join(dir, "none.json"),
 	})
 	c.Assert(ExitCode(err), qt.Equals, ExitInvalid)
 	c.Assert(checked[0].Type, qt.Equals, FileGuard)
 	c.Assert(checked[0].Problems[0], qt.Matches, `.*\[upstream\] slots: 0 is not within 1 to 1024`)
 	c.Assert(checked[1].Problems, qt.DeepEquals, []string{"x: unknown field", "y: unknown field"})
-	c.Assert(checked[2], qt.DeepEquals, Checked{File: checked[2].File, Type: FileRecord, Kind: record.KindMember, Name: "ayni", OK: true})
+	c.Assert(checked[2], qt.DeepEquals, CheckResult{File: checked[2].File, Type: FileRecord, Kind: record.KindMember, Name: "ayni", OK: true})
 	c.Assert(checked[3].OK, qt.IsFalse)
 	var out bytes.Buffer
 	c.Assert(WriteJSON(&out, checked[2:3]), qt.IsNil)
