--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,7 +1,7 @@
-// Package client is a caller of the HTTP API: it submits a job under one
-// identity, resubmits it under the same identity when an answer is lost, and
-// obeys Retry-After. The operators' commands use it, and it shows integrators
-// how a caller should behave.
+// Package client implements a caller of the HTTP API. It submits a job under
+// one identity, resubmits it under the same identity if the response is lost,
+// and honours Retry-After. The commands of package cli use it, and it serves
+// integrators as a reference implementation.
 package client
 
 import (
@@ -19,24 +19,24 @@
 	"github.com/google/uuid"
 )
 
-// Client calls one or more entries.
+// Client submits jobs to one or more entries.
 type Client struct {
-	// Entries are base URLs, tried in turn.
+	// Entries are base URLs. Attempts go to each of them in turn.
 	Entries []string
 	Token   string
 	HTTP    *http.Client
 
-	home atomic.Pointer[string] // the entry that answered last
+	homeEntry atomic.Pointer[string] // home entry named in the last response
 }
 
-// Pauses between resubmissions of the same identity.
+// Limits of the exponential backoff between resubmissions, and of a response.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = 2 * time.Second
-	maxAnswer  = 64 << 20 // bytes read of an answer
+	minBackoffDelay = 50 * time.Millisecond
+	maxBackoffDelay = 2 * time.Second
+	maxResponseSize = 64 << 20 // bytes read of a response
 )
 
-// Job is a submission; its fields are those of POST /v1/jobs.
+// Job is a submission. Its fields are those of POST /v1/jobs.
 type Job struct {
 	Service    string            `json:"service,omitempty"`
 	Job        string            `json:"job,omitempty"`
@@ -46,7 +46,7 @@
 	Tasks      []json.RawMessage `json:"tasks"`
 }
 
-// Answer is what an entry said. Status is the HTTP status.
+// Answer is the response of an entry. Status is the HTTP status.
 type Answer struct {
 	Status int
 	Body   json.RawMessage
@@ -54,7 +54,7 @@
 	Parsed Body
 }
 
-// Body is the part of an answer that callers act on.
+// Body holds the fields of a response that callers act on.
 type Body struct {
 	Job     string `json:"job"`
 	State   string `json:"state"`
@@ -73,55 +73,56 @@
 	} `json:"error"`
 }
 
-// homeHeader names the entry that answers.
+// homeHeader is the response header that names the responding entry.
 const homeHeader = "Wigeontray-Home"
 
-// adviceSame is the advice to resubmit under the same identity.
-const adviceSame = "same"
+// adviceSameIdentity is the advice to resubmit under the same identity.
+const adviceSameIdentity = "same"
 
-// final tells whether resubmitting the same identity can bring nothing new.
-func (a *Answer) final() bool {
-	return a.Parsed.Error == nil || a.Parsed.Error.Advice != adviceSame
+// isFinal reports whether resubmitting under the same identity is pointless.
+func (a *Answer) isFinal() bool {
+	return a.Parsed.Error == nil || a.Parsed.Error.Advice != adviceSameIdentity
 }
 
-// Key gives a fresh identity whose home is the entry that answered last. Behind
-// a balancer that keeps connections together this is the entry that the next
-// submission reaches, and it need not be passed on to another one: that would
-// cost two messages a job. Before the first answer a ticket is fetched.
+// Key returns a new identity whose home is the entry that answered last. Behind
+// a load balancer with connection affinity the next submission reaches that
+// entry, which then need not forward it. Forwarding costs two messages for each
+// job. Before the first response Key fetches a ticket instead.
 func (c *Client) Key(ctx context.Context) (string, error) {
-	home := c.home.Load()
-	if home == nil {
+	homeEntry := c.homeEntry.Load()
+	if homeEntry == nil {
 		return c.Ticket(ctx)
 	}
 	id, err := uuid.NewV7()
 	if err != nil {
-		return "", fmt.Errorf("draw an identity: %w", err)
+		return "", fmt.Errorf("generate identity: %w", err)
 	}
-	return *home + "." + id.String(), nil
+	return *homeEntry + "." + id.String(), nil
 }
 
-// Ticket asks for a fresh identity, born by the clock of the entry that answers.
+// Ticket fetches a new identity whose creation time is taken from the clock of
+// the responding entry.
 func (c *Client) Ticket(ctx context.Context) (string, error) {
-	a, err := c.persist(ctx, func(base string) (*http.Request, error) {
+	a, err := c.sendUntilFinal(ctx, func(base string) (*http.Request, error) {
 		return http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/ticket", nil)
 	})
 	if err != nil {
 		return "", err
 	}
 	if a.Parsed.Ticket == "" {
-		return "", fmt.Errorf("no ticket: status %d: %s", a.Status, a.Body)
+		return "", fmt.Errorf("response has no ticket: status %d: %s", a.Status, a.Body)
 	}
 	return a.Parsed.Ticket, nil
 }
 
-// Submit sends job under key until a final answer comes or ctx ends. The job
-// runs at most once, however often it is sent.
+// Submit sends job under key until it gets a final response or ctx ends. The
+// job runs at most once, however often it is sent.
 func (c *Client) Submit(ctx context.Context, key string, job *Job) (*Answer, error) {
 	body, err := json.Marshal(job)
 	if err != nil {
 		return nil, fmt.Errorf("encode job: %w", err)
 	}
-	return c.persist(ctx, func(base string) (*http.Request, error) {
+	return c.sendUntilFinal(ctx, func(base string) (*http.Request, error) {
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/jobs", bytes.NewReader(body))
 		if err != nil {
 			return nil, err
@@ -132,59 +133,62 @@
 	})
 }
 
-// persist sends a request to the entries in turn until one gives a final answer.
-func (c *Client) persist(ctx context.Context, build func(base string) (*http.Request, error)) (*Answer, error) {
+// sendUntilFinal sends a request to the entries in turn until one of them
+// returns a final response. It waits with exponential backoff between attempts.
+func (c *Client) sendUntilFinal(ctx context.Context, newRequest func(base string) (*http.Request, error)) (*Answer, error) {
 	if len(c.Entries) == 0 {
-		return nil, errors.New("no entry to call")
+		return nil, errors.New("no entry is configured")
 	}
-	pause := firstPause
+	backoff := minBackoffDelay
 	for i := 0; ; i++ {
-		a, err := c.once(build, c.Entries[i%len(c.Entries)])
-		if err == nil && a.final() {
+		a, err := c.send(newRequest, c.Entries[i%len(c.Entries)])
+		if err == nil && a.isFinal() {
 			return a, nil
 		}
-		wait := pause
+		delay := backoff
 		if err == nil {
-			wait = max(wait, a.After)
+			delay = max(delay, a.After)
 		}
 		select {
 		case <-ctx.Done():
 			return a, errors.Join(ctx.Err(), err)
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		pause = min(2*pause, maxPause)
+		backoff = min(2*backoff, maxBackoffDelay)
 	}
 }
 
-func (c *Client) once(build func(base string) (*http.Request, error), base string) (*Answer, error) {
-	r, err := build(base)
+// send makes one attempt at one entry.
+
+func (c *Client) send(newRequest func(base string) (*http.Request, error), base string) (*Answer, error) {
+	req, err := newRequest(base)
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set("Authorization", "Bearer "+c.Token)
-	resp, err := c.HTTP.Do(r)
+	req.Header.Set("Authorization", "Bearer "+c.Token)
+	resp, err := c.HTTP.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
-		return nil, fmt.Errorf("read answer: %w", err)
+		return nil, fmt.Errorf("read response: %w", err)
 	}
-	if home := resp.Header.Get(homeHeader); home != "" {
-		c.home.Store(&home)
+	if homeEntry := resp.Header.Get(homeHeader); homeEntry != "" {
+		c.homeEntry.Store(&homeEntry)
 	}
 	a := &Answer{Status: resp.StatusCode, Body: body, After: retryAfter(resp)}
 	if err := json.Unmarshal(body, &a.Parsed); err != nil {
-		return nil, fmt.Errorf("status %d: answer is no JSON: %w", resp.StatusCode, err)
+		return nil, fmt.Errorf("status %d: response is not JSON: %w", resp.StatusCode, err)
 	}
 	return a, nil
 }
 
 func retryAfter(resp *http.Response) time.Duration {
-	s, err := strconv.Atoi(resp.Header.Get("Retry-After"))
+	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
 		return 0
 	}
-	return time.Duration(s) * time.Second
+	return time.Duration(seconds) * time.Second
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -13,12 +13,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeEntry answers each submission with the next of its answers, and notes the
-// identities that it saw.
+// fakeEntry answers each submission with the next of its responses and records
+// the identities that it received.
 type fakeEntry struct {
-	mu      sync.Mutex
-	answers []http.HandlerFunc
-	keys    []string
+	mu        sync.Mutex
+	responses []http.HandlerFunc
+	keys      []string
 }
 
 func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -28,63 +28,64 @@
 		return
 	}
 	f.mu.Lock()
-	next := f.answers[0]
-	f.answers = f.answers[1:]
+	next := f.responses[0]
+	f.responses = f.responses[1:]
 	f.keys = append(f.keys, r.Header.Get("Idempotency-Key"))
 	f.mu.Unlock()
 	next(w, r)
 }
 
-func cut(w http.ResponseWriter, _ *http.Request) {
+func cutConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		conn.Close()
 	}
 }
 
-func unreachable(w http.ResponseWriter, _ *http.Request) {
+func homeUnreachable(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	fmt.Fprint(w, `{"state":"failed","error":{"kind":"home_unreachable","advice":"same"}}`)
 }
 
-func complete(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"state":"complete"}`) }
+func completed(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"state":"complete"}`) }
 
-func refused(w http.ResponseWriter, _ *http.Request) {
+func overQuota(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusTooManyRequests)
 	fmt.Fprint(w, `{"state":"failed","error":{"kind":"over_quota","advice":"new-identity"}}`)
 }
 
-func newClient(t *testing.T, answers ...http.HandlerFunc) (*Client, *fakeEntry) {
-	f := &fakeEntry{answers: answers}
+func newClient(t *testing.T, responses ...http.HandlerFunc) (*Client, *fakeEntry) {
+	f := &fakeEntry{responses: responses}
 	srv := httptest.NewServer(f)
 	t.Cleanup(srv.Close)
 	return &Client{Entries: []string{srv.URL}, Token: "t", HTTP: srv.Client()}, f
 }
 
-var job = &Job{Service: "s", Tasks: []json.RawMessage{json.RawMessage("1")}}
+var testJob = &Job{Service: "s", Tasks: []json.RawMessage{json.RawMessage("1")}}
 
-// Answers are lost, and the owner cannot be reached for a moment. The client must
-// ask again under the same identity; a new one would book a second escort.
-func TestResubmitsUnderTheSameIdentity(t *testing.T) {
-	c, f := newClient(t, cut, unreachable, complete)
-	a, err := c.Submit(context.Background(), "k", job)
+// Responses are lost, and the home entry is unreachable for a moment. The
+// client must resubmit under the same identity: under a new one the job would
+// run twice.
+func TestLostResponseIsResubmittedUnderTheSameIdentity(t *testing.T) {
+	c, f := newClient(t, cutConnection, homeUnreachable, completed)
+	a, err := c.Submit(context.Background(), "k", testJob)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, a.Parsed.State, qt.Equals, "complete")
 	qt.Assert(t, f.keys, qt.DeepEquals, []string{"k", "k", "k"})
 }
 
-// A final refusal is not asked again: it would come back the same, at the price
-// of more load on a system that is short of room.
-func TestFinalRefusalIsNotRepeated(t *testing.T) {
-	c, f := newClient(t, refused)
-	a, err := c.Submit(context.Background(), "k", job)
+// The client must not resubmit after a final refusal. The result would be the
+// same, and the retries would add load to an overloaded system.
+func TestFinalRefusalIsNotResubmitted(t *testing.T) {
+	c, f := newClient(t, overQuota)
+	a, err := c.Submit(context.Background(), "k", testJob)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, a.Status, qt.Equals, http.StatusTooManyRequests)
 	qt.Assert(t, f.keys, qt.HasLen, 1)
 }
 
-func TestKeyNamesTheEntryThatAnswered(t *testing.T) {
-	c, _ := newClient(t, complete)
+func TestKeyNamesTheLastRespondingEntry(t *testing.T) {
+	c, _ := newClient(t, completed)
 	key, err := c.Key(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, key, qt.Equals, "entry-a-1.first")
