--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -1,6 +1,6 @@
-// Package sample owns a sample upstream: an http.Handler that takes as long as
-// each task's body says, counts how often every task was started, and can be
-// made to fail in the ways that real upstreams do.
+// Package sample implements a sample upstream: an http.Handler that takes as
+// long as each task's body demands, counts how often every task was started,
+// and can inject the failures of real upstreams.
 package sample
 
 import (
@@ -16,89 +16,91 @@
 	"wigeontray/internal/pause"
 )
 
-// TaskHeader names the task of a request, as member/key/task.
+// TaskHeader is the request header that identifies the task, as
+// member/key/task.
 const TaskHeader = "Wigeontray-Task"
 
-// HealthPath answers 200 while the upstream takes requests, else 503.
+// HealthPath returns 200 while the upstream accepts requests, else 503.
 const HealthPath = "/healthz"
 
-const maxBody = 8 << 20 // bytes of a request
+const maxBodySize = 8 << 20 // bytes of a request body
 
-// Fault is one way in which the upstream misbehaves.
+// Fault is a failure that the upstream injects.
 type Fault string
 
 // Faults. FaultHang lasts until the caller gives up or the upstream is closed.
 const (
 	FaultNone  Fault = ""
 	FaultFail  Fault = "fail"  // status 500
-	FaultHalf  Fault = "half"  // half of the announced body, then the connection ends
-	FaultHang  Fault = "hang"  // no answer
-	FaultClose Fault = "close" // the connection ends without an answer
+	FaultHalf  Fault = "half"  // half of the announced body, then the connection closes
+	FaultHang  Fault = "hang"  // no response
+	FaultClose Fault = "close" // the connection closes without a response
 )
 
-// Task is the body of a request. The service time is SleepMs, plus a time drawn
-// from an exponential distribution with mean ExpMs, in milliseconds.
+// Task is the body of a request. The service time in milliseconds is SleepMs
+// plus a value drawn from an exponential distribution with mean ExpMs.
 type Task struct {
 	SleepMs float64         `json:"sleep_ms,omitempty"`
 	ExpMs   float64         `json:"exp_ms,omitempty"`
-	Fault   Fault           `json:"fault,omitempty"` // for this task alone
-	Echo    json.RawMessage `json:"echo,omitempty"`  // returned in the answer
+	Fault   Fault           `json:"fault,omitempty"` // injected for this task only
+	Echo    json.RawMessage `json:"echo,omitempty"`  // returned in the response
 }
 
-// Answer is the body of a successful response.
-type Answer struct {
+// Response is the body of a successful response.
+type Response struct {
 	Task    string          `json:"task"`
 	Worker  string          `json:"worker"`
 	SleptMs int64           `json:"slept_ms"`
 	Echo    json.RawMessage `json:"echo,omitempty"`
 }
 
-// Upstream is a sample upstream. It serves HealthPath, and takes a POST on any
+// Upstream is a sample upstream. It serves HealthPath and treats a POST to any
 // other path as a task.
 type Upstream struct {
 	worker string
 
-	mu      sync.Mutex // guards what follows
-	rand    *rand.Rand
-	starts  map[string]int
-	running int
-	peak    int
-	fault   Fault
-	sick    bool
+	mu          sync.Mutex // guards the fields below
+	rand        *rand.Rand
+	startCounts map[string]int
+	running     int
+	maxRunning  int
+	fault       Fault
+	unhealthy   bool
 }
 
-// New returns an upstream on the named worker. seed makes its service times
-// repeatable.
+// New returns an upstream for the named worker. The seed makes its service
+// times reproducible.
 func New(worker string, seed uint64) *Upstream {
-	return &Upstream{worker: worker, rand: rand.New(rand.NewPCG(seed, 0)), starts: make(map[string]int)}
+	return &Upstream{worker: worker, rand: rand.New(rand.NewPCG(seed, 0)), startCounts: make(map[string]int)}
 }
 
-// SetFault makes every task from now on fail in the given way.
+// SetFault makes every later task fail in the given way.
 func (u *Upstream) SetFault(f Fault) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.fault = f
 }
 
-// SetHealthy sets what HealthPath answers.
+// SetHealthy sets whether HealthPath reports the upstream as healthy.
 func (u *Upstream) SetHealthy(healthy bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.sick = !healthy
+	u.unhealthy = !healthy
 }
 
-// Starts copies how often each task was started, by TaskHeader.
+// Starts returns how often each task was started, keyed by the value of
+// TaskHeader.
 func (u *Upstream) Starts() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := make(map[string]int, len(u.starts))
-	for task, n := range u.starts {
+	out := make(map[string]int, len(u.startCounts))
+	for task, n := range u.startCounts {
 		out[task] = n
 	}
 	return out
 }
 
-// Twice lists the tasks that were started more than once.
+// Twice returns the tasks that were started more than once.
 func (u *Upstream) Twice() []string {
 	var out []string
 	for task, n := range u.Starts() {
@@ -109,11 +111,11 @@
 	return out
 }
 
-// Peak tells how many tasks ran at once at most.
+// Peak returns the highest number of tasks that ran concurrently.
 func (u *Upstream) Peak() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.peak
+	return u.maxRunning
 }
 
 // ServeHTTP implements http.Handler.
@@ -130,9 +132,9 @@
 
 func (u *Upstream) serveHealth(w http.ResponseWriter) {
 	u.mu.Lock()
-	sick := u.sick
+	unhealthy := u.unhealthy
 	u.mu.Unlock()
-	if sick {
+	if unhealthy {
 		http.Error(w, "not healthy", http.StatusServiceUnavailable)
 		return
 	}
@@ -140,29 +142,30 @@
 }
 
 func (u *Upstream) serveTask(w http.ResponseWriter, r *http.Request) {
-	name := r.Header.Get(TaskHeader)
+	taskName := r.Header.Get(TaskHeader)
 	task, err := readTask(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	fault, length := u.begin(name, &task)
-	defer u.end()
-	if !pause.For(r.Context(), length) {
+	fault, serviceTime := u.beginTask(taskName, &task)
+	defer u.endTask()
+	if !pause.For(r.Context(), serviceTime) {
 		return
 	}
 	if fault != FaultNone {
-		misbehave(w, r, fault)
+		respondWithFault(w, r, fault)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Answer{Task: name, Worker: u.worker, SleptMs: length.Milliseconds(), Echo: task.Echo})
+	_ = json.NewEncoder(w).Encode(Response{Task: taskName, Worker: u.worker, SleptMs: serviceTime.Milliseconds(), Echo: task.Echo})
 }
 
-// readTask reads a body; an empty one is a task that takes no time.
+// readTask decodes a request body. An empty body is a task with a service time
+// of 0.
 func readTask(r *http.Request) (Task, error) {
 	var task Task
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodySize))
 	if err != nil {
 		return task, fmt.Errorf("read task: %w", err)
 	}
@@ -175,29 +178,29 @@
 	return task, nil
 }
 
-func (u *Upstream) begin(name string, task *Task) (Fault, time.Duration) {
+func (u *Upstream) beginTask(taskName string, task *Task) (Fault, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.starts[name]++
+	u.startCounts[taskName]++
 	u.running++
-	u.peak = max(u.peak, u.running)
-	length := task.SleepMs + task.ExpMs*u.rand.ExpFloat64()
+	u.maxRunning = max(u.maxRunning, u.running)
+	serviceMs := task.SleepMs + task.ExpMs*u.rand.ExpFloat64()
 	fault := task.Fault
 	if u.fault != FaultNone {
 		fault = u.fault
 	}
-	return fault, time.Duration(length * float64(time.Millisecond))
+	return fault, time.Duration(serviceMs * float64(time.Millisecond))
 }
 
-func (u *Upstream) end() {
+func (u *Upstream) endTask() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running--
 }
 
-// misbehave ends a request in the way that the fault says. A panic with
-// http.ErrAbortHandler is how a handler ends its connection.
-func misbehave(w http.ResponseWriter, r *http.Request, fault Fault) {
+// respondWithFault ends a request with the given fault. A panic with
+// http.ErrAbortHandler closes the connection.
+func respondWithFault(w http.ResponseWriter, r *http.Request, fault Fault) {
 	switch fault {
 	case FaultFail:
 		http.Error(w, "the upstream was told to fail", http.StatusInternalServerError)
