--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -1,6 +1,6 @@
-// Package node puts the parts of a process together: an entry by its settings,
-// a guard by its settings, or everything in one process for the quickstart. It
-// owns the order of starting and stopping, and nothing else.
+// Package node assembles a process: an entry from its settings, a guard from
+// its settings, or a complete system in one process for the quickstart. It is
+// responsible only for the order of startup and shutdown.
 package node
 
 import (
@@ -31,20 +31,21 @@
 	"wigeontray/internal/wire"
 )
 
-// lameDuck is how long a stopping entry goes on taking requests after it has
-// become not ready. Balancers probe about once a second; a shorter time would
-// refuse requests that were sent here in good faith.
-const lameDuck = 3 * time.Second
+// lameDuckDelay is how long a stopping entry still accepts requests after it
+// reports not ready. Load balancers probe about once a second; a shorter delay
+// would refuse requests that a balancer sent before it noticed.
+const lameDuckDelay = 3 * time.Second
 
-// flushTime lets answers and goodbyes reach the wire before links close.
-const flushTime = 200 * time.Millisecond
+// flushDelay is the time for responses and close frames to be sent before the
+// links close. It also bounds the stop of each listener.
+const flushDelay = 200 * time.Millisecond
 
-// errFenced ends an entry that the others have declared gone.
+// errFenced is returned by Run when a roster has declared this entry gone.
 var errFenced = errors.New("the roster declared this entry gone")
 
 // Entry is an entry process.
 type Entry struct {
-	set     *settings.Entry
+	cfg     *settings.Entry
 	log     *log.Logger
 	metrics *telemetry.Registry
 	sync    *confsync.Sync
@@ -53,36 +54,37 @@
 	fenced  chan struct{} // closed when a roster declared this entry gone
 
 	callers, inner, admin *httpserve.Server
-	// Abrupt makes a stop skip the lame duck and the roster: for the quickstart,
-	// which has no balancer and whose store ends with it.
-	Abrupt bool
+	// SkipLameDuck makes a shutdown skip the lame duck delay and the roster. It
+	// is for the quickstart, which has no load balancer and whose store ends
+	// with the process.
+	SkipLameDuck bool
 }
 
 // NewEntry opens the listeners and builds an entry. transport replaces the
-// network towards the store; nil for the usual one.
-func NewEntry(set *settings.Entry, transport http.RoundTripper, logs io.Writer) (*Entry, error) {
-	logger, err := telemetry.NewLogger(set.Log.Format, set.Log.Level, logs)
+// network transport to the store; nil means the default.
+func NewEntry(cfg *settings.Entry, transport http.RoundTripper, logs io.Writer) (*Entry, error) {
+	logger, err := telemetry.NewLogger(cfg.Log.Format, cfg.Log.Level, logs)
 	if err != nil {
 		return nil, err
 	}
-	key, err := set.Fleet.Key()
+	key, err := cfg.Fleet.Key()
 	if err != nil {
 		return nil, fmt.Errorf("fleet key: %w", err)
 	}
-	limitMemory(set.Limits.Memory)
-	collectEarly()
-	e := &Entry{set: set, log: logger, metrics: telemetry.New(), fenced: make(chan struct{})}
+	setMemoryLimit(cfg.Limits.Memory)
+	setGCPercent()
+	e := &Entry{cfg: cfg, log: logger, metrics: telemetry.New(), fenced: make(chan struct{})}
 	registry := e.metrics.GoMetrics()
 	kv := store.NewEtcd(store.Options{
-		Endpoints: set.Store.Endpoints, Timeout: set.Store.Timeout,
-		CallsPerSecond: float64(set.Store.CallsPerSecond), Registry: registry, Transport: transport,
+		Endpoints: cfg.Store.Endpoints, Timeout: cfg.Store.Timeout,
+		CallsPerSecond: float64(cfg.Store.CallsPerSecond), Registry: registry, Transport: transport,
 	})
-	sealer, err := newSealer(set)
+	sealer, err := newSealer(cfg)
 	if err != nil {
 		return nil, err
 	}
 	e.sync = confsync.New(confsync.Options{
-		Store: kv, Registry: registry, Logger: logger, VerifyEvery: set.Store.VerifyEvery, Sealer: sealer,
+		Store: kv, Registry: registry, Logger: logger, VerifyEvery: cfg.Store.VerifyEvery, Sealer: sealer,
 	})
 	if err := e.listen(kv, key, registry); err != nil {
 		return nil, errors.Join(err, e.closeListeners())
@@ -90,61 +92,62 @@
 	return e, nil
 }
 
-// newSealer makes what seals the configuration on its way through guards; nil
-// without a key.
-func newSealer(set *settings.Entry) (*record.Sealer, error) {
-	key, err := set.ConfigKey()
+// newSealer returns the Sealer for configuration that is relayed by guards, or
+// nil without a key.
+func newSealer(cfg *settings.Entry) (*record.Sealer, error) {
+	key, err := cfg.ConfigKey()
 	if err != nil || key == "" {
 		return nil, err
 	}
 	return record.NewSealer(key)
 }
 
-// listen builds the server and opens its three listeners. The inner address is
-// opened first, as peers are told of it.
+// listen builds the server and opens its three listeners. The inner listener is
+// opened first because its address is advertised to peers.
 func (e *Entry) listen(kv store.Store, key string, registry metrics.Registry) error {
 	inner := http.NewServeMux()
-	innerTLS, err := e.set.TLS.Server(true)
+	innerTLS, err := e.cfg.TLS.Server(true)
 	if err != nil {
 		return err
 	}
-	if e.inner, err = httpserve.Listen(e.set.Inner, inner, innerTLS, httpserve.DefaultLimits()); err != nil {
+	if e.inner, err = httpserve.Listen(e.cfg.Inner, inner, innerTLS, httpserve.DefaultLimits()); err != nil {
 		return err
 	}
 	self := wire.EntryAddr{
-		Incarnation: identity.NewIncarnation(e.set.Name),
-		Inner:       advertised(e.set, e.inner.Addr()),
-		Domain:      e.set.FailureDomain,
+		Incarnation: identity.NewIncarnation(e.cfg.Name),
+		Inner:       advertisedAddr(e.cfg, e.inner.Addr()),
+		Domain:      e.cfg.FailureDomain,
 	}
-	if err := e.build(self, kv, key, registry); err != nil {
+	if err := e.buildServer(self, kv, key, registry); err != nil {
 		return err
 	}
 	inner.Handle(wire.GuardPath, e.server.InnerHandler())
 	inner.Handle(wire.PeerPath, e.router.Handler())
-	callersTLS, err := e.set.TLS.Server(false)
+	callersTLS, err := e.cfg.TLS.Server(false)
 	if err != nil {
 		return err
 	}
-	if e.callers, err = httpserve.Listen(e.set.Callers, e.server.Handler(), callersTLS, e.callerLimits()); err != nil {
+	if e.callers, err = httpserve.Listen(e.cfg.Callers, e.server.Handler(), callersTLS, e.callerHTTPLimits()); err != nil {
 		return err
 	}
 	e.metrics.ReadCounter(telemetry.HandshakesFailed, func() int64 {
 		return e.inner.HandshakesFailed() + e.callers.HandshakesFailed()
 	})
-	e.admin, err = httpserve.Listen(e.set.Admin, e.server.AdminHandler(), nil, httpserve.DefaultLimits())
+	e.admin, err = httpserve.Listen(e.cfg.Admin, e.server.AdminHandler(), nil, httpserve.DefaultLimits())
 	return err
 }
 
-// build makes the router and the server and ties them to each other.
-func (e *Entry) build(self wire.EntryAddr, kv store.Store, key string, registry metrics.Registry) error {
-	dialTLS, err := e.set.TLS.Client()
+// buildServer creates the router and the server and connects them to each
+// other.
+func (e *Entry) buildServer(self wire.EntryAddr, kv store.Store, key string, registry metrics.Registry) error {
+	dialTLS, err := e.cfg.TLS.Client()
 	if err != nil {
 		return err
 	}
-	config := entry.NewSyncedConfig(e.sync, e.set.Region)
+	config := entry.NewSyncedConfig(e.sync, e.cfg.Region)
 	traffic := new(wire.Traffic)
 	router, bind := entry.NewPeerRouter(peers.Options{
-		Self: self, Region: e.set.Region, Key: key, Store: kv, Seeds: e.set.Peers,
+		Self: self, Region: e.cfg.Region, Key: key, Store: kv, Seeds: e.cfg.Peers,
 		Roster:   e.rosterOptions(),
 		Dial:     dialPeer(dialTLS, traffic),
 		OnGone:   func(p identity.Incarnation) { e.log.Warn("entry declared gone", "entry", p) },
@@ -152,148 +155,152 @@
 		Registry: registry, Log: e.log, Traffic: traffic,
 	})
 	e.router = router
-	records, err := e.records()
+	recordsHandler, err := e.recordsHandler()
 	if err != nil {
 		return err
 	}
 	e.server = entry.New(entry.Options{
 		ID: self.Incarnation, Domain: self.Domain, FleetKey: key, Software: telemetry.Version,
-		MaxBody: e.set.Limits.Body, OpenRequests: int(e.set.Limits.OpenRequests), OpenBytes: e.set.Limits.OpenBytes,
+		MaxBody: e.cfg.Limits.Body, OpenRequests: int(e.cfg.Limits.OpenRequests), OpenBytes: e.cfg.Limits.OpenBytes,
 		Jobs: e.jobLimits(), Seed: rand.Uint64(),
-		Config: config, Router: router, Metrics: e.metrics, Log: e.log, Records: records,
+		Config: config, Router: router, Metrics: e.metrics, Log: e.log, Records: recordsHandler,
 		OnConfig: router.ConfigChanged,
 	})
 	bind(e.server)
 	return nil
 }
 
-// rosterOptions keeps roster versions for longer than any job is remembered: a
-// birth whose version was forgotten could not be answered from the record.
+// rosterOptions keeps roster versions for longer than any job is retained. An
+// identity created under a discarded version could not be answered from the
+// record.
 func (e *Entry) rosterOptions() roster.Options {
 	return roster.Options{
-		Lead:      e.set.Roster.Ceiling,
-		Retention: max(roster.DefaultRetention, 2*e.set.Limits.Retention),
+		Lead:      e.cfg.Roster.Ceiling,
+		Retention: max(roster.DefaultRetention, 2*e.cfg.Limits.Retention),
 	}
 }
 
-// dialPeer opens links to other entries, with TLS if it is configured.
-func dialPeer(conf *tls.Config, traffic *wire.Traffic) func(context.Context, wire.EntryAddr) (wire.Link, error) {
+// dialPeer returns a function that opens links to other entries, with TLS if it
+// is configured.
+func dialPeer(tlsConfig *tls.Config, traffic *wire.Traffic) func(context.Context, wire.EntryAddr) (wire.Link, error) {
 	scheme := "ws"
-	if conf != nil {
+	if tlsConfig != nil {
 		scheme = "wss"
 	}
-	client := wire.NewClient(conf)
+	client := wire.NewClient(tlsConfig)
 	return func(ctx context.Context, to wire.EntryAddr) (wire.Link, error) {
 		return wire.Dial(ctx, scheme+"://"+to.Inner+wire.PeerPath, client, traffic)
 	}
 }
 
-// advertised is where others reach the inner listener: the configured address,
-// or the one that was opened where the configuration leaves the port open.
-func advertised(set *settings.Entry, opened string) string {
-	if set.AdvertiseInner != "" && set.AdvertiseInner != set.Inner {
-		return set.AdvertiseInner
+// advertisedAddr returns the address at which other processes reach the inner
+// listener: AdvertiseInner, or the listener's own address if AdvertiseInner is
+// empty or equal to Inner, whose port may be 0.
+func advertisedAddr(cfg *settings.Entry, listenAddr string) string {
+	if cfg.AdvertiseInner != "" && cfg.AdvertiseInner != cfg.Inner {
+		return cfg.AdvertiseInner
 	}
-	return opened
+	return listenAddr
 }
 
-func (e *Entry) callerLimits() httpserve.Limits {
+func (e *Entry) callerHTTPLimits() httpserve.Limits {
 	l := httpserve.DefaultLimits()
-	l.HeaderTimeout = e.set.Limits.HeaderTimeout
-	l.BodyTimeout = e.set.Limits.BodyTimeout
-	l.IdleTimeout = e.set.Limits.IdleTimeout
-	l.Connections = int(e.set.Limits.Connections)
+	l.HeaderTimeout = e.cfg.Limits.HeaderTimeout
+	l.BodyTimeout = e.cfg.Limits.BodyTimeout
+	l.IdleTimeout = e.cfg.Limits.IdleTimeout
+	l.Connections = int(e.cfg.Limits.Connections)
 	return l
 }
 
 func (e *Entry) jobLimits() jobs.Limits {
 	l := jobs.DefaultLimits()
-	l.Retention = e.set.Limits.Retention
-	l.AnswerBytes = e.set.Limits.AnswerBytes
-	l.Records = int(e.set.Limits.Records)
+	l.Retention = e.cfg.Limits.Retention
+	l.AnswerBytes = e.cfg.Limits.AnswerBytes
+	l.Records = int(e.cfg.Limits.Records)
 	return l
 }
 
-// Addrs are the opened addresses for callers, guards and operators.
+// Addrs returns the listen addresses for callers, guards and operators.
 func (e *Entry) Addrs() (callers, inner, admin string) {
 	return e.callers.Addr(), e.inner.Addr(), e.admin.Addr()
 }
 
-// Server gives the entry's server.
+// Server returns the entry's server.
 func (e *Entry) Server() *entry.Server { return e.server }
 
-// Run serves until ctx ends and then stops gracefully. It returns an error if
-// a listener failed or the stop cut off requests.
+// Run serves until ctx ends and then stops gracefully. It returns an error if a
+// listener failed, if the entry was fenced, or if the stop aborted requests.
 func (e *Entry) Run(ctx context.Context) error {
-	running, end := context.WithCancel(context.Background())
-	defer end()
-	failed := make(chan error, 3)
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	serveErrs := make(chan error, 3)
 	for _, s := range []*httpserve.Server{e.callers, e.inner, e.admin} {
-		go func() { failed <- s.Serve() }()
+		go func() { serveErrs <- s.Serve() }()
 	}
-	go func() { _ = e.sync.Run(running) }()
-	go e.router.Run(running)
+	go func() { _ = e.sync.Run(runCtx) }()
+	go e.router.Run(runCtx)
 	e.log.Info("entry serves", "callers", e.callers.Addr(), "inner", e.inner.Addr(), "admin", e.admin.Addr())
 	select {
 	case <-ctx.Done():
-		return e.stop()
+		return e.shutdown()
 	case <-e.fenced:
-		// Nothing may be started under this incarnation any more. Ending lets
-		// the platform start a new one.
+		// This incarnation must not start anything any more. Run returns so
+		// that the platform starts a new incarnation.
 		e.server.Close()
 		return errors.Join(errFenced, e.closeListeners())
-	case err := <-failed:
+	case err := <-serveErrs:
 		e.server.Close()
 		return errors.Join(err, e.closeListeners())
 	}
 }
 
-// stop is a planned stop. First the balancer and the roster send new work
-// elsewhere while all requests are still served; then fresh jobs are refused
-// and open ones finish; only then do connections close.
-func (e *Entry) stop() error {
-	ctx, cancel := context.WithTimeout(context.Background(), lameDuck+leavePatience+e.set.Limits.DrainTimeout)
+// shutdown stops the entry gracefully. While all requests are still served, the
+// load balancer and the roster move new work to other entries. Then new jobs
+// are refused and open ones finish. Connections close last.
+func (e *Entry) shutdown() error {
+	ctx, cancel := context.WithTimeout(context.Background(), lameDuckDelay+rosterLeaveTimeout+e.cfg.Limits.DrainTimeout)
 	defer cancel()
-	e.log.Info("entry leaves")
+	e.log.Info("entry is shutting down")
 	e.server.Leave()
-	if !e.Abrupt {
-		left := make(chan struct{})
-		go func() { e.leaveRoster(ctx); close(left) }()
-		pause.For(ctx, lameDuck)
-		<-left
+	if !e.SkipLameDuck {
+		rosterDone := make(chan struct{})
+		go func() { e.leaveRoster(ctx); close(rosterDone) }()
+		pause.For(ctx, lameDuckDelay)
+		<-rosterDone
 	}
 	err := e.server.Drain(ctx)
 	if err != nil {
-		err = fmt.Errorf("stop cut off open jobs: %w", err)
+		err = fmt.Errorf("shutdown aborted open jobs: %w", err)
 	}
 	err = errors.Join(err, e.callers.Stop(ctx))
 	e.server.Close()
-	pause.For(ctx, flushTime)
+	pause.For(ctx, flushDelay)
 	e.log.Info("entry stopped")
 	return errors.Join(err, e.closeListeners())
 }
 
-// leavePatience is how long a stopping entry waits to be off the roster. It takes
-// about six seconds, and does not come about while the store is down.
-const leavePatience = 10 * time.Second
+// rosterLeaveTimeout bounds how long a stopping entry waits to be removed from
+// the roster. Removal takes about six seconds and does not happen while the
+// store is down.
+const rosterLeaveTimeout = 10 * time.Second
 
-// leaveRoster takes this entry off the roster while it still takes fresh jobs.
-// If it refused them before a roster without it has begun, the callers would be
-// refused identities that no other entry may start.
+// leaveRoster removes this entry from the roster while it still accepts new
+// jobs. If it refused them before a roster without it is in force, callers
+// would be refused identities that no other entry may start.
 func (e *Entry) leaveRoster(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leavePatience)
+	ctx, cancel := context.WithTimeout(ctx, rosterLeaveTimeout)
 	defer cancel()
 	if err := e.router.Leave(ctx); err != nil {
-		e.log.Warn("could not leave the roster; others will notice the end of links", "err", err)
+		e.log.Warn("could not leave the roster; other entries will detect the closed links", "err", err)
 	}
 }
 
 func (e *Entry) closeListeners() error {
-	ctx, cancel := context.WithTimeout(context.Background(), flushTime)
+	ctx, cancel := context.WithTimeout(context.Background(), flushDelay)
 	defer cancel()
 	for _, s := range []*httpserve.Server{e.callers, e.inner, e.admin} {
 		if s != nil {
-			_ = s.Stop(ctx) // upgraded connections are not waited for
+			_ = s.Stop(ctx) // does not wait for upgraded connections
 		}
 	}
 	return nil
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -13,54 +13,54 @@
 	"wigeontray/internal/telemetry"
 )
 
-// RunGuard serves by settings until ctx ends and then stops gracefully: the
-// upstream's tasks finish and their results reach the entries.
-func RunGuard(ctx context.Context, set *settings.Guard, logs io.Writer) error {
-	o, err := guardOptions(set, logs)
+// RunGuard runs a guard until ctx ends and then stops it gracefully: running
+// tasks finish and their results reach the entries.
+func RunGuard(ctx context.Context, cfg *settings.Guard, logs io.Writer) error {
+	o, err := guardOptions(cfg, logs)
 	if err != nil {
 		return err
 	}
-	limitMemory(set.Limits.Memory)
+	setMemoryLimit(cfg.Limits.Memory)
 	g, err := guard.New(*o)
 	if err != nil {
 		return err
 	}
-	stopped := make(chan error, 1)
+	stopErr := make(chan error, 1)
 	defer context.AfterFunc(ctx, func() {
-		limit, cancel := context.WithTimeout(context.Background(), set.Limits.DrainTimeout)
+		stopCtx, cancel := context.WithTimeout(context.Background(), cfg.Limits.DrainTimeout)
 		defer cancel()
-		stopped <- g.Stop(limit)
+		stopErr <- g.Stop(stopCtx)
 	})()
 	if err := g.Run(context.Background()); err != nil {
 		return err
 	}
-	return <-stopped
+	return <-stopErr
 }
 
-func guardOptions(set *settings.Guard, logs io.Writer) (*guard.Options, error) {
-	logger, err := telemetry.NewLogger(set.Log.Format, set.Log.Level, logs)
+func guardOptions(cfg *settings.Guard, logs io.Writer) (*guard.Options, error) {
+	logger, err := telemetry.NewLogger(cfg.Log.Format, cfg.Log.Level, logs)
 	if err != nil {
 		return nil, err
 	}
-	key, err := set.Fleet.Key()
+	key, err := cfg.Fleet.Key()
 	if err != nil {
-		return nil, fmt.Errorf("key of links: %w", err)
+		return nil, fmt.Errorf("fleet key: %w", err)
 	}
-	dialTLS, err := set.TLS.Client()
+	dialTLS, err := cfg.TLS.Client()
 	if err != nil {
 		return nil, err
 	}
-	member, _, _ := strings.Cut(set.Upstream.Service, "/")
-	figures := telemetry.New()
+	member, _, _ := strings.Cut(cfg.Upstream.Service, "/")
+	registry := telemetry.New()
 	return &guard.Options{
-		Entries: set.Entries, TLS: dialTLS, Key: key,
-		Service: set.Upstream.Service, Worker: set.Worker, Rack: set.Rack, Domain: set.FailureDomain, Region: set.Region,
-		Accelerator: int(set.Accelerators), MemoryMB: int(set.MemoryMB), Slots: int(set.Upstream.Slots),
-		Upstream: set.Upstream.URL, Path: set.Upstream.Path,
-		HealthPath: set.Upstream.HealthPath, HealthEvery: set.Upstream.HealthPeriod,
-		Connections: int(set.Upstream.Connections), MaxAnswer: int(set.Limits.AnswerBytes),
-		Admin: set.Admin, Metrics: figures, Registry: figures.GoMetrics(),
+		Entries: cfg.Entries, TLS: dialTLS, Key: key,
+		Service: cfg.Upstream.Service, Worker: cfg.Worker, Rack: cfg.Rack, Domain: cfg.FailureDomain, Region: cfg.Region,
+		Accelerator: int(cfg.Accelerators), MemoryMB: int(cfg.MemoryMB), Slots: int(cfg.Upstream.Slots),
+		Upstream: cfg.Upstream.URL, Path: cfg.Upstream.Path,
+		HealthPath: cfg.Upstream.HealthPath, HealthEvery: cfg.Upstream.HealthPeriod,
+		Connections: int(cfg.Upstream.Connections), MaxAnswer: int(cfg.Limits.AnswerBytes),
+		Admin: cfg.Admin, Metrics: registry, Registry: registry.GoMetrics(),
 		Logger: logger, Software: telemetry.Version, Seed: rand.Uint64(),
-		Ledger: ledger.Options{Member: member, Retention: set.Limits.Retention, HeldBytes: int(set.Limits.HeldBytes)},
+		Ledger: ledger.Options{Member: member, Retention: cfg.Limits.Retention, HeldBytes: int(cfg.Limits.HeldBytes)},
 	}, nil
 }
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -7,22 +7,21 @@
 	"wigeontray/internal/settings"
 )
 
-// limitMemory puts the setting of a process in force, unless the environment
-// gives a limit of its own.
-func limitMemory(bytes int64) {
+// setMemoryLimit applies a process's memory limit from the settings, unless
+// GOMEMLIMIT is set.
+func setMemoryLimit(bytes int64) {
 	if bytes < settings.NoMemoryLimit && os.Getenv("GOMEMLIMIT") == "" {
 		debug.SetMemoryLimit(bytes)
 	}
 }
 
-// entryGCPercent is how much garbage an entry lets grow, as a percentage of its
-// live heap. The runtime's own 100 takes an entry with the guards of a region beyond
-// its memory.
+// entryGCPercent is the GOGC value of an entry. With the runtime's default of
+// 100 an entry that serves all guards of a region exceeds its memory limit.
 const entryGCPercent = 50
 
-// collectEarly makes the collector of an entry run more often, unless the
-// environment says otherwise.
-func collectEarly() {
+// setGCPercent applies entryGCPercent, so that the garbage collector runs more
+// often, unless GOGC is set.
+func setGCPercent() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(entryGCPercent)
 	}
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -11,29 +11,31 @@
 	"wigeontray/internal/recordapi"
 )
 
-// records serves the operators' record API to members and, where a hash of its
-// token is set, to the consortium's operator.
-func (e *Entry) records() (http.Handler, error) {
-	consortium, err := hex.DecodeString(e.set.Operators.ConsortiumTokenSHA256)
+// recordsHandler serves the operators' record API to members and, if the hash
+// of its token is configured, to the consortium's operator.
+func (e *Entry) recordsHandler() (http.Handler, error) {
+	consortiumHash, err := hex.DecodeString(e.cfg.Operators.ConsortiumTokenSHA256)
 	if err != nil {
 		return nil, fmt.Errorf("consortium token: %w", err)
 	}
 	return recordapi.New(recordapi.Options{
 		Sync: e.sync,
 		Authenticate: func(r *http.Request) (recordapi.Principal, error) {
-			if isConsortium(r, consortium) {
+			if hasConsortiumToken(r, consortiumHash) {
 				return recordapi.Principal{Consortium: true}, nil
 			}
-			member, refusal := e.server.Authenticate(r)
-			if refusal != nil {
-				return recordapi.Principal{}, refusal
+			member, authErr := e.server.Authenticate(r)
+			if authErr != nil {
+				return recordapi.Principal{}, authErr
 			}
 			return recordapi.Principal{Member: member}, nil
 		},
 	}), nil
 }
 
-func isConsortium(r *http.Request, hash []byte) bool {
+// hasConsortiumToken reports whether the request carries the token with the
+// given SHA-256 hash.
+func hasConsortiumToken(r *http.Request, hash []byte) bool {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || len(hash) == 0 {
 		return false
--- a/internal/node/standalone.go
+++ b/internal/node/standalone.go
@@ -18,14 +18,15 @@
 	"wigeontray/internal/telemetry"
 )
 
-// SampleMember is a member of the quickstart with its service and sample task.
+// SampleMember is a member of the quickstart with its service and a sample
+// task.
 type SampleMember struct {
 	Name, Token, Service, Task string
 	domains                    []string
 }
 
-// SampleMembers are the two members of the quickstart. Their tokens are no
-// secrets: the quickstart listens on loopback and keeps nothing.
+// SampleMembers returns the two members of the quickstart. Their tokens are not
+// secret: the quickstart listens on loopback and stores nothing on disk.
 func SampleMembers() []SampleMember {
 	return []SampleMember{
 		{
@@ -41,28 +42,28 @@
 	}
 }
 
-// Standalone is a whole small system in one process: an embedded store, one
-// entry, and a guard with a sample upstream for each failure domain.
+// Standalone is a complete system in one process: an embedded store, one entry,
+// and a guard with a sample upstream for each failure domain.
 type Standalone struct {
 	*Entry
-	kv     *standin.Server
-	guards []*guard.Guard
-	https  []*httpserve.Server
+	kv          *standin.Server
+	guards      []*guard.Guard
+	httpServers []*httpserve.Server
 }
 
-// NewStandalone builds the system. Callers are served at listen; without workers
-// it has members and services, and no guard.
+// NewStandalone builds the system and serves callers at listen. Without workers
+// it has members and services but no guards.
 func NewStandalone(listen string, workers bool, logs io.Writer) (*Standalone, error) {
 	s := &Standalone{kv: standin.New()}
-	set := settings.DefaultEntry()
-	set.Name, set.Region, set.FailureDomain = "entry", "local", "local-a"
-	set.Callers, set.Inner, set.Admin = listen, "127.0.0.1:0", "127.0.0.1:0"
-	set.Store.Endpoints = []string{"http://store.invalid"} // never dialled
+	cfg := settings.DefaultEntry()
+	cfg.Name, cfg.Region, cfg.FailureDomain = "entry", "local", "local-a"
+	cfg.Callers, cfg.Inner, cfg.Admin = listen, "127.0.0.1:0", "127.0.0.1:0"
+	cfg.Store.Endpoints = []string{"http://store.invalid"} // never dialed
 	var err error
-	if s.Entry, err = NewEntry(set, &standin.Transport{Handler: s.kv}, logs); err != nil {
+	if s.Entry, err = NewEntry(cfg, &standin.Transport{Handler: s.kv}, logs); err != nil {
 		return nil, err
 	}
-	s.Abrupt = true
+	s.SkipLameDuck = true
 	if !workers {
 		return s, nil
 	}
@@ -76,19 +77,19 @@
 	return s, nil
 }
 
-// addWorker starts a sample upstream and makes its guard.
+// addWorker opens a listener for a sample upstream and creates its guard.
 func (s *Standalone) addWorker(m SampleMember, domain string) error {
 	worker := m.Service + "-" + domain
-	up, err := httpserve.Listen("127.0.0.1:0", sample.New(worker, 1), nil, httpserve.DefaultLimits())
+	upstream, err := httpserve.Listen("127.0.0.1:0", sample.New(worker, 1), nil, httpserve.DefaultLimits())
 	if err != nil {
 		return err
 	}
-	s.https = append(s.https, up)
+	s.httpServers = append(s.httpServers, upstream)
 	_, inner, _ := s.Addrs()
 	g, err := guard.New(guard.Options{
 		Entries: []string{inner}, Service: m.Name + "/" + m.Service,
 		Worker: worker, Rack: domain + "-r1", Domain: domain, Region: "local", Slots: 8,
-		Upstream: "http://" + up.Addr(), Path: "/", Logger: s.log, Software: telemetry.Version,
+		Upstream: "http://" + upstream.Addr(), Path: "/", Logger: s.log, Software: telemetry.Version,
 	})
 	if err != nil {
 		return err
@@ -97,15 +98,16 @@
 	return nil
 }
 
-// guardStop bounds the stop of the guards, whose entry is gone by then.
-const guardStop = 5 * time.Second
+// guardStopTimeout bounds the stop of the guards, which happens after the entry
+// has stopped.
+const guardStopTimeout = 5 * time.Second
 
 // Run serves until ctx ends.
 func (s *Standalone) Run(ctx context.Context) error {
 	if err := s.writeRecords(ctx); err != nil {
 		return err
 	}
-	for _, h := range s.https {
+	for _, h := range s.httpServers {
 		go func() { _ = h.Serve() }()
 	}
 	guards, stopGuards := context.WithCancel(context.Background())
@@ -114,21 +116,21 @@
 		go func() { _ = g.Run(guards) }()
 	}
 	err := s.Entry.Run(ctx)
-	stop, cancel := context.WithTimeout(context.Background(), guardStop)
+	stopCtx, cancel := context.WithTimeout(context.Background(), guardStopTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, g := range s.guards {
-		wg.Go(func() { _ = g.Stop(stop) }) // nothing is in flight once the entry has stopped
+		wg.Go(func() { _ = g.Stop(stopCtx) }) // no task is in flight once the entry has stopped
 	}
 	wg.Wait()
-	for _, h := range s.https {
-		_ = h.Stop(stop)
+	for _, h := range s.httpServers {
+		_ = h.Stop(stopCtx)
 	}
 	s.kv.Close()
 	return err
 }
 
-// writeRecords puts the sample members and services into the embedded store.
+// writeRecords writes the sample members and services to the embedded store.
 func (s *Standalone) writeRecords(ctx context.Context) error {
 	kv := store.NewEtcd(store.Options{
 		Endpoints: []string{"http://store.invalid"}, Transport: &standin.Transport{Handler: s.kv},
@@ -148,19 +150,19 @@
 			return err
 		}
 	}
-	// A service without workers, for the capacity command to bring its own.
+	// The capacity command uses this service with workers of its own.
 	return put(record.KindService, "ayni/measure", `{"kind":"service","name":"ayni/measure","schema":1,"path":"/"}`)
 }
 
-// AwaitReady waits until the configuration is in force and every guard is
-// linked, or ctx ends.
+// AwaitReady waits until a configuration is in force and every guard is linked,
+// or until ctx ends.
 func (s *Standalone) AwaitReady(ctx context.Context) error {
-	const poll = 10 * time.Millisecond
-	t := time.NewTicker(poll)
-	defer t.Stop()
+	const pollInterval = 10 * time.Millisecond
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for !s.server.Ready() || s.server.Usable() < len(s.guards) {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return fmt.Errorf("standalone did not become ready: %w", ctx.Err())
 		}
