--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -31,30 +31,30 @@
 }
 
 // Run measures and prints what a guard and a task cost at an entry.
-func (c *capacityCmd) Run(e *env) error {
-	o := capacity.Options{
+func (c *capacityCmd) Run(e *commandEnv) error {
+	opts := capacity.Options{
 		Guards: c.Guards, Jobs: c.Jobs, Idle: c.Idle, Load: c.Load,
 		Callers: c.Concurrency, JSON: c.JSON, Progress: e.stderr,
 	}
 	if c.Inner == "" {
-		return c.measureOwn(e, o)
+		return c.measureStandalone(e, opts)
 	}
 	target, err := c.target()
 	if err != nil {
 		return err
 	}
-	o.Target = *target
-	return capacity.Run(e.ctx, o, e.stdout)
+	opts.Target = *target
+	return capacity.Run(e.ctx, opts, e.stdout)
 }
 
 func (c *capacityCmd) target() (*capacity.Target, error) {
 	t := &capacity.Target{Inner: c.Inner, Callers: c.Callers, Admin: c.Admin, Member: c.Member, Service: c.Service}
 	var err error
-	if t.Token, err = secretFrom(c.TokenFile); err != nil {
+	if t.Token, err = readSecret(c.TokenFile); err != nil {
 		return nil, err
 	}
 	if c.KeyFile != "" {
-		if t.FleetKey, err = secretFrom(c.KeyFile); err != nil {
+		if t.FleetKey, err = readSecret(c.KeyFile); err != nil {
 			return nil, err
 		}
 	}
@@ -67,27 +67,27 @@
 	return t, nil
 }
 
-// measureOwn measures an entry of the quickstart in this process.
-func (c *capacityCmd) measureOwn(e *env, o capacity.Options) error {
+// measureStandalone measures an entry of the quickstart in this process.
+func (c *capacityCmd) measureStandalone(e *commandEnv, opts capacity.Options) error {
 	s, err := node.NewStandalone("127.0.0.1:0", false, io.Discard)
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithCancel(e.ctx)
-	defer stop()
-	stopped := make(chan error, 1)
-	go func() { stopped <- s.Run(ctx) }()
+	ctx, cancel := context.WithCancel(e.ctx)
+	defer cancel()
+	runDone := make(chan error, 1)
+	go func() { runDone <- s.Run(ctx) }()
 	if err := s.AwaitReady(ctx); err != nil {
 		return err
 	}
 	callers, inner, admin := s.Addrs()
-	o.Target = capacity.Target{
+	opts.Target = capacity.Target{
 		Inner: inner, Callers: "http://" + callers, Admin: "http://" + admin,
 		Token: node.SampleMembers()[0].Token, Member: c.Member, Service: c.Service, Shared: true,
 	}
-	if err := capacity.Run(ctx, o, e.stdout); err != nil {
+	if err := capacity.Run(ctx, opts, e.stdout); err != nil {
 		return err
 	}
-	stop()
-	return <-stopped
+	cancel()
+	return <-runDone
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,11 +21,11 @@
 // errFailed marks a command that ran and whose answer is no.
 var errFailed = errors.New("failed")
 
-// errUnknown marks an outcome that cannot be known; ask before repeating.
-var errUnknown = errors.New("outcome unknown")
+// errOutcomeUnknown marks an outcome that cannot be known; ask before repeating.
+var errOutcomeUnknown = errors.New("outcome unknown")
 
-// env is what commands share.
-type env struct {
+// commandEnv is what commands share.
+type commandEnv struct {
 	ctx    context.Context
 	stdout io.Writer
 	stderr io.Writer
@@ -51,13 +51,13 @@
 
 // Main runs the command line of the entry binary and returns its exit code.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	ignoreHangup(args, "platform")
-	var c commands
-	k, err := parse(&c, "wigeontray", "A shared dispatcher for short urgent requests.", args, stdout, stderr)
+	ignoreSIGHUP(args, "platform")
+	var grammar commands
+	parsed, err := parse(&grammar, "wigeontray", "A shared dispatcher for short urgent requests.", args, stdout, stderr)
 	if err != nil {
 		return exitCode("wigeontray", stderr, err)
 	}
-	return exitCode("wigeontray", stderr, k.Run(&env{ctx: ctx, stdout: stdout, stderr: stderr}))
+	return exitCode("wigeontray", stderr, parsed.Run(&commandEnv{ctx: ctx, stdout: stdout, stderr: stderr}))
 }
 
 // parse reads args by the grammar of a binary. A request for help prints it and
@@ -67,11 +67,11 @@
 	if err != nil {
 		panic(err) // grammars are constant
 	}
-	k, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	return k, nil
+	return parsed, nil
 }
 
 func exitCode(name string, stderr io.Writer, err error) int {
@@ -82,7 +82,7 @@
 	switch {
 	case errors.Is(err, errUsage):
 		return operator.ExitUsage
-	case errors.Is(err, errUnknown):
+	case errors.Is(err, errOutcomeUnknown):
 		return operator.ExitUnknown
 	}
 	return operator.ExitCode(err)
@@ -91,13 +91,13 @@
 type versionCmd struct{}
 
 // Run prints the version.
-func (versionCmd) Run(e *env) error {
+func (versionCmd) Run(e *commandEnv) error {
 	_, err := fmt.Fprintln(e.stdout, "wigeontray", telemetry.Version)
 	return err
 }
 
-// secretFrom reads a token or key from a file, without its trailing newline.
-func secretFrom(path string) (string, error) {
+// readSecret reads a token or key from a file, without its trailing newline.
+func readSecret(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", errUsage, err)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -35,7 +35,7 @@
 
 // A script misspells a flag or a file. The code must tell it from a command that
 // ran and said no.
-func TestWrongUsageHasItsOwnCode(t *testing.T) {
+func TestUsageErrorExitCode(t *testing.T) {
 	for _, args := range [][]string{
 		{}, {"fly"}, {"serve"}, {"serve", "--config", "no-such-file.ini"}, {"replay"}, {"replay", "no-such-file"},
 		{"submit", "--entry", "http://127.0.0.1:1", "--token-file", "no-such-file", "--service", "s", "1"},
@@ -47,20 +47,20 @@
 	}
 }
 
-func TestCheckSamples(t *testing.T) {
+func TestCheckExamples(t *testing.T) {
 	code, out, errs := run(t, "check", filepath.Join("..", "..", "examples"))
 	qt.Assert(t, code, qt.Equals, operator.ExitOK, qt.Commentf("%s", errs))
 	qt.Assert(t, strings.Count(out, `"ok": true`), qt.Equals, 16)
-	bad := filepath.Join(t.TempDir(), "entry.ini")
-	qt.Assert(t, os.WriteFile(bad, []byte("[node]\nnmae = x\n"), 0o600), qt.IsNil)
-	code, out, _ = run(t, "check", bad)
+	invalid := filepath.Join(t.TempDir(), "entry.ini")
+	qt.Assert(t, os.WriteFile(invalid, []byte("[node]\nnmae = x\n"), 0o600), qt.IsNil)
+	code, out, _ = run(t, "check", invalid)
 	qt.Assert(t, code, qt.Equals, operator.ExitInvalid)
 	qt.Assert(t, out, qt.Contains, "nmae")
 }
 
 // A trace states an outcome that does not come about. The command must say so by
 // its code, or a script would take the fault for a pass.
-func TestReplayTellsUnmetOutcomes(t *testing.T) {
+func TestReplayFailsOnUnmetOutcome(t *testing.T) {
 	trace := filepath.Join("..", "..", "traces", "cancel-races-start.trace")
 	code, _, errs := run(t, "replay", trace)
 	qt.Assert(t, code, qt.Equals, operator.ExitOK, qt.Commentf("%s", errs))
@@ -75,29 +75,29 @@
 }
 
 // The first thing a newcomer types.
-func TestStandaloneServesTheSamples(t *testing.T) {
+func TestStandaloneCompletesSampleJobs(t *testing.T) {
 	code, out, errs := run(t, "standalone")
 	qt.Assert(t, code, qt.Equals, operator.ExitOK, qt.Commentf("%s", errs))
 	qt.Assert(t, strings.Count(out, `"state":"complete"`), qt.Equals, 2)
 }
 
 // Guards against a process of the platform that is ended by a signal for changed settings while it starts.
-func TestHangupIsIgnoredBeforeTheSettingsAreRead(t *testing.T) {
-	t.Setenv(configEnv, "no-such-file.ini")
+func TestSIGHUPIsIgnoredBeforeSettingsAreRead(t *testing.T) {
+	t.Setenv(configPathEnv, "no-such-file.ini")
 	for _, start := range []func() int{
 		func() int { return Main(t.Context(), []string{"platform"}, io.Discard, io.Discard) },
 		func() int { return GuardMain(t.Context(), []string{"--platform"}, io.Discard, io.Discard) },
 	} {
-		forgetIgnored()
+		restoreSIGHUP()
 		qt.Check(t, start() != operator.ExitOK, qt.IsTrue)
 		qt.Check(t, signal.Ignored(syscall.SIGHUP), qt.IsTrue)
 	}
-	forgetIgnored()
+	restoreSIGHUP()
 }
 
-// forgetIgnored gives the signal its default; signal.Reset would leave it ignored.
-func forgetIgnored() {
-	caught := make(chan os.Signal, 1)
-	signal.Notify(caught, syscall.SIGHUP)
-	signal.Stop(caught)
+// restoreSIGHUP gives the signal its default; signal.Reset would leave it ignored.
+func restoreSIGHUP() {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	signal.Stop(signals)
 }
--- a/internal/cli/guard.go
+++ b/internal/cli/guard.go
@@ -23,29 +23,29 @@
 // GuardMain runs the command line of the guard binary and returns its exit
 // code. The guard serves until SIGTERM asks for a planned stop.
 func GuardMain(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	ignoreHangup(args, "--platform")
-	var c guardCommand
+	ignoreSIGHUP(args, "--platform")
+	var command guardCommand
 	const name = "wigeontray-guard"
-	_, err := parse(&c, name, "Runs beside one upstream, announces it to the entries and runs their tasks on it.", args, stdout, stderr)
+	_, err := parse(&command, name, "Runs beside one upstream, announces it to the entries and runs their tasks on it.", args, stdout, stderr)
 	if err != nil {
 		return exitCode(name, stderr, err)
 	}
-	if c.Version {
+	if command.Version {
 		fmt.Fprintln(stdout, name, telemetry.Version)
 		return operator.ExitOK
 	}
-	if c.Platform {
-		return exitCode(name, stderr, runPlatform(ctx, platform.RunGuard, os.Getenv(configEnv), stdout))
+	if command.Platform {
+		return exitCode(name, stderr, runPlatform(ctx, platform.RunGuard, os.Getenv(configPathEnv), stdout))
 	}
-	return exitCode(name, stderr, serveGuard(ctx, c.Config, stderr))
+	return exitCode(name, stderr, serveGuard(ctx, command.Config, stderr))
 }
 
 func serveGuard(ctx context.Context, path string, logs io.Writer) error {
-	set, err := settings.LoadGuard(path)
+	conf, err := settings.LoadGuard(path)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	ctx, stop := untilSignal(ctx)
+	ctx, stop := notifyShutdown(ctx)
 	defer stop()
-	return node.RunGuard(ctx, set, logs)
+	return node.RunGuard(ctx, conf, logs)
 }
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -22,14 +22,14 @@
 }
 
 // Run writes the files.
-func (c *fleetKeysCmd) Run(*env) error {
+func (c *fleetKeysCmd) Run(*commandEnv) error {
 	return tlsconf.GenerateFleet(c.Dir, c.Host, time.Now())
 }
 
 type tokenCmd struct{}
 
 // Run prints the token and its hash as JSON. The token is kept nowhere.
-func (tokenCmd) Run(e *env) error {
+func (tokenCmd) Run(e *commandEnv) error {
 	t, err := tlsconf.NewToken()
 	if err != nil {
 		return err
@@ -40,13 +40,13 @@
 	}{t.Secret, t.Hash})
 }
 
-// get prints the body of a GET.
-func get(ctx context.Context, e *env, h *http.Client, url string) error {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+// printBody prints the body of a GET.
+func printBody(ctx context.Context, e *commandEnv, h *http.Client, url string) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	resp, err := h.Do(r)
+	resp, err := h.Do(req)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -19,7 +19,7 @@
 }
 
 // Run serves until SIGTERM. Nothing is kept.
-func (c *localStoreCmd) Run(e *env) error {
+func (c *localStoreCmd) Run(e *commandEnv) error {
 	kv := standin.New()
 	defer kv.Close()
 	return serveUntilSignal(e, c.Listen, kv)
@@ -32,22 +32,22 @@
 
 // Run serves until SIGTERM. A task is a JSON object; sleep_ms in it is how long
 // the task takes.
-func (c *localUpstreamCmd) Run(e *env) error {
+func (c *localUpstreamCmd) Run(e *commandEnv) error {
 	return serveUntilSignal(e, c.Listen, sample.New(c.Worker, 1))
 }
 
-func serveUntilSignal(e *env, listen string, h http.Handler) error {
+func serveUntilSignal(e *commandEnv, listen string, h http.Handler) error {
 	s, err := httpserve.Listen(listen, h, nil, httpserve.DefaultLimits())
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal(e.ctx)
+	ctx, stop := notifyShutdown(e.ctx)
 	defer stop()
-	failed := make(chan error, 1)
-	go func() { failed <- s.Serve() }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.Serve() }()
 	fmt.Fprintf(e.stdout, "http://%s\n", s.Addr())
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 		return s.Close()
--- a/internal/cli/record.go
+++ b/internal/cli/record.go
@@ -15,27 +15,27 @@
 	Delete recordDeleteCmd `cmd:"" help:"Delete a record if nobody has amended it since."`
 }
 
-// entryFlags say how to reach an entry as an operator.
-type entryFlags struct {
+// operatorFlags say how to reach an entry as an operator.
+type operatorFlags struct {
 	Entry     string `required:"" placeholder:"URL" help:"Base URL of an entry for callers."`
 	TokenFile string `required:"" placeholder:"FILE" help:"File with the token of the member or of the consortium's operator."`
 	CA        string `placeholder:"FILE" help:"Certificates that the entry's certificate must chain to."`
 }
 
-func (f *entryFlags) client() (*operator.Client, error) {
-	token, err := secretFrom(f.TokenFile)
+func (f *operatorFlags) client() (*operator.Client, error) {
+	token, err := readSecret(f.TokenFile)
 	if err != nil {
 		return nil, err
 	}
-	h, err := httpClient(f.CA)
+	httpClient, err := newHTTPClient(f.CA)
 	if err != nil {
 		return nil, err
 	}
-	return operator.New(operator.Options{Address: f.Entry, Token: token, Transport: h.Transport}), nil
+	return operator.New(operator.Options{Address: f.Entry, Token: token, Transport: httpClient.Transport}), nil
 }
 
-// show prints what a call answered.
-func show[T any](e *env, v T, err error) error {
+// printResult prints what a call answered.
+func printResult[T any](e *commandEnv, v T, err error) error {
 	if err != nil {
 		return err
 	}
@@ -43,46 +43,46 @@
 }
 
 type recordGetCmd struct {
-	entryFlags
+	operatorFlags
 	Kind record.Kind `arg:"" help:"member, service, policy or job."`
 	Name string      `arg:"" help:"Name of the record."`
 }
 
 // Run prints the record with its revision.
-func (c *recordGetCmd) Run(e *env) error {
+func (c *recordGetCmd) Run(e *commandEnv) error {
 	cl, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer e.progress("waiting for the entry")()
+	defer e.startProgress("waiting for the entry")()
 	r, err := cl.Get(e.ctx, c.Kind, c.Name)
-	return show(e, r, err)
+	return printResult(e, r, err)
 }
 
 type recordListCmd struct {
-	entryFlags
+	operatorFlags
 	Kind record.Kind `help:"Only this kind."`
 }
 
 // Run prints the records.
-func (c *recordListCmd) Run(e *env) error {
+func (c *recordListCmd) Run(e *commandEnv) error {
 	cl, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer e.progress("waiting for the entry")()
+	defer e.startProgress("waiting for the entry")()
 	l, err := cl.List(e.ctx, c.Kind)
-	return show(e, l, err)
+	return printResult(e, l, err)
 }
 
 type recordPutCmd struct {
-	entryFlags
+	operatorFlags
 	File     string `arg:"" type:"existingfile" help:"File with the record."`
 	Revision int64  `help:"Revision that is amended; 0 for a record that does not exist yet."`
 }
 
 // Run writes the record and prints its new revision.
-func (c *recordPutCmd) Run(e *env) error {
+func (c *recordPutCmd) Run(e *commandEnv) error {
 	b, err := os.ReadFile(c.File)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -91,25 +91,25 @@
 	if err != nil {
 		return err
 	}
-	defer e.progress("waiting for the entry")()
+	defer e.startProgress("waiting for the entry")()
 	r, err := cl.Put(e.ctx, b, c.Revision)
-	return show(e, r, err)
+	return printResult(e, r, err)
 }
 
 type recordDeleteCmd struct {
-	entryFlags
+	operatorFlags
 	Kind     record.Kind `arg:"" help:"member, service, policy or job."`
 	Name     string      `arg:"" help:"Name of the record."`
 	Revision int64       `required:"" help:"Revision that is deleted."`
 }
 
 // Run deletes the record.
-func (c *recordDeleteCmd) Run(e *env) error {
+func (c *recordDeleteCmd) Run(e *commandEnv) error {
 	cl, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer e.progress("waiting for the entry")()
+	defer e.startProgress("waiting for the entry")()
 	r, err := cl.Delete(e.ctx, c.Kind, c.Name, c.Revision)
-	return show(e, r, err)
+	return printResult(e, r, err)
 }
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -18,8 +18,8 @@
 
 // Run replays the traces and fails when a promise was broken or a stated
 // outcome was missed.
-func (c *replayCmd) Run(e *env) error {
-	defer e.progress("replaying")()
+func (c *replayCmd) Run(e *commandEnv) error {
+	defer e.startProgress("replaying")()
 	err := replay.Main(e.stdout, c.Trace, c.Seed, c.JSON)
 	if errors.Is(err, replay.ErrUnmet) {
 		return fmt.Errorf("%w: %w", errFailed, err)
@@ -35,37 +35,37 @@
 }
 
 // Run prints the figures of every placement on every workload.
-func (c *compareCmd) Run(e *env) error {
-	o := replay.CompareOptions{Seed: c.Seed, Only: c.Only, JSON: c.JSON}
+func (c *compareCmd) Run(e *commandEnv) error {
+	opts := replay.CompareOptions{Seed: c.Seed, Only: c.Only, JSON: c.JSON}
 	if c.Traces != "" {
 		paths, err := filepath.Glob(filepath.Join(c.Traces, "*.trace"))
 		if err != nil {
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
-		if o.Traces, err = replay.LoadFiles(paths); err != nil {
+		if opts.Traces, err = replay.LoadFiles(paths); err != nil {
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 	}
-	defer e.progress("comparing")()
-	return replay.Compare(e.stdout, o)
+	defer e.startProgress("comparing")()
+	return replay.Compare(e.stdout, opts)
 }
 
 type checkCmd struct {
 	File []string `arg:"" help:"Settings (.ini) and records (.json); folders are read whole."`
 }
 
-// checkable tells whether a file in a folder is a settings file or a record.
-func checkable(path string) bool {
+// isCheckable tells whether a file in a folder is a settings file or a record.
+func isCheckable(path string) bool {
 	ext := filepath.Ext(path)
 	return ext == ".ini" || ext == ".json"
 }
 
 // Run checks every file and prints what was found in each.
-func (c *checkCmd) Run(e *env) error {
+func (c *checkCmd) Run(e *commandEnv) error {
 	var files []string
 	for _, root := range c.File {
 		err := filepath.WalkDir(root, func(path string, d os.DirEntry, err error) error {
-			if err == nil && !d.IsDir() && (path == root || checkable(path)) {
+			if err == nil && !d.IsDir() && (path == root || isCheckable(path)) {
 				files = append(files, path)
 			}
 			return err
@@ -74,9 +74,9 @@
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 	}
-	found, err := operator.Check(files)
-	if werr := operator.WriteJSON(e.stdout, found); werr != nil {
-		return werr
+	results, err := operator.Check(files)
+	if writeErr := operator.WriteJSON(e.stdout, results); writeErr != nil {
+		return writeErr
 	}
 	return err
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -14,8 +14,8 @@
 	"wigeontray/internal/settings"
 )
 
-// untilSignal ends with SIGTERM or SIGINT, which ask for a planned stop.
-func untilSignal(ctx context.Context) (context.Context, context.CancelFunc) {
+// notifyShutdown ends with SIGTERM or SIGINT, which ask for a planned stop.
+func notifyShutdown(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -24,16 +24,16 @@
 }
 
 // Run serves until a signal asks for a planned stop.
-func (c *serveCmd) Run(e *env) error {
-	set, err := settings.LoadEntry(c.Config)
+func (c *serveCmd) Run(e *commandEnv) error {
+	conf, err := settings.LoadEntry(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	n, err := node.NewEntry(set, nil, e.stderr)
+	n, err := node.NewEntry(conf, nil, e.stderr)
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal(e.ctx)
+	ctx, stop := notifyShutdown(e.ctx)
 	defer stop()
 	return n.Run(ctx)
 }
@@ -47,18 +47,18 @@
 const startTimeout = 20 * time.Second
 
 // Run serves, submits one job for each sample member, and prints the answers.
-func (c *standaloneCmd) Run(e *env) error {
+func (c *standaloneCmd) Run(e *commandEnv) error {
 	s, err := node.NewStandalone(c.Listen, true, e.stderr)
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal(e.ctx)
+	ctx, stop := notifyShutdown(e.ctx)
 	defer stop()
-	running, end := context.WithCancel(ctx)
-	defer end()
-	stopped := make(chan error, 1)
-	go func() { stopped <- s.Run(running) }()
-	if err := c.demonstrate(running, e, s); err != nil {
+	runCtx, cancelRun := context.WithCancel(ctx)
+	defer cancelRun()
+	runDone := make(chan error, 1)
+	go func() { runDone <- s.Run(runCtx) }()
+	if err := c.runSampleJobs(runCtx, e, s); err != nil {
 		return err
 	}
 	if c.Serve {
@@ -66,32 +66,32 @@
 		fmt.Fprintf(e.stdout, "callers http://%s, guards %s, operators http://%s\n", callers, inner, admin)
 		<-ctx.Done()
 	}
-	end()
-	return <-stopped
+	cancelRun()
+	return <-runDone
 }
 
-// demonstrate submits the sample jobs as a caller would.
-func (c *standaloneCmd) demonstrate(ctx context.Context, e *env, s *node.Standalone) error {
+// runSampleJobs submits the sample jobs as a caller would.
+func (c *standaloneCmd) runSampleJobs(ctx context.Context, e *commandEnv, s *node.Standalone) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	defer e.progress("waiting for the sample jobs")()
+	defer e.startProgress("waiting for the sample jobs")()
 	if err := s.AwaitReady(ctx); err != nil {
 		return err
 	}
 	callers, _, _ := s.Addrs()
-	for _, m := range node.SampleMembers() {
-		cl := &client.Client{Entries: []string{"http://" + callers}, Token: m.Token, HTTP: http.DefaultClient}
+	for _, member := range node.SampleMembers() {
+		cl := &client.Client{Entries: []string{"http://" + callers}, Token: member.Token, HTTP: http.DefaultClient}
 		key, err := cl.Key(ctx)
 		if err != nil {
 			return err
 		}
-		tasks := []json.RawMessage{json.RawMessage(m.Task), json.RawMessage(m.Task)}
-		a, err := cl.Submit(ctx, key, &client.Job{Service: m.Service, Tasks: tasks, DeadlineMs: 5000})
+		tasks := []json.RawMessage{json.RawMessage(member.Task), json.RawMessage(member.Task)}
+		answer, err := cl.Submit(ctx, key, &client.Job{Service: member.Service, Tasks: tasks, DeadlineMs: 5000})
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(e.stdout, "%s/%s: %s\n", m.Name, m.Service, a.Body)
-		if err := verdict(a); err != nil {
+		fmt.Fprintf(e.stdout, "%s/%s: %s\n", member.Name, member.Service, answer.Body)
+		if err := outcomeError(answer); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -13,43 +13,43 @@
 	"wigeontray/internal/tlsconf"
 )
 
-// progressAfter is how long a command may stay silent (issue 3).
-const progressAfter = 2 * time.Second
+// progressInterval is how long a command may stay silent (issue 3).
+const progressInterval = 2 * time.Second
 
-// target says how to reach entries as a member.
-type target struct {
+// memberFlags says how to reach entries as a member.
+type memberFlags struct {
 	Entry     []string `required:"" placeholder:"URL" help:"Base URL of an entry for callers; repeat for more."`
 	TokenFile string   `required:"" placeholder:"FILE" help:"File with the member's token."`
 	CA        string   `placeholder:"FILE" help:"Certificates that the entries' certificates must chain to."`
 }
 
-func (t *target) client() (*client.Client, error) {
-	token, err := secretFrom(t.TokenFile)
+func (t *memberFlags) client() (*client.Client, error) {
+	token, err := readSecret(t.TokenFile)
 	if err != nil {
 		return nil, err
 	}
-	h, err := httpClient(t.CA)
+	httpClient, err := newHTTPClient(t.CA)
 	if err != nil {
 		return nil, err
 	}
-	return &client.Client{Entries: t.Entry, Token: token, HTTP: h}, nil
+	return &client.Client{Entries: t.Entry, Token: token, HTTP: httpClient}, nil
 }
 
-func httpClient(ca string) (*http.Client, error) {
-	tr := http.DefaultTransport.(*http.Transport).Clone()
-	tr.Proxy = nil
+func newHTTPClient(ca string) (*http.Client, error) {
+	transport := http.DefaultTransport.(*http.Transport).Clone()
+	transport.Proxy = nil
 	if ca != "" {
 		conf, err := tlsconf.OutsideClient(tlsconf.Files{CA: ca})
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", errUsage, err)
 		}
-		tr.TLSClientConfig = conf
+		transport.TLSClientConfig = conf
 	}
-	return &http.Client{Transport: tr}, nil
+	return &http.Client{Transport: transport}, nil
 }
 
 type submitCmd struct {
-	target
+	memberFlags
 	Service  string        `xor:"what" required:"" help:"Service of the member."`
 	Job      string        `xor:"what" required:"" help:"Declared kind of job, in place of a service."`
 	Team     string        `help:"Team whose quota counts."`
@@ -61,8 +61,8 @@
 
 // Run submits the job and prints the answer. A job that failed exits with
 // ExitFailed, one whose outcome is unknown with ExitUnknown.
-func (c *submitCmd) Run(e *env) error {
-	tasks, err := c.bodies()
+func (c *submitCmd) Run(e *commandEnv) error {
+	tasks, err := c.taskBodies()
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -73,26 +73,26 @@
 	// The answer comes by the deadline; the rest is for resubmissions.
 	ctx, cancel := context.WithTimeout(e.ctx, c.Deadline+5*time.Second)
 	defer cancel()
-	defer e.progress("waiting for the answer")()
+	defer e.startProgress("waiting for the answer")()
 	key := c.Key
 	if key == "" {
 		if key, err = cl.Ticket(ctx); err != nil {
 			return fmt.Errorf("fetch a ticket: %w", err)
 		}
 	}
-	a, err := cl.Submit(ctx, key, &client.Job{
+	answer, err := cl.Submit(ctx, key, &client.Job{
 		Service: c.Service, Job: c.Job, Team: c.Team, DeadlineMs: c.Deadline.Milliseconds(), Tasks: tasks,
 	})
 	if err != nil {
-		return fmt.Errorf("%w: job %s: %w", errUnknown, key, err)
+		return fmt.Errorf("%w: job %s: %w", errOutcomeUnknown, key, err)
 	}
-	if _, err := fmt.Fprintf(e.stdout, "%s\n", a.Body); err != nil {
+	if _, err := fmt.Fprintf(e.stdout, "%s\n", answer.Body); err != nil {
 		return err
 	}
-	return verdict(a)
+	return outcomeError(answer)
 }
 
-func (c *submitCmd) bodies() ([]json.RawMessage, error) {
+func (c *submitCmd) taskBodies() ([]json.RawMessage, error) {
 	var out []json.RawMessage
 	if c.Tasks != "" {
 		b, err := os.ReadFile(c.Tasks)
@@ -115,31 +115,31 @@
 	return out, nil
 }
 
-// verdict turns an answer into the command's outcome.
-func verdict(a *client.Answer) error {
+// outcomeError turns an answer into the command's outcome.
+func outcomeError(a *client.Answer) error {
 	switch e := a.Parsed.Error; {
 	case e == nil:
 		return nil
 	case e.Ran == errkind.RanUnknown.String():
-		return fmt.Errorf("%w: %s", errUnknown, e.Message)
+		return fmt.Errorf("%w: %s", errOutcomeUnknown, e.Message)
 	default:
 		return fmt.Errorf("%w: %s", errFailed, e.Message)
 	}
 }
 
-// progress writes what to stderr once the command has been silent for
-// progressAfter, and again at the same distance, until the returned function
+// startProgress writes what to stderr once the command has been silent for
+// progressInterval, and again at the same distance, until the returned function
 // is called.
-func (e *env) progress(what string) (stop func()) {
+func (e *commandEnv) startProgress(activity string) (stop func()) {
 	done := make(chan struct{})
 	start := time.Now()
 	go func() {
-		t := time.NewTicker(progressAfter)
+		t := time.NewTicker(progressInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-t.C:
-				fmt.Fprintf(e.stderr, "%s, %v so far\n", what, time.Since(start).Round(time.Second))
+				fmt.Fprintf(e.stderr, "%s, %v so far\n", activity, time.Since(start).Round(time.Second))
 			case <-done:
 				return
 			}
@@ -154,13 +154,13 @@
 }
 
 // Run prints the entry's status.
-func (c *statusCmd) Run(e *env) error {
-	h, err := httpClient(c.CA)
+func (c *statusCmd) Run(e *commandEnv) error {
+	httpClient, err := newHTTPClient(c.CA)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, 10*time.Second)
 	defer cancel()
-	defer e.progress("waiting for the entry")()
-	return get(ctx, e, h, c.Admin+"/v1/status")
+	defer e.startProgress("waiting for the entry")()
+	return printBody(ctx, e, httpClient, c.Admin+"/v1/status")
 }
