--- a/cmd/wigeontray-guard/main_test.go
+++ b/cmd/wigeontray-guard/main_test.go
@@ -18,12 +18,12 @@
 	"wigeontray/internal/wire"
 )
 
-// asGuard tells the test binary to be the guard, so that the test needs no
+// runAsGuardEnv tells the test binary to be the guard, so that the test needs no
 // other build.
-const asGuard = "WIGEONTRAY_TEST_AS_GUARD"
+const runAsGuardEnv = "WIGEONTRAY_TEST_AS_GUARD"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asGuard) != "" {
+	if os.Getenv(runAsGuardEnv) != "" {
 		main()
 		return
 	}
@@ -33,7 +33,7 @@
 // The platform ends the process with SIGTERM while the upstream works on a
 // booking. The agent must still get the answer, and the process must end by
 // itself, or the platform kills it with whatever is in flight.
-func TestSigtermFinishesWhatRuns(t *testing.T) {
+func TestSIGTERMCompletesRunningTasks(t *testing.T) {
 	frames := make(chan *wire.Frame, 16)
 	links := make(chan wire.Link, 1)
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -45,33 +45,33 @@
 		}
 	}))
 	defer entry.Close()
-	work := sample.New("w1", 1)
-	upstream := httptest.NewServer(work)
+	sampleUpstream := sample.New("w1", 1)
+	upstream := httptest.NewServer(sampleUpstream)
 	defer upstream.Close()
-	guard := exec.Command(os.Args[0], "--config", settingsFile(t, entry.Listener.Addr().String(), upstream.URL))
-	guard.Env, guard.Stderr = append(os.Environ(), asGuard+"=1"), os.Stderr
+	guard := exec.Command(os.Args[0], "--config", writeSettings(t, entry.Listener.Addr().String(), upstream.URL))
+	guard.Env, guard.Stderr = append(os.Environ(), runAsGuardEnv+"=1"), os.Stderr
 	qt.Assert(t, guard.Start(), qt.IsNil)
 	defer func() { _ = guard.Process.Kill() }()
 
 	const home = identity.Incarnation("entry-a-1")
 	link := <-links
-	waitFor(t, frames, func(f *wire.Frame) bool { return f.Hello != nil && f.Hello.Worker == "w1" })
+	waitForFrame(t, frames, func(f *wire.Frame) bool { return f.Hello != nil && f.Hello.Worker == "w1" })
 	qt.Assert(t, link.Send(&wire.Frame{Welcome: &wire.Welcome{Version: wire.Version, Incarnation: home}}), qt.IsNil)
-	waitFor(t, frames, func(f *wire.Frame) bool { return f.Load != nil && f.Load.Healthy })
+	waitForFrame(t, frames, func(f *wire.Frame) bool { return f.Load != nil && f.Load.Healthy })
 	ref := wire.Ref{Member: "ayni", Key: identity.NewTicket(home, time.Now()).Text}
 	start := &wire.Start{Ref: ref, Home: home, LeftMs: 10_000, Body: []byte(`{"sleep_ms":500}`)}
 	qt.Assert(t, link.Send(&wire.Frame{Start: start}), qt.IsNil)
-	for len(work.Starts()) == 0 {
+	for len(sampleUpstream.Starts()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	qt.Assert(t, guard.Process.Signal(syscall.SIGTERM), qt.IsNil)
-	waitFor(t, frames, func(f *wire.Frame) bool { return f.Goodbye != nil })
-	waitFor(t, frames, func(f *wire.Frame) bool { return f.Result != nil && f.Result.Status == http.StatusOK })
+	waitForFrame(t, frames, func(f *wire.Frame) bool { return f.Goodbye != nil })
+	waitForFrame(t, frames, func(f *wire.Frame) bool { return f.Result != nil && f.Result.Status == http.StatusOK })
 	qt.Assert(t, guard.Wait(), qt.IsNil)
 }
 
-// settingsFile writes the guard's settings.
-func settingsFile(t *testing.T, entry, upstream string) string {
+// writeSettings writes the guard's settings.
+func writeSettings(t *testing.T, entry, upstream string) string {
 	path := filepath.Join(t.TempDir(), "guard.ini")
 	ini := fmt.Sprintf(`[node]
 worker = w1
@@ -92,16 +92,16 @@
 	return path
 }
 
-func waitFor(t *testing.T, frames <-chan *wire.Frame, want func(*wire.Frame) bool) {
+func waitForFrame(t *testing.T, frames <-chan *wire.Frame, matches func(*wire.Frame) bool) {
 	t.Helper()
-	over := time.After(10 * time.Second)
+	timeout := time.After(10 * time.Second)
 	for {
 		select {
 		case f := <-frames:
-			if want(f) {
+			if matches(f) {
 				return
 			}
-		case <-over:
+		case <-timeout:
 			t.Fatal("the frame did not come within 10 s")
 		}
 	}
