--- a/internal/e2e/amend_test.go
+++ b/internal/e2e/amend_test.go
@@ -15,16 +15,16 @@
 	"wigeontray/internal/record"
 )
 
-// putRecord writes a service of ayni by the operators' command, and gives its
+// putService writes a service of ayni by the operators' command, and gives its
 // exit code and the revision that it printed.
-func (f *fleet) putRecord(e *entryProcess, maxTasks int, revision int64) (code int, printed int64) {
+func (f *fleet) putService(e *entryProcess, maxTasks int, revision int64) (code int, printed int64) {
 	file := f.file("service.json", fmt.Sprintf(
 		`{"kind":"service","name":"ayni/reserva","schema":1,"path":"/reserva/run","max_tasks":%d}`, maxTasks))
 	cmd := exec.Command(filepath.Join(binaries, "wigeontray"), "record", "put", "--entry", e.url(),
-		"--token-file", f.file("token", token), "--revision", fmt.Sprint(revision), file)
+		"--token-file", f.file("token", memberToken), "--revision", fmt.Sprint(revision), file)
 	out, err := cmd.Output()
-	if exit, ok := errors.AsType[*exec.ExitError](err); ok {
-		return exit.ExitCode(), 0
+	if exitErr, ok := errors.AsType[*exec.ExitError](err); ok {
+		return exitErr.ExitCode(), 0
 	}
 	f.Assert(err, qt.IsNil)
 	var r struct{ Revision int64 }
@@ -35,38 +35,38 @@
 // The store carries an operator's amendment out and its answer is lost. Told
 // "failed", he would amend again and meet his own write as a conflict; told
 // "done" of a write that nobody can look up, he would rely on a guess.
-func TestAmendmentWhoseAnswerIsLost(t *testing.T) {
+func TestRecordPutWithLostStoreResponse(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	fr := f.newFront()
-	f.kvURL = fr.URL
-	e := f.entry("entry-a")
-	op := operator.New(operator.Options{Address: e.url(), Token: token})
-	was, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
+	proxy := f.startStoreProxy()
+	f.kvURL = proxy.URL
+	e := f.startEntry("entry-a")
+	op := operator.New(operator.Options{Address: e.url(), Token: memberToken})
+	before, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
 	f.Assert(err, qt.IsNil)
 
-	lose := func() { f.kv.LoseAnswers(1) }
-	fr.onWrite.Store(&lose)
-	code, revision := f.putRecord(e, 7, was.Revision)
+	loseAnswer := func() { f.kv.LoseAnswers(1) }
+	proxy.beforeServiceWrite.Store(&loseAnswer)
+	code, revision := f.putService(e, 7, before.Revision)
 	f.Assert(code, qt.Equals, operator.ExitOK)
-	now, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
+	after, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
 	f.Assert(err, qt.IsNil)
-	f.Assert(now.Revision, qt.Equals, revision)
-	f.Assert(revision > was.Revision, qt.IsTrue)
-	f.Assert(string(now.Value), qt.Contains, `"max_tasks":7`)
-	f.Assert(f.counted(e, "wigeontray_config_amend_recovered"), qt.IsTrue)
+	f.Assert(after.Revision, qt.Equals, revision)
+	f.Assert(revision > before.Revision, qt.IsTrue)
+	f.Assert(string(after.Value), qt.Contains, `"max_tasks":7`)
+	f.Assert(f.isCounterNonZero(e, "wigeontray_config_amend_recovered"), qt.IsTrue)
 
-	code, _ = f.putRecord(e, 8, was.Revision)
+	code, _ = f.putService(e, 8, before.Revision)
 	f.Assert(code, qt.Equals, operator.ExitConflict)
 
-	loseAndGo := func() {
+	loseAnswerAndStop := func() {
 		f.kv.LoseAnswers(1)
-		fr.down.Store(true)
+		proxy.down.Store(true)
 	}
-	fr.onWrite.Store(&loseAndGo)
-	code, _ = f.putRecord(e, 9, revision)
+	proxy.beforeServiceWrite.Store(&loseAnswerAndStop)
+	code, _ = f.putService(e, 9, revision)
 	f.Assert(code, qt.Equals, operator.ExitUnknown)
-	fr.down.Store(false)
+	proxy.down.Store(false)
 	f.eventually("the write that took effect is in force", func() bool {
 		got, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
 		return err == nil && strings.Contains(string(got.Value), `"max_tasks":9`)
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -30,11 +30,11 @@
 	"wigeontray/internal/tlsconf"
 )
 
-// patience bounds every wait for real processes. It is far above what a wait
+// waitTimeout bounds every wait for real processes. It is far above what a wait
 // takes, so that a busy machine does not change the verdict.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-const token = "ayni-test-token"
+const memberToken = "ayni-test-token"
 
 var binaries string
 
@@ -63,29 +63,29 @@
 // and guards as processes.
 type fleet struct {
 	*qt.C
-	t         *testing.T
-	dir       string
-	kv        *standin.Server
-	kvURL     string
-	fleetKey  string // path of the entries' key; empty for none
-	member    int64  // revision of ayni's record
-	keys      string // folder of the fleet's certificates; empty for no TLS
-	entries   map[string]*entryProcess
-	upstreams map[string]*sample.Upstream
-	urls      map[string]string // of the upstreams
-	slots     map[string]int    // of workers; 0 for the default
-	region    string
-	service   string // of the workers
+	t              *testing.T
+	dir            string
+	kv             *standin.Server
+	kvURL          string
+	fleetKey       string // path of the entries' key; empty for none
+	memberRevision int64  // revision of ayni's record
+	certDir        string // folder of the fleet's certificates; empty for no TLS
+	entries        map[string]*entryProcess
+	upstreams      map[string]*sample.Upstream
+	urls           map[string]string // of the upstreams
+	slots          map[string]int    // of workers; 0 for the default
+	region         string
+	service        string // of the workers
 }
 
 type entryProcess struct {
 	*process
 	callers, inner, admin string // host:port
-	roots                 *x509.CertPool
+	rootCAs               *x509.CertPool
 }
 
-// readAddresses finds in the log which ports the entry was given.
-func (e *entryProcess) readAddresses() bool {
+// parseAddresses finds in the log which ports the entry was given.
+func (e *entryProcess) parseAddresses() bool {
 	for line := range strings.Lines(e.log.String()) {
 		var l struct{ Msg, Callers, Inner, Admin string }
 		if json.Unmarshal([]byte(line), &l) == nil && l.Msg == "entry serves" {
@@ -97,7 +97,7 @@
 }
 
 func (e *entryProcess) url() string {
-	if e.roots != nil {
+	if e.rootCAs != nil {
 		return "https://" + e.callers
 	}
 	return "http://" + e.callers
@@ -117,27 +117,27 @@
 		srv.Close()
 	})
 	f.kvURL = srv.URL
-	hash := record.HashToken(token)
-	f.amendMember(fmt.Sprintf(`"token_sha256":["%x"]`, hash[:]))
-	f.put(record.KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":1,"path":"/reserva/run"}`, 0)
+	hash := record.HashToken(memberToken)
+	f.updateMember(fmt.Sprintf(`"token_sha256":["%x"]`, hash[:]))
+	f.writeRecord(record.KindService, "ayni/reserva", `{"kind":"service","name":"ayni/reserva","schema":1,"path":"/reserva/run"}`, 0)
 	return f
 }
 
-func (f *fleet) put(kind record.Kind, name, value string, revision int64) int64 {
+func (f *fleet) writeRecord(kind record.Kind, name, value string, revision int64) int64 {
 	kv := store.NewEtcd(store.Options{Endpoints: []string{f.kvURL}})
-	now, err := kv.Put(context.Background(), record.Key(kind, name), []byte(value), revision, 0)
+	newRevision, err := kv.Put(context.Background(), record.Key(kind, name), []byte(value), revision, 0)
 	f.Assert(err, qt.IsNil)
-	return now
+	return newRevision
 }
 
-// amendMember writes the fields of ayni's record.
-func (f *fleet) amendMember(fields string) {
-	f.member = f.put(record.KindMember, "ayni", `{"kind":"member","name":"ayni","schema":1,`+fields+`}`, f.member)
+// updateMember writes the fields of ayni's record.
+func (f *fleet) updateMember(fields string) {
+	f.memberRevision = f.writeRecord(record.KindMember, "ayni", `{"kind":"member","name":"ayni","schema":1,`+fields+`}`, f.memberRevision)
 }
 
-// certify makes an authority and certificates in a new folder by the operators'
+// generateCerts makes an authority and certificates in a new folder by the operators'
 // command.
-func (f *fleet) certify(name string) string {
+func (f *fleet) generateCerts(name string) string {
 	dir := filepath.Join(f.dir, name)
 	out, err := exec.Command(filepath.Join(binaries, "wigeontray"), "keys", "fleet", dir, "127.0.0.1").CombinedOutput()
 	f.Assert(err, qt.IsNil, qt.Commentf("%s", out))
@@ -146,27 +146,27 @@
 
 // tls gives the settings of section tls, none without certificates. The
 // authority is the fleet's, whatever the certificate.
-func (f *fleet) tls(certs, cert, key string) string {
-	if certs == "" {
+func (f *fleet) tls(dir, cert, key string) string {
+	if dir == "" {
 		return ""
 	}
-	return fmt.Sprintf("cert = %s\nkey = %s\nclient_ca = %s", filepath.Join(certs, cert), filepath.Join(certs, key),
-		filepath.Join(f.keys, tlsconf.AuthorityCert))
+	return fmt.Sprintf("cert = %s\nkey = %s\nclient_ca = %s", filepath.Join(dir, cert), filepath.Join(dir, key),
+		filepath.Join(f.certDir, tlsconf.AuthorityCert))
 }
 
-// roots is the authority that callers trust; nil without TLS.
-func (f *fleet) roots() *x509.CertPool {
-	if f.keys == "" {
+// rootCAs is the authority that callers trust; nil without TLS.
+func (f *fleet) rootCAs() *x509.CertPool {
+	if f.certDir == "" {
 		return nil
 	}
-	pem, err := os.ReadFile(filepath.Join(f.keys, tlsconf.AuthorityCert))
+	pem, err := os.ReadFile(filepath.Join(f.certDir, tlsconf.AuthorityCert))
 	f.Assert(err, qt.IsNil)
 	pool := x509.NewCertPool()
 	f.Assert(pool.AppendCertsFromPEM(pem), qt.IsTrue)
 	return pool
 }
 
-func (f *fleet) start(binary string, args ...string) *process {
+func (f *fleet) startProcess(binary string, args ...string) *process {
 	log := new(proctest.Buffer)
 	started, err := proctest.Start(log, nil, filepath.Join(binaries, binary), args...)
 	f.Assert(err, qt.IsNil)
@@ -186,8 +186,8 @@
 	return path
 }
 
-// entry starts an entry that knows the entries started before as peers.
-func (f *fleet) entry(name string) *entryProcess {
+// startEntry starts an entry that knows the entries started before as peers.
+func (f *fleet) startEntry(name string) *entryProcess {
 	var peers []string
 	for _, p := range f.entries {
 		peers = append(peers, p.inner)
@@ -210,16 +210,16 @@
 %s
 [log]
 format = json
-`, name, f.region, strings.Join(peers, ","), f.kvURL, f.fleetKey, f.tls(f.keys, tlsconf.EntryCert, tlsconf.EntryKey))
-	e := &entryProcess{process: f.start("wigeontray", "serve", "--config", f.file(name+".ini", ini)), roots: f.roots()}
-	f.eventually("entry "+name+" tells its addresses", e.readAddresses)
+`, name, f.region, strings.Join(peers, ","), f.kvURL, f.fleetKey, f.tls(f.certDir, tlsconf.EntryCert, tlsconf.EntryKey))
+	e := &entryProcess{process: f.startProcess("wigeontray", "serve", "--config", f.file(name+".ini", ini)), rootCAs: f.rootCAs()}
+	f.eventually("entry "+name+" tells its addresses", e.parseAddresses)
 	f.entries[name] = e
-	f.eventually("entry "+name+" is ready", func() bool { return f.status(e, "/readyz") == http.StatusOK })
+	f.eventually("entry "+name+" is ready", func() bool { return f.adminStatus(e, "/readyz") == http.StatusOK })
 	return e
 }
 
-// settled waits until all entries are in the roster of each.
-func (f *fleet) settled() {
+// waitForRosters waits until all entries are in the roster of each.
+func (f *fleet) waitForRosters() {
 	for name, e := range f.entries {
 		f.eventually("the roster is known to "+name, func() bool {
 			var st struct {
@@ -227,7 +227,7 @@
 					Members, Linked []string
 				}
 			}
-			if json.Unmarshal([]byte(f.get(e, "/v1/status")), &st) != nil {
+			if json.Unmarshal([]byte(f.getAdmin(e, "/v1/status")), &st) != nil {
 				return false
 			}
 			return len(st.Roster.Members) == len(f.entries) && len(st.Roster.Linked) == len(f.entries)-1
@@ -235,37 +235,37 @@
 	}
 }
 
-// worker starts an upstream in this process and a guard beside it.
-func (f *fleet) worker(name string) *process {
-	up := sample.New(name, 1)
+// startWorker starts an upstream in this process and a guard beside it.
+func (f *fleet) startWorker(name string) *process {
+	upstream := sample.New(name, 1)
 	mux := http.NewServeMux()
-	mux.Handle("/reserva/run", up) // the paths of the services' records
-	mux.Handle("/clubcast/run", up)
+	mux.Handle("/reserva/run", upstream) // the paths of the services' records
+	mux.Handle("/clubcast/run", upstream)
 	srv := httptest.NewServer(mux)
 	f.t.Cleanup(func() {
 		srv.CloseClientConnections()
 		srv.Close()
 	})
-	f.upstreams[name], f.urls[name] = up, srv.URL
-	return f.guard(name, srv.URL)
+	f.upstreams[name], f.urls[name] = upstream, srv.URL
+	return f.startGuard(name, srv.URL)
 }
 
-func (f *fleet) guard(name, upstream string) *process {
-	p := f.guardWith(name, upstream, f.fleetKey, f.keys)
+func (f *fleet) startGuard(name, upstream string) *process {
+	p := f.launchGuard(name, upstream, f.fleetKey, f.certDir)
 	for id, e := range f.entries {
-		f.eventually("guard "+name+" is used by "+id, func() bool { return f.lists(e, name) })
+		f.eventually("guard "+name+" is used by "+id, func() bool { return f.usesGuard(e, name) })
 	}
 	return p
 }
 
-// lists tells whether a guard is used by an entry.
-func (f *fleet) lists(e *entryProcess, guard string) bool {
-	return strings.Contains(f.get(e, "/v1/status"), `"`+guard+`-`)
+// usesGuard tells whether a guard is used by an entry.
+func (f *fleet) usesGuard(e *entryProcess, guard string) bool {
+	return strings.Contains(f.getAdmin(e, "/v1/status"), `"`+guard+`-`)
 }
 
-// guardWith starts a guard with the key in a file and the certificate in a
+// launchGuard starts a guard with the key in a file and the certificate in a
 // folder, and does not wait for it.
-func (f *fleet) guardWith(name, upstream, keyFile, certs string) *process {
+func (f *fleet) launchGuard(name, upstream, keyFile, certs string) *process {
 	var entries []string
 	for _, e := range f.entries {
 		entries = append(entries, e.inner)
@@ -287,51 +287,51 @@
 key_file = %s
 [tls]
 %s
-`, name, f.region, strings.Join(entries, ","), upstream, f.service, f.slotsLine(name), keyFile, f.tls(certs, tlsconf.GuardCert, tlsconf.GuardKey))
-	return f.start("wigeontray-guard", "--config", f.file(name+".ini", ini))
+`, name, f.region, strings.Join(entries, ","), upstream, f.service, f.slotsSetting(name), keyFile, f.tls(certs, tlsconf.GuardCert, tlsconf.GuardKey))
+	return f.startProcess("wigeontray-guard", "--config", f.file(name+".ini", ini))
 }
 
-// slotsLine is the setting of a worker's slots, none for the default.
-func (f *fleet) slotsLine(worker string) string {
+// slotsSetting is the setting of a worker's slots, none for the default.
+func (f *fleet) slotsSetting(worker string) string {
 	if n := f.slots[worker]; n > 0 {
 		return fmt.Sprintf("slots = %d", n)
 	}
 	return ""
 }
 
-func (f *fleet) eventually(what string, ok func() bool) {
+func (f *fleet) eventually(condition string, ok func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("not within %v: %s", patience, what)
+			f.t.Fatalf("not within %v: %s", waitTimeout, condition)
 		}
 		time.Sleep(20 * time.Millisecond) // polls another process, which no fake clock reaches
 	}
 }
 
-func (f *fleet) get(e *entryProcess, path string) string {
+func (f *fleet) getAdmin(e *entryProcess, path string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, "GET", "http://"+e.admin+path, nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+e.admin+path, nil)
 	f.Assert(err, qt.IsNil)
-	resp, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return ""
 	}
 	defer resp.Body.Close()
-	var b bytes.Buffer
-	_, _ = b.ReadFrom(resp.Body)
-	return b.String()
+	var body bytes.Buffer
+	_, _ = body.ReadFrom(resp.Body)
+	return body.String()
 }
 
-// counted tells whether a counter of an entry has risen.
-func (f *fleet) counted(e *entryProcess, counter string) bool {
-	figures := f.get(e, "/metrics")
-	return strings.Contains(figures, "\n"+counter+" ") && !strings.Contains(figures, "\n"+counter+" 0\n")
+// isCounterNonZero tells whether a counter of an entry has risen.
+func (f *fleet) isCounterNonZero(e *entryProcess, counter string) bool {
+	metrics := f.getAdmin(e, "/metrics")
+	return strings.Contains(metrics, "\n"+counter+" ") && !strings.Contains(metrics, "\n"+counter+" 0\n")
 }
 
-func (f *fleet) status(e *entryProcess, path string) int {
+func (f *fleet) adminStatus(e *entryProcess, path string) int {
 	resp, err := http.Get("http://" + e.admin + path)
 	if err != nil {
 		return 0
@@ -340,16 +340,16 @@
 	return resp.StatusCode
 }
 
-func caller(entries ...*entryProcess) *client.Client {
-	conf := &tls.Config{RootCAs: entries[0].roots}
-	c := &client.Client{Token: token, HTTP: &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}}
+func newClient(entries ...*entryProcess) *client.Client {
+	conf := &tls.Config{RootCAs: entries[0].rootCAs}
+	c := &client.Client{Token: memberToken, HTTP: &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}}
 	for _, e := range entries {
 		c.Entries = append(c.Entries, e.url())
 	}
 	return c
 }
 
-func job(sleepMs int, tasks int) *client.Job {
+func newJob(sleepMs int, tasks int) *client.Job {
 	j := &client.Job{Service: "reserva", DeadlineMs: 20_000}
 	for range tasks {
 		j.Tasks = append(j.Tasks, json.RawMessage(fmt.Sprintf(`{"sleep_ms":%d}`, sleepMs)))
@@ -357,11 +357,11 @@
 	return j
 }
 
-// submitted starts a submission in the background.
-func (f *fleet) submitted(c *client.Client, key string, j *client.Job) <-chan *client.Answer {
+// submitAsync starts a submission in the background.
+func (f *fleet) submitAsync(c *client.Client, key string, j *client.Job) <-chan *client.Answer {
 	out := make(chan *client.Answer, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		a, err := c.Submit(ctx, key, j)
 		if err != nil {
@@ -372,31 +372,31 @@
 	return out
 }
 
-func (f *fleet) ticket(e *entryProcess) string {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (f *fleet) fetchTicket(e *entryProcess) string {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	key, err := caller(e).Ticket(ctx)
+	key, err := newClient(e).Ticket(ctx)
 	f.Assert(err, qt.IsNil)
 	return key
 }
 
-// started counts the starts of each task at all upstreams.
-func (f *fleet) started() map[string]int {
+// startsByTask counts the starts of each task at all upstreams.
+func (f *fleet) startsByTask() map[string]int {
 	out := make(map[string]int)
-	for _, up := range f.upstreams {
-		for task, n := range up.Starts() {
+	for _, upstream := range f.upstreams {
+		for task, n := range upstream.Starts() {
 			out[task] += n
 		}
 	}
 	return out
 }
 
-// starts counts the tasks that were started, and fails if one began twice, be it
+// countStartedTasks counts the tasks that were started, and fails if one began twice, be it
 // at one upstream or at two.
-func (f *fleet) starts() int {
-	started := f.started()
-	for task, n := range started {
+func (f *fleet) countStartedTasks() int {
+	startsByTask := f.startsByTask()
+	for task, n := range startsByTask {
 		f.Assert(n, qt.Equals, 1, qt.Commentf("starts of %s", task))
 	}
-	return len(started)
+	return len(startsByTask)
 }
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -10,32 +10,32 @@
 	"wigeontray/internal/record"
 )
 
-// nowhere is an upstream that takes no connection.
-const nowhere = "http://127.0.0.1:9"
+// unreachableURL is an upstream that takes no connection.
+const unreachableURL = "http://127.0.0.1:9"
 
 // A rival's operator holds the fleet's key and lets a guard announce Ayni's
 // booking service. He must be handed nothing. Ayni then removes the key of its
 // own guard, whose VM it has given up, and that guard must get nothing more.
-func TestGuardKeysOfMembers(t *testing.T) {
+func TestMemberGuardKeys(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	f.fleetKey = f.file("fleet.key", "the key of the whole fleet\n")
-	const own = "the key of ayni's guards"
-	hash, key := record.HashToken(token), record.HashToken(own)
+	const memberKey = "the key of ayni's guards"
+	hash, key := record.HashToken(memberToken), record.HashToken(memberKey)
 	fields := `"token_sha256":["%x"],"guard_key_sha256":["%x"]`
-	f.amendMember(fmt.Sprintf(fields, hash, key))
-	e := f.entry("entry-a")
-	f.guardWith("rival", nowhere, f.fleetKey, "")
-	f.fleetKey = f.file("ayni.key", own)
-	f.worker("worker-1")
+	f.updateMember(fmt.Sprintf(fields, hash, key))
+	e := f.startEntry("entry-a")
+	f.launchGuard("rival", unreachableURL, f.fleetKey, "")
+	f.fleetKey = f.file("ayni.key", memberKey)
+	f.startWorker("worker-1")
 	f.eventually("the rival's guard is refused", func() bool {
-		return f.counted(e, "wigeontray_links_refused_total")
+		return f.isCounterNonZero(e, "wigeontray_links_refused_total")
 	})
-	f.Assert(f.lists(e, "rival"), qt.IsFalse)
-	a := <-f.submitted(caller(e), f.ticket(e), job(10, 3))
+	f.Assert(f.usesGuard(e, "rival"), qt.IsFalse)
+	a := <-f.submitAsync(newClient(e), f.fetchTicket(e), newJob(10, 3))
 	f.Assert(a.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", a.Body))
-	f.amendMember(fmt.Sprintf(fields, hash, record.HashToken("another")))
-	f.eventually("the guard whose key was removed is shut out", func() bool { return !f.lists(e, "worker-1") })
+	f.updateMember(fmt.Sprintf(fields, hash, record.HashToken("another")))
+	f.eventually("the guard whose key was removed is shut out", func() bool { return !f.usesGuard(e, "worker-1") })
 }
 
 // Somebody on the network runs a guard that knows the fleet's key but has a
@@ -45,21 +45,21 @@
 func TestFleetOverTLS(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.keys = f.certify("keys")
+	f.certDir = f.generateCerts("keys")
 	f.fleetKey = f.file("fleet.key", "the key of the whole fleet")
-	a, b := f.entry("entry-a"), f.entry("entry-b")
-	f.settled()
-	f.Assert(f.counted(a, "wigeontray_tls_handshakes_failed_total"), qt.IsFalse)
-	f.guardWith("stranger", nowhere, f.fleetKey, f.certify("others"))
-	f.worker("worker-1")
+	a, b := f.startEntry("entry-a"), f.startEntry("entry-b")
+	f.waitForRosters()
+	f.Assert(f.isCounterNonZero(a, "wigeontray_tls_handshakes_failed_total"), qt.IsFalse)
+	f.launchGuard("stranger", unreachableURL, f.fleetKey, f.generateCerts("others"))
+	f.startWorker("worker-1")
 	for _, e := range []*entryProcess{a, b} {
 		f.eventually("the stranger's certificate is refused", func() bool {
-			return f.counted(e, "wigeontray_tls_handshakes_failed_total")
+			return f.isCounterNonZero(e, "wigeontray_tls_handshakes_failed_total")
 		})
-		f.Assert(f.lists(e, "stranger"), qt.IsFalse)
-		ans := <-f.submitted(caller(e), f.ticket(a), job(10, 2))
+		f.Assert(f.usesGuard(e, "stranger"), qt.IsFalse)
+		ans := <-f.submitAsync(newClient(e), f.fetchTicket(a), newJob(10, 2))
 		f.Assert(ans.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", ans.Body))
 	}
-	f.Assert(f.counted(b, "wigeontray_jobs_forwarded_total"), qt.IsTrue)
-	f.Assert(f.starts(), qt.Equals, 4)
+	f.Assert(f.isCounterNonZero(b, "wigeontray_jobs_forwarded_total"), qt.IsTrue)
+	f.Assert(f.countStartedTasks(), qt.Equals, 4)
 }
--- a/internal/e2e/regions_test.go
+++ b/internal/e2e/regions_test.go
@@ -19,47 +19,47 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// front stands between some entries and the store, and can cut them off alone.
-type front struct {
+// storeProxy stands between some entries and the store, and can cut them off alone.
+type storeProxy struct {
 	*httptest.Server
 	store http.Handler
 	down  atomic.Bool
-	// onWrite runs once, just before the next write of service ayni/reserva
+	// beforeServiceWrite runs once, just before the next write of service ayni/reserva
 	// reaches the store. Other writes pass: entries make some at any time.
-	onWrite atomic.Pointer[func()]
-	refused atomic.Int64
+	beforeServiceWrite atomic.Pointer[func()]
+	refusedRequests    atomic.Int64
 }
 
-// newFront opens a front to the fleet's store.
-func (f *fleet) newFront() *front {
-	fr := &front{store: f.kv}
-	fr.Server = httptest.NewServer(fr)
+// startStoreProxy opens a front to the fleet's store.
+func (f *fleet) startStoreProxy() *storeProxy {
+	proxy := &storeProxy{store: f.kv}
+	proxy.Server = httptest.NewServer(proxy)
 	f.t.Cleanup(func() {
-		fr.cut()
-		fr.Close()
+		proxy.disconnect()
+		proxy.Close()
 	})
-	return fr
+	return proxy
 }
 
-// cut ends all connections and refuses new calls.
-func (fr *front) cut() {
-	fr.down.Store(true)
-	fr.CloseClientConnections()
+// disconnect ends all connections and refuses new calls.
+func (p *storeProxy) disconnect() {
+	p.down.Store(true)
+	p.CloseClientConnections()
 }
 
 // ServeHTTP implements http.Handler.
-func (fr *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if fr.down.Load() {
-		fr.refused.Add(1)
+func (p *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if p.down.Load() {
+		p.refusedRequests.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	if r.URL.Path == etcdjson.PathTxn {
-		fr.beforeWrite(r)
+		p.runWriteHook(r)
 	}
-	fr.store.ServeHTTP(w, r)
+	p.store.ServeHTTP(w, r)
 }
 
-func (fr *front) beforeWrite(r *http.Request) {
+func (p *storeProxy) runWriteHook(r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -69,72 +69,72 @@
 	if !bytes.Contains(body, []byte(key)) {
 		return
 	}
-	if hook := fr.onWrite.Swap(nil); hook != nil {
+	if hook := p.beforeServiceWrite.Swap(nil); hook != nil {
 		(*hook)()
 	}
 }
 
-// another is a second region over the same store, reached through a front.
-func (f *fleet) another(region, service string, fr *front) *fleet {
-	g := *f
-	g.region, g.service, g.kvURL = region, service, fr.URL
-	g.entries, g.upstreams = make(map[string]*entryProcess), make(map[string]*sample.Upstream)
-	return &g
+// inRegion is a second region over the same store, reached through a front.
+func (f *fleet) inRegion(region, service string, proxy *storeProxy) *fleet {
+	other := *f
+	other.region, other.service, other.kvURL = region, service, proxy.URL
+	other.entries, other.upstreams = make(map[string]*entryProcess), make(map[string]*sample.Upstream)
+	return &other
 }
 
-const leeuwinToken = "leeuwin-test-token"
+const leeuwinMemberToken = "leeuwin-test-token"
 
 // A club's program calls the entries of Lima by mistake, where nobody may start
 // its work: it must be sent home without a claim on earlier tries. Then
 // wa-south is cut off from the store. Both regions go on, each by its own
 // roster, with tickets and with plain keys.
-func TestRegions(t *testing.T) {
+func TestRegionsShareStore(t *testing.T) {
 	t.Parallel()
 	lima := newFleet(t)
-	hash := record.HashToken(leeuwinToken)
-	lima.put(record.KindMember, "leeuwin", fmt.Sprintf(
+	hash := record.HashToken(leeuwinMemberToken)
+	lima.writeRecord(record.KindMember, "leeuwin", fmt.Sprintf(
 		`{"kind":"member","name":"leeuwin","schema":1,"home_region":"wa-south","token_sha256":["%x"]}`, hash[:]), 0)
-	lima.put(record.KindService, "leeuwin/clubcast", `{"kind":"service","name":"leeuwin/clubcast","schema":1,"path":"/clubcast/run"}`, 0)
-	fr := lima.newFront()
-	south := lima.another("wa-south", "leeuwin/clubcast", fr)
-	a, b, c := lima.entry("lima-a"), south.entry("south-a"), south.entry("south-b")
-	lima.worker("callao-1")
-	south.worker("fremantle-1")
-	lima.settled() // counts the entries of its region alone
-	south.settled()
+	lima.writeRecord(record.KindService, "leeuwin/clubcast", `{"kind":"service","name":"leeuwin/clubcast","schema":1,"path":"/clubcast/run"}`, 0)
+	proxy := lima.startStoreProxy()
+	south := lima.inRegion("wa-south", "leeuwin/clubcast", proxy)
+	a, b, c := lima.startEntry("lima-a"), south.startEntry("south-a"), south.startEntry("south-b")
+	lima.startWorker("callao-1")
+	south.startWorker("fremantle-1")
+	lima.waitForRosters() // counts the entries of its region alone
+	south.waitForRosters()
 
 	body := `{"service":"clubcast","deadline_ms":20000,"tasks":[{"sleep_ms":10}]}`
 	key := uuid.Must(uuid.NewV7()).String()
-	r, err := lima.call(leeuwinToken, http.MethodPost, a.url()+"/v1/jobs", key, strings.NewReader(body))
+	r, err := lima.sendRequest(leeuwinMemberToken, http.MethodPost, a.url()+"/v1/jobs", key, strings.NewReader(body))
 	lima.Assert(err, qt.IsNil)
 	lima.Assert(r.status, qt.Equals, http.StatusMisdirectedRequest)
 	lima.Assert(r.Error.Kind, qt.Equals, "wrong_region")
 	lima.Assert(r.Error.Ran, qt.Equals, "unknown")
-	r, err = south.call(leeuwinToken, http.MethodPost, b.url()+"/v1/jobs", key, strings.NewReader(body))
+	r, err = south.sendRequest(leeuwinMemberToken, http.MethodPost, b.url()+"/v1/jobs", key, strings.NewReader(body))
 	lima.Assert(err, qt.IsNil)
 	lima.Assert(r.State, qt.Equals, "complete", qt.Commentf("%+v", r))
 
-	fr.cut()
-	lima.eventually("wa-south misses the store", func() bool { return fr.refused.Load() > 0 })
+	proxy.disconnect()
+	lima.eventually("wa-south misses the store", func() bool { return proxy.refusedRequests.Load() > 0 })
 	for range 5 { // plain keys of any owner
-		lima.serves(token, "reserva", a)
-		south.serves(leeuwinToken, "clubcast", b, c)
+		lima.checkServes(memberToken, "reserva", a)
+		south.checkServes(leeuwinMemberToken, "clubcast", b, c)
 	}
-	lima.Assert(lima.starts(), qt.Equals, 10)
-	lima.Assert(south.starts(), qt.Equals, 21)
+	lima.Assert(lima.countStartedTasks(), qt.Equals, 10)
+	lima.Assert(south.countStartedTasks(), qt.Equals, 21)
 }
 
-// serves submits a job with a ticket and one with a plain key to each entry.
-func (f *fleet) serves(token, service string, entries ...*entryProcess) {
+// checkServes submits a job with a ticket and one with a plain key to each entry.
+func (f *fleet) checkServes(token, service string, entries ...*entryProcess) {
 	for _, e := range entries {
-		c := caller(e)
+		c := newClient(e)
 		c.Token = token
 		ticket, err := c.Ticket(f.t.Context())
 		f.Assert(err, qt.IsNil)
 		for _, key := range []string{ticket, uuid.Must(uuid.NewV7()).String()} {
-			j := job(10, 1)
+			j := newJob(10, 1)
 			j.Service = service
-			ans := <-f.submitted(c, key, j)
+			ans := <-f.submitAsync(c, key, j)
 			f.Assert(ans.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", ans.Body))
 		}
 	}
--- a/internal/e2e/traces_test.go
+++ b/internal/e2e/traces_test.go
@@ -20,11 +20,11 @@
 	"wigeontray/internal/replay"
 )
 
-// A stated time is multiplied by timeSlack, and leastBound is the least bound of
+// A stated time is multiplied by timeBoundFactor, and minTimeBound is the least bound of
 // any answer: the traces know no other load on the machine.
 const (
-	timeSlack  = 2
-	leastBound = 5 * time.Second
+	timeBoundFactor = 2
+	minTimeBound    = 5 * time.Second
 )
 
 // TestTracesOnProcesses plays the traces that are written for both engines. A
@@ -40,106 +40,106 @@
 		qt.Assert(t, err, qt.IsNil)
 		t.Run(trace.Name, func(t *testing.T) {
 			t.Parallel()
-			newPlayer(t, trace).run()
+			newTraceRunner(t, trace).run()
 		})
 	}
 }
 
-// player plays a trace with real processes in real time.
-type player struct {
+// traceRunner plays a trace with real processes in real time.
+type traceRunner struct {
 	*fleet
-	trace   *replay.Trace
-	guards  map[string]*process
-	drained []*process
-	tickets map[string][]string // by entry, drawn while it answers
-	jobs    map[string]*tracedJob
-	calls   sync.WaitGroup
+	trace         *replay.Trace
+	guards        map[string]*process
+	drainedGuards []*process
+	tickets       map[string][]string // by entry, drawn while it answers
+	jobs          map[string]*submittedJob
+	pendingCalls  sync.WaitGroup
 
-	mu     sync.Mutex // guards what follows
-	faults []string
-	notRun map[string]bool // tasks of which a caller was told "not run"
-	ran    map[string]bool // tasks of which a caller was told that they ran
+	mu             sync.Mutex // guards what follows
+	violations     []string
+	reportedNotRun map[string]bool // tasks of which a caller was told "not run"
+	reportedRan    map[string]bool // tasks of which a caller was told that they ran
 }
 
-// tracedJob is a job of the trace under its identity.
-type tracedJob struct {
+// submittedJob is a job of the trace under its identity.
+type submittedJob struct {
 	key     string
 	request *replay.Request
 }
 
-func newPlayer(t *testing.T, trace *replay.Trace) *player {
-	p := &player{
+func newTraceRunner(t *testing.T, trace *replay.Trace) *traceRunner {
+	p := &traceRunner{
 		fleet: newFleet(t), trace: trace, guards: make(map[string]*process), tickets: make(map[string][]string),
-		jobs: make(map[string]*tracedJob), notRun: make(map[string]bool), ran: make(map[string]bool),
+		jobs: make(map[string]*submittedJob), reportedNotRun: make(map[string]bool), reportedRan: make(map[string]bool),
 	}
 	p.Assert(trace.Loads, qt.HasLen, 0, qt.Commentf("generated load is for the explicit clock"))
 	for _, e := range trace.Entries {
-		p.startEntry(e.Name)
+		p.startEntryWithTickets(e.Name)
 	}
 	for _, w := range trace.Workers {
 		p.slots[w.Name] = w.Slots
-		p.guards[w.Name] = p.worker(w.Name)
+		p.guards[w.Name] = p.startWorker(w.Name)
 	}
-	p.settled()
+	p.waitForRosters()
 	return p
 }
 
-// startEntry draws a ticket for each submission in advance, since the entry may
+// startEntryWithTickets draws a ticket for each submission in advance, since the entry may
 // be frozen by the time of it.
-func (p *player) startEntry(name string) {
-	e := p.entry(name)
+func (p *traceRunner) startEntryWithTickets(name string) {
+	e := p.startEntry(name)
 	p.tickets[name] = nil
 	for _, ev := range p.trace.Events {
 		if ev.Op == replay.OpSubmit && ev.Other == name {
-			p.tickets[name] = append(p.tickets[name], p.ticket(e))
+			p.tickets[name] = append(p.tickets[name], p.fetchTicket(e))
 		}
 	}
 }
 
 // run plays the events in order, none before its time, and checks the whole.
-func (p *player) run() {
-	began := time.Now()
+func (p *traceRunner) run() {
+	start := time.Now()
 	for _, ev := range p.trace.Events {
-		time.Sleep(time.Until(began.Add(ev.At))) // the clock of the trace
-		p.play(&ev)
+		time.Sleep(time.Until(start.Add(ev.At))) // the clock of the trace
+		p.apply(&ev)
 	}
-	p.calls.Wait()
-	for _, g := range p.drained {
+	p.pendingCalls.Wait()
+	for _, g := range p.drainedGuards {
 		p.Check(g.Wait(), qt.IsNil, qt.Commentf("a drained guard ends well"))
 	}
-	p.starts() // fails if a task started twice
-	p.Check(p.faults, qt.HasLen, 0)
-	started := p.started()
-	for task := range p.notRun {
-		p.Check(started[task], qt.Equals, 0, qt.Commentf("%s started, and its caller was told that it did not", task))
+	p.countStartedTasks() // fails if a task started twice
+	p.Check(p.violations, qt.HasLen, 0)
+	startsByTask := p.startsByTask()
+	for task := range p.reportedNotRun {
+		p.Check(startsByTask[task], qt.Equals, 0, qt.Commentf("%s started, and its caller was told that it did not", task))
 	}
-	for task := range p.ran {
-		p.Check(started[task], qt.Equals, 1, qt.Commentf("%s never started, and its caller was told that it did", task))
+	for task := range p.reportedRan {
+		p.Check(startsByTask[task], qt.Equals, 1, qt.Commentf("%s never started, and its caller was told that it did", task))
 	}
 }
 
-func (p *player) play(ev *replay.Event) {
+func (p *traceRunner) apply(ev *replay.Event) {
 	switch ev.Op {
 	case replay.OpSubmit:
-		stock := p.tickets[ev.Other]
-		p.tickets[ev.Other] = stock[1:]
-		p.jobs[ev.Target] = &tracedJob{key: stock[0], request: ev.Request}
-		p.submit(ev)
+		unused := p.tickets[ev.Other]
+		p.tickets[ev.Other] = unused[1:]
+		p.jobs[ev.Target] = &submittedJob{key: unused[0], request: ev.Request}
+		p.submitAndCheck(ev)
 	case replay.OpResubmit:
-		p.submit(ev)
+		p.submitAndCheck(ev)
 	case replay.OpCancel:
-		p.cancel(ev)
+		p.cancelJob(ev)
 	case replay.OpKill:
-		p.killed(ev.Target)
+		p.killProcess(ev.Target)
 	case replay.OpRestart:
-		p.restart(ev.Target)
+		p.restartProcess(ev.Target)
 	case replay.OpPause:
 		p.process(ev.Target).Signal(syscall.SIGSTOP)
 	case replay.OpResume:
 		p.process(ev.Target).Signal(syscall.SIGCONT)
 	case replay.OpDrain:
 		p.process(ev.Target).Signal(syscall.SIGTERM)
-		p.drained = append(p.drained, p.process(ev.Target))
+		p.drainedGuards = append(p.drainedGuards, p.process(ev.Target))
 	case replay.OpStoreDown, replay.OpStoreUp:
 		p.kv.SetDown(ev.Op == replay.OpStoreDown)
 	default:
@@ -147,36 +147,36 @@
 	}
 }
 
-func (p *player) process(name string) *process {
+func (p *traceRunner) process(name string) *process {
 	if e := p.entries[name]; e != nil {
 		return e.process
 	}
 	return p.guards[name]
 }
 
-// killed ends a process. A dead guard leaves the lists of entries before the
+// killProcess ends a process. A dead guard leaves the lists of entries before the
 // trace goes on, else its successor could not be told from it.
-func (p *player) killed(name string) {
+func (p *traceRunner) killProcess(name string) {
 	p.process(name).Kill()
 	if _, ok := p.entries[name]; ok {
 		delete(p.entries, name)
 		return
 	}
 	for id, e := range p.entries {
-		p.eventually(id+" misses guard "+name, func() bool { return !p.lists(e, name) })
+		p.eventually(id+" misses guard "+name, func() bool { return !p.usesGuard(e, name) })
 	}
 }
 
-func (p *player) restart(name string) {
+func (p *traceRunner) restartProcess(name string) {
 	if _, ok := p.guards[name]; ok {
-		p.guards[name] = p.guard(name, p.urls[name])
+		p.guards[name] = p.startGuard(name, p.urls[name])
 		return
 	}
-	p.startEntry(name)
+	p.startEntryWithTickets(name)
 }
 
-// reply is the part of an answer that a trace speaks of.
-type reply struct {
+// jobReply is the part of an answer that a trace speaks of.
+type jobReply struct {
 	status  int
 	State   string
 	Results []struct{ Body struct{ Task string } }
@@ -188,31 +188,31 @@
 	}
 }
 
-// submit sends a job in the background and checks what comes of it.
-func (p *player) submit(ev *replay.Event) {
-	j, e, began := p.jobs[ev.Target], p.entries[ev.Other], time.Now()
-	p.calls.Go(func() {
-		r, err := p.answer(j, e, ev.Want)
-		if fault := p.judge(ev, j, r, err, time.Since(began)); fault != "" {
+// submitAndCheck sends a job in the background and checks what comes of it.
+func (p *traceRunner) submitAndCheck(ev *replay.Event) {
+	j, e, start := p.jobs[ev.Target], p.entries[ev.Other], time.Now()
+	p.pendingCalls.Go(func() {
+		r, err := p.submitUntilFinal(j, e, ev.Want)
+		if violation := p.checkReply(ev, j, r, err, time.Since(start)); violation != "" {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.faults = append(p.faults, fmt.Sprintf("%s of %s at %v: %s", ev.Op, ev.Target, ev.At, fault))
+			p.violations = append(p.violations, fmt.Sprintf("%s of %s at %v: %s", ev.Op, ev.Target, ev.At, violation))
 		}
 	})
 }
 
-// answer asks again while the advice is to, unless the trace states that very
+// submitUntilFinal asks again while the advice is to, unless the trace states that very
 // answer, as a caller would. An error is a connection that broke.
-func (p *player) answer(j *tracedJob, e *entryProcess, want *replay.Want) (*reply, error) {
-	for deadline := time.Now().Add(patience); ; time.Sleep(100 * time.Millisecond) {
-		r, err := p.post(j, e)
-		if err != nil || r.Error.Advice != "same" || want != nil && slices.Contains(kinds(want), r.Error.Kind) || time.Now().After(deadline) {
+func (p *traceRunner) submitUntilFinal(j *submittedJob, e *entryProcess, want *replay.Want) (*jobReply, error) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
+		r, err := p.postJob(j, e)
+		if err != nil || r.Error.Advice != "same" || want != nil && slices.Contains(allowedKinds(want), r.Error.Kind) || time.Now().After(deadline) {
 			return r, err
 		}
 	}
 }
 
-func (p *player) post(j *tracedJob, e *entryProcess) (*reply, error) {
+func (p *traceRunner) postJob(j *submittedJob, e *entryProcess) (*jobReply, error) {
 	body := client.Job{Service: "reserva", DeadlineMs: j.request.Deadline.Milliseconds(), DeclaredMs: j.request.Declared.Milliseconds()}
 	for _, d := range j.request.Tasks {
 		body.Tasks = append(body.Tasks, json.RawMessage(fmt.Sprintf(`{"sleep_ms":%d}`, d.Milliseconds())))
@@ -221,21 +221,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return p.call(token, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
+	return p.sendRequest(memberToken, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
 }
 
-// cancel withdraws a job; what its caller is told is judged at the submission.
-func (p *player) cancel(ev *replay.Event) {
+// cancelJob withdraws a job; what its caller is told is judged at the submission.
+func (p *traceRunner) cancelJob(ev *replay.Event) {
 	url := p.entries[ev.Other].url() + "/v1/jobs/" + p.jobs[ev.Target].key
-	p.calls.Go(func() {
-		if _, err := p.call(token, http.MethodDelete, url, "", nil); err != nil {
+	p.pendingCalls.Go(func() {
+		if _, err := p.sendRequest(memberToken, http.MethodDelete, url, "", nil); err != nil {
 			p.t.Errorf("cancel of %s: %v", ev.Target, err)
 		}
 	})
 }
 
-// call makes one call of a member, and does not repeat it.
-func (f *fleet) call(token, method, url, key string, body io.Reader) (*reply, error) {
+// sendRequest makes one call of a member, and does not repeat it.
+func (f *fleet) sendRequest(token, method, url, key string, body io.Reader) (*jobReply, error) {
 	req, err := http.NewRequestWithContext(f.t.Context(), method, url, body)
 	if err != nil {
 		return nil, err
@@ -245,17 +245,17 @@
 		req.Header.Set("Content-Type", "application/json")
 		req.Header.Set("Idempotency-Key", key)
 	}
-	resp, err := (&http.Client{Timeout: patience}).Do(req)
+	resp, err := (&http.Client{Timeout: waitTimeout}).Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	r := &reply{status: resp.StatusCode}
+	r := &jobReply{status: resp.StatusCode}
 	return r, json.NewDecoder(resp.Body).Decode(r)
 }
 
-// judge compares an answer with what the trace states, and notes its claims.
-func (p *player) judge(ev *replay.Event, j *tracedJob, r *reply, err error, took time.Duration) string {
+// checkReply compares an answer with what the trace states, and notes its claims.
+func (p *traceRunner) checkReply(ev *replay.Event, j *submittedJob, r *jobReply, err error, took time.Duration) string {
 	want := ev.Want
 	if err != nil {
 		if want == nil || want.Lost {
@@ -263,59 +263,59 @@
 		}
 		return fmt.Sprintf("no answer: %v", err)
 	}
-	if fault := p.claims(j, r); fault != "" || want == nil {
-		return fault
+	if violation := p.recordReports(j, r); violation != "" || want == nil {
+		return violation
 	}
 	kind := "ok"
 	if r.State != "complete" {
 		kind = r.Error.Kind
 	}
 	switch {
-	case !slices.Contains(kinds(want), kind):
-		return fmt.Sprintf("answered %+v, want %v", *r, kinds(want))
+	case !slices.Contains(allowedKinds(want), kind):
+		return fmt.Sprintf("answered %+v, want %v", *r, allowedKinds(want))
 	case kind != "ok" && !want.AnyRan && r.Error.Ran != want.Ran.String():
 		return fmt.Sprintf("answered %+v, want ran %v", *r, want.Ran)
-	case want.Before > 0 && took > max(timeSlack*want.Before, leastBound):
+	case want.Before > 0 && took > max(timeBoundFactor*want.Before, minTimeBound):
 		return fmt.Sprintf("answered after %v, want %v", took, want.Before)
 	}
 	return ""
 }
 
-// claims notes what an answer says of each task; a whole one has each result in
+// recordReports notes what an answer says of each task; a whole one has each result in
 // its place.
-func (p *player) claims(j *tracedJob, r *reply) string {
+func (p *traceRunner) recordReports(j *submittedJob, r *jobReply) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name := func(task int) string { return fmt.Sprintf("ayni/%s/%d", j.key, task) }
-	note := func(task int, ran string) {
-		if ran == errkind.RanNo.String() {
-			p.notRun[name(task)] = true
+	taskName := func(task int) string { return fmt.Sprintf("ayni/%s/%d", j.key, task) }
+	report := func(task int, reportedRan string) {
+		if reportedRan == errkind.RanNo.String() {
+			p.reportedNotRun[taskName(task)] = true
 		}
-		if ran == errkind.RanYes.String() {
-			p.ran[name(task)] = true
+		if reportedRan == errkind.RanYes.String() {
+			p.reportedRan[taskName(task)] = true
 		}
 	}
 	for _, f := range r.Failures {
-		note(f.Task, f.Ran)
+		report(f.Task, f.Ran)
 	}
 	if r.Error.Ran == errkind.RanNo.String() {
 		for i := range j.request.Tasks {
-			note(i, r.Error.Ran)
+			report(i, r.Error.Ran)
 		}
 	}
 	if r.State == "complete" && len(r.Results) != len(j.request.Tasks) {
 		return fmt.Sprintf("%d of %d results", len(r.Results), len(j.request.Tasks))
 	}
 	for i, result := range r.Results {
-		if result.Body.Task != name(i) {
+		if result.Body.Task != taskName(i) {
 			return fmt.Sprintf("result %d is of %q", i, result.Body.Task)
 		}
 	}
 	return ""
 }
 
-// kinds names the outcomes that a trace allows.
-func kinds(w *replay.Want) []string {
+// allowedKinds names the outcomes that a trace allows.
+func allowedKinds(w *replay.Want) []string {
 	var out []string
 	for _, k := range w.Kinds {
 		if k == errkind.None {
