--- a/internal/pages/code_test.go
+++ b/internal/pages/code_test.go
@@ -23,19 +23,19 @@
 	var rows [][]string
 	for _, k := range errkind.All() {
 		a := k.Answer()
-		rows = append(rows, []string{code(a.Name), strconv.Itoa(a.Status), a.Ran.String(), a.Advice.String(), a.Text})
+		rows = append(rows, []string{codeSpan(a.Name), strconv.Itoa(a.Status), a.Ran.String(), a.Advice.String(), a.Text})
 	}
 	header := []string{"kind", "status", "ran", "advice", "meaning"}
-	checkTable(qt.New(t), "docs/http.md", "error-kinds", render(header, rows))
+	checkTable(qt.New(t), "docs/http.md", "error-kinds", renderTable(header, rows))
 }
 
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	var rows [][]string
 	for _, f := range telemetry.Families() {
-		rows = append(rows, []string{code(f.Name), f.Type, f.Label, f.Help})
+		rows = append(rows, []string{codeSpan(f.Name), f.Type, f.Label, f.Help})
 	}
 	header := []string{"figure", "type", "label", "meaning"}
-	checkTable(qt.New(t), "docs/operators.md", "figures", render(header, rows))
+	checkTable(qt.New(t), "docs/operators.md", "figures", renderTable(header, rows))
 }
 
 func TestRecordKinds(t *testing.T) {
@@ -43,19 +43,19 @@
 	for _, k := range record.Kinds() {
 		names = append(names, string(k))
 	}
-	checkNames(qt.New(t), "docs/operators.md", "record-kinds", names)
+	checkFirstColumn(qt.New(t), "docs/operators.md", "record-kinds", names)
 }
 
 // Advice on an error kind that does not exist would send an operator looking
 // for a counter that is never there.
-func TestAdviceNamesErrorKinds(t *testing.T) {
+func TestAdviceNamesKnownErrorKinds(t *testing.T) {
 	c := qt.New(t)
-	_, body, _ := cut(c, "docs/operators.md", "what-to-do")
+	_, body, _ := splitTable(c, "docs/operators.md", "what-to-do")
 	known := make(map[string]bool)
 	for _, k := range errkind.All() {
 		known[k.String()] = true
 	}
-	for _, name := range column(body) {
+	for _, name := range firstColumn(body) {
 		c.Check(known[name], qt.IsTrue, qt.Commentf("%s", name))
 	}
 }
@@ -65,31 +65,31 @@
 	for _, r := range telemetry.RetryReasons() {
 		names = append(names, r.String())
 	}
-	checkNames(qt.New(t), "docs/operators.md", "retry-reasons", names)
+	checkFirstColumn(qt.New(t), "docs/operators.md", "retry-reasons", names)
 }
 
 func TestMessages(t *testing.T) {
 	var rows [][]string
 	frame := reflect.TypeFor[wire.Frame]()
 	known := make(map[reflect.Type]bool)
-	var parts []reflect.Type
+	var nested []reflect.Type
 	for i := range frame.NumField() {
 		f := frame.Field(i)
 		known[f.Type.Elem()] = true
 		rows = append(rows, fieldRows(f.Type.Elem(), cborKey(f))...)
 	}
 	for i := range frame.NumField() {
-		parts = appendParts(parts, frame.Field(i).Type.Elem(), known)
+		nested = appendNestedTypes(nested, frame.Field(i).Type.Elem(), known)
 	}
-	for _, part := range parts {
-		rows = append(rows, fieldRows(part, "")...)
+	for _, nestedType := range nested {
+		rows = append(rows, fieldRows(nestedType, "")...)
 	}
 	header := []string{"message", "frame key", "field", "key", "type"}
-	checkTable(qt.New(t), "docs/inner-protocol.md", "messages", render(header, rows))
+	checkTable(qt.New(t), "docs/inner-protocol.md", "messages", renderTable(header, rows))
 }
 
-// appendParts adds the types of a message's fields that are no messages.
-func appendParts(parts []reflect.Type, message reflect.Type, known map[reflect.Type]bool) []reflect.Type {
+// appendNestedTypes adds the types of a message's fields that are no messages.
+func appendNestedTypes(types []reflect.Type, message reflect.Type, known map[reflect.Type]bool) []reflect.Type {
 	for i := range message.NumField() {
 		t := message.Field(i).Type
 		if t.Kind() == reflect.Slice || t.Kind() == reflect.Pointer {
@@ -97,17 +97,17 @@
 		}
 		if t.Kind() == reflect.Struct && !known[t] {
 			known[t] = true
-			parts = appendParts(append(parts, t), t, known)
+			types = appendNestedTypes(append(types, t), t, known)
 		}
 	}
-	return parts
+	return types
 }
 
 func fieldRows(message reflect.Type, frameKey string) [][]string {
 	var rows [][]string
 	for i := range message.NumField() {
 		f := message.Field(i)
-		rows = append(rows, []string{code(message.Name()), frameKey, code(f.Name), cborKey(f), wireType(f.Type)})
+		rows = append(rows, []string{codeSpan(message.Name()), frameKey, codeSpan(f.Name), cborKey(f), cborType(f.Type)})
 	}
 	return rows
 }
@@ -117,18 +117,18 @@
 	return key
 }
 
-// wireType names a field's type as CBOR has it.
-func wireType(t reflect.Type) string {
+// cborType names a field's type as CBOR has it.
+func cborType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Slice:
 		if t.Elem().Kind() == reflect.Uint8 {
 			return "bytes"
 		}
-		return "array of " + wireType(t.Elem())
+		return "array of " + cborType(t.Elem())
 	case reflect.Pointer:
-		return wireType(t.Elem())
+		return cborType(t.Elem())
 	case reflect.Struct:
-		return code(t.Name())
+		return codeSpan(t.Name())
 	case reflect.String:
 		return "text"
 	case reflect.Bool:
@@ -140,16 +140,16 @@
 
 // A figure that nothing counts stays at zero for ever, and an operator takes
 // its zero for good news.
-func TestEveryFigureIsCounted(t *testing.T) {
+func TestEveryMetricIsUpdated(t *testing.T) {
 	c := qt.New(t)
 	used := make(map[string]bool)
-	for _, dir := range packages(c) {
+	for _, dir := range internalPackages(c) {
 		if dir == "internal/telemetry" {
 			continue
 		}
 		for _, f := range parseDir(c, dir) {
 			ast.Inspect(f, func(n ast.Node) bool {
-				if s, ok := n.(*ast.SelectorExpr); ok && isName(s.X, "telemetry") {
+				if s, ok := n.(*ast.SelectorExpr); ok && isIdent(s.X, "telemetry") {
 					used[s.Sel.Name] = true
 				}
 				return true
@@ -157,16 +157,16 @@
 		}
 	}
 	byKind := used["RetryAfter"] // counts the reasons that follow from a kind
-	for _, name := range figureConstants(c) {
+	for _, name := range metricConstants(c) {
 		counted := used[name] || byKind && strings.HasPrefix(name, "Retry")
 		c.Check(counted, qt.IsTrue, qt.Commentf("telemetry.%s is never counted", name))
 	}
 }
 
-// packages lists the folders below internal that hold code.
-func packages(c *qt.C) []string {
+// internalPackages lists the folders below internal that hold code.
+func internalPackages(c *qt.C) []string {
 	seen := make(map[string]bool)
-	for _, name := range tree(c) {
+	for _, name := range textFiles(c) {
 		if strings.HasPrefix(name, "internal/") && strings.HasSuffix(name, ".go") && !strings.HasSuffix(name, "_test.go") {
 			seen[filepath.Dir(name)] = true
 		}
@@ -174,26 +174,26 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// figureTypes are the types whose constants name figures.
-var figureTypes = []string{"Counter", "Gauge", "Latency", "RetryReason"}
+// metricTypes are the types whose constants name figures.
+var metricTypes = []string{"Counter", "Gauge", "Latency", "RetryReason"}
 
-// figureConstants lists the exported constants of those types.
-func figureConstants(c *qt.C) []string {
+// metricConstants lists the exported constants of those types.
+func metricConstants(c *qt.C) []string {
 	var out []string
 	for _, f := range parseDir(c, "internal/telemetry") {
 		for _, d := range f.Decls {
 			if g, ok := d.(*ast.GenDecl); ok && g.Tok == token.CONST {
-				out = append(out, typedNames(g)...)
+				out = append(out, metricNames(g)...)
 			}
 		}
 	}
 	return out
 }
 
-// typedNames gives the exported names of a block that begins with a figure.
-func typedNames(g *ast.GenDecl) []string {
+// metricNames gives the exported names of a block that begins with a figure.
+func metricNames(g *ast.GenDecl) []string {
 	first := g.Specs[0].(*ast.ValueSpec)
-	if id, ok := first.Type.(*ast.Ident); !ok || !slices.Contains(figureTypes, id.Name) {
+	if id, ok := first.Type.(*ast.Ident); !ok || !slices.Contains(metricTypes, id.Name) {
 		return nil
 	}
 	var out []string
--- a/internal/pages/examples_test.go
+++ b/internal/pages/examples_test.go
@@ -13,8 +13,8 @@
 	"wigeontray/internal/settings"
 )
 
-// deployments are the folders of samples with their service and failure domains.
-var deployments = []struct {
+// exampleDeployments are the folders of samples with their service and failure domains.
+var exampleDeployments = []struct {
 	member, service string
 	domains         []string
 }{
@@ -22,9 +22,9 @@
 	{"leeuwin", "leeuwin/clubcast", []string{"fremantle", "rottnest", "mandurah", "geographe"}},
 }
 
-func TestSampleSettings(t *testing.T) {
+func TestExampleSettings(t *testing.T) {
 	c := qt.New(t)
-	for _, d := range deployments {
+	for _, d := range exampleDeployments {
 		dir := filepath.Join(root, "examples", d.member)
 		entry, err := settings.LoadEntry(filepath.Join(dir, "entry.ini"))
 		c.Assert(err, qt.IsNil)
@@ -43,9 +43,9 @@
 
 // The sample records of a deployment are in force together: its service and
 // kind of job can be asked for, and its teams are the ones with quotas.
-func TestSampleRecords(t *testing.T) {
+func TestExampleRecords(t *testing.T) {
 	c := qt.New(t)
-	for _, d := range deployments {
+	for _, d := range exampleDeployments {
 		var raw []record.Raw
 		files, err := filepath.Glob(filepath.Join(root, "examples", d.member, "records", "*.json"))
 		c.Assert(err, qt.IsNil)
--- a/internal/pages/figures_test.go
+++ b/internal/pages/figures_test.go
@@ -11,16 +11,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// counting are the calls whose literals name a figure.
-var counting = []string{"count", "gauge", "GetOrRegisterCounter", "GetOrRegister"}
+// metricFuncs are the calls whose literals name a figure.
+var metricFuncs = []string{"count", "gauge", "GetOrRegisterCounter", "GetOrRegister"}
 
-// named gives the literals in the counting calls of a package.
-func named(c *qt.C, dir string) []string {
+// metricLiterals gives the literals in the counting calls of a package.
+func metricLiterals(c *qt.C, dir string) []string {
 	var out []string
 	for _, f := range parseDir(c, dir) {
 		ast.Inspect(f, func(n ast.Node) bool {
-			if call, ok := n.(*ast.CallExpr); ok && slices.Contains(counting, calledName(call)) {
-				out = append(out, literals(call)...)
+			if call, ok := n.(*ast.CallExpr); ok && slices.Contains(metricFuncs, calleeName(call)) {
+				out = append(out, stringLiterals(call)...)
 			}
 			return true
 		})
@@ -28,7 +28,7 @@
 	return out
 }
 
-func calledName(call *ast.CallExpr) string {
+func calleeName(call *ast.CallExpr) string {
 	switch f := call.Fun.(type) {
 	case *ast.SelectorExpr:
 		return f.Sel.Name
@@ -38,7 +38,7 @@
 	return ""
 }
 
-func literals(n ast.Node) []string {
+func stringLiterals(n ast.Node) []string {
 	var out []string
 	ast.Inspect(n, func(n ast.Node) bool {
 		if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
@@ -51,9 +51,9 @@
 	return out
 }
 
-// packageFigures lists the figures that packages count on go-metrics alone, in
+// packageMetrics lists the figures that packages count on go-metrics alone, in
 // the form of the exposition. A star stands for what is only known at run time.
-func packageFigures(c *qt.C) []string {
+func packageMetrics(c *qt.C) []string {
 	var out []string
 	add := func(name string) {
 		if strings.HasSuffix(name, ".") {
@@ -61,19 +61,19 @@
 		}
 		out = append(out, "wigeontray_"+strings.ReplaceAll(name, ".", "_"))
 	}
-	for _, s := range named(c, "internal/guard") {
+	for _, s := range metricLiterals(c, "internal/guard") {
 		add(s)
 	}
 	add("guard.result.")
 	add("guard.refused.")
 	for dir, prefix := range map[string]string{"internal/confsync": "config.", "internal/peers": "peers."} {
-		for _, s := range named(c, dir) {
+		for _, s := range metricLiterals(c, dir) {
 			if s != prefix {
 				add(prefix + strings.TrimPrefix(s, prefix))
 			}
 		}
 	}
-	for _, s := range named(c, "internal/store") {
+	for _, s := range metricLiterals(c, "internal/store") {
 		switch {
 		case s == "store." || s == ".": // parts of the common form
 		case strings.HasPrefix(s, "store."):
@@ -85,7 +85,7 @@
 	return out
 }
 
-func TestPackageFigures(t *testing.T) {
+func TestPackageMetrics(t *testing.T) {
 	c := qt.New(t)
-	checkNames(c, "docs/operators.md", "package-figures", packageFigures(c))
+	checkFirstColumn(c, "docs/operators.md", "package-figures", packageMetrics(c))
 }
--- a/internal/pages/links_test.go
+++ b/internal/pages/links_test.go
@@ -10,12 +10,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 
-func TestLinksLeadSomewhere(t *testing.T) {
+func TestLinkTargetsExist(t *testing.T) {
 	c := qt.New(t)
-	for _, page := range pageFiles(c) {
-		for _, m := range link.FindAllStringSubmatch(readPage(c, page), -1) {
+	for _, page := range markdownFiles(c) {
+		for _, m := range linkPattern.FindAllStringSubmatch(readFile(c, page), -1) {
 			if strings.Contains(m[1], "://") {
 				continue
 			}
@@ -27,13 +27,13 @@
 			_, err := os.Stat(filepath.Join(root, target))
 			c.Check(err, qt.IsNil, qt.Commentf("%s: %s", page, m[1]))
 			if err == nil && anchor != "" {
-				c.Check(hasHeading(readPage(c, target), anchor), qt.IsTrue, qt.Commentf("%s: no heading %s", page, m[1]))
+				c.Check(hasHeading(readFile(c, target), anchor), qt.IsTrue, qt.Commentf("%s: no heading %s", page, m[1]))
 			}
 		}
 	}
 }
 
-var notInAnchor = regexp.MustCompile(`[^a-z0-9 -]`)
+var nonAnchorChars = regexp.MustCompile(`[^a-z0-9 -]`)
 
 // hasHeading tells whether a page has a heading with the anchor, by the rule of
 // the usual renderers: lower case, no punctuation, hyphens for spaces.
@@ -43,7 +43,7 @@
 		if !ok || !strings.HasPrefix(line, "#") {
 			continue
 		}
-		slug := strings.ReplaceAll(notInAnchor.ReplaceAllString(strings.ToLower(text), ""), " ", "-")
+		slug := strings.ReplaceAll(nonAnchorChars.ReplaceAllString(strings.ToLower(text), ""), " ", "-")
 		if slug == anchor {
 			return true
 		}
--- a/internal/pages/logs_test.go
+++ b/internal/pages/logs_test.go
@@ -13,35 +13,35 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var logField = regexp.MustCompile("`([a-z_]+)`")
+var logFieldPattern = regexp.MustCompile("`([a-z_]+)`")
 
 // An engineer on call looks up a field of a log line and does not find it, or finds
 // one that no line has.
-func TestLogFieldsAreListed(t *testing.T) {
+func TestLogFieldsAreDocumented(t *testing.T) {
 	c := qt.New(t)
 	var used []string
 	for _, dir := range []string{"internal/batchnode", "platform"} {
 		for _, f := range parseDir(c, dir) {
 			ast.Inspect(f, func(n ast.Node) bool {
 				if call, ok := n.(*ast.CallExpr); ok {
-					used = append(used, fieldsOf(call)...)
+					used = append(used, logFieldsOf(call)...)
 				}
 				return true
 			})
 		}
 	}
-	listed := listedFields(c)
+	documented := documentedFields(c)
 	slices.Sort(used)
 	for _, name := range slices.Compact(used) {
-		c.Check(slices.Contains(listed, name), qt.IsTrue, qt.Commentf("docs/OPERATIONS.md does not list %q", name))
+		c.Check(slices.Contains(documented, name), qt.IsTrue, qt.Commentf("docs/OPERATIONS.md does not list %q", name))
 	}
-	for _, name := range listed {
+	for _, name := range documented {
 		c.Check(slices.Contains(used, name), qt.IsTrue, qt.Commentf("no line has %q", name))
 	}
 }
 
-// fieldsOf gives the names of the fields of a call that writes a line.
-func fieldsOf(call *ast.CallExpr) []string {
+// logFieldsOf gives the names of the fields of a call that writes a line.
+func logFieldsOf(call *ast.CallExpr) []string {
 	f, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains([]string{"Info", "Warn", "Error"}, f.Sel.Name) {
 		return nil
@@ -57,14 +57,14 @@
 	return out
 }
 
-func listedFields(c *qt.C) []string {
-	_, after, found := strings.Cut(readPage(c, filepath.Join("docs", "OPERATIONS.md")), "<!-- log fields -->")
+func documentedFields(c *qt.C) []string {
+	_, after, found := strings.Cut(readFile(c, filepath.Join("docs", "OPERATIONS.md")), "<!-- log fields -->")
 	c.Assert(found, qt.IsTrue)
 	table, _, _ := strings.Cut(after, "\n\n")
 	var out []string
 	for line := range strings.Lines(table) {
 		first, _, _ := strings.Cut(strings.TrimPrefix(line, "|"), "|")
-		for _, m := range logField.FindAllStringSubmatch(first, -1) {
+		for _, m := range logFieldPattern.FindAllStringSubmatch(first, -1) {
 			out = append(out, m[1])
 		}
 	}
--- a/internal/pages/promises_test.go
+++ b/internal/pages/promises_test.go
@@ -11,30 +11,30 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var testName = regexp.MustCompile("`([a-z0-9]+)\\.((?:Test|Fuzz|Benchmark)[A-Za-z0-9]+)`")
+var testReference = regexp.MustCompile("`([a-z0-9]+)\\.((?:Test|Fuzz|Benchmark)[A-Za-z0-9]+)`")
 
 // A promise that names a test which was renamed or dropped looks proved to its
 // reader and is not.
-func TestNamedTestsExist(t *testing.T) {
+func TestReferencedTestsExist(t *testing.T) {
 	c := qt.New(t)
-	known := make(map[string]map[string]bool) // functions of the tests of a package
-	for _, page := range pageFiles(c) {
-		for _, m := range testName.FindAllStringSubmatch(readPage(c, page), -1) {
-			if known[m[1]] == nil {
-				known[m[1]] = testFunctions(c, m[1])
+	functions := make(map[string]map[string]bool) // functions of the tests of a package
+	for _, page := range markdownFiles(c) {
+		for _, m := range testReference.FindAllStringSubmatch(readFile(c, page), -1) {
+			if functions[m[1]] == nil {
+				functions[m[1]] = testFunctionNames(c, m[1])
 			}
-			c.Check(known[m[1]][m[2]], qt.IsTrue, qt.Commentf("%s: %s.%s", page, m[1], m[2]))
+			c.Check(functions[m[1]][m[2]], qt.IsTrue, qt.Commentf("%s: %s.%s", page, m[1], m[2]))
 		}
 	}
 }
 
-func testFunctions(c *qt.C, pkg string) map[string]bool {
+func testFunctionNames(c *qt.C, pkg string) map[string]bool {
 	out := make(map[string]bool)
 	files, err := filepath.Glob(filepath.Join(root, "internal", pkg, "*_test.go"))
 	c.Assert(err, qt.IsNil)
-	more, err := filepath.Glob(filepath.Join(root, pkg, "*_test.go"))
+	topLevel, err := filepath.Glob(filepath.Join(root, pkg, "*_test.go"))
 	c.Assert(err, qt.IsNil)
-	for _, name := range append(files, more...) {
+	for _, name := range append(files, topLevel...) {
 		f, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
 		c.Assert(err, qt.IsNil)
 		for _, d := range f.Decls {
--- a/internal/pages/source_test.go
+++ b/internal/pages/source_test.go
@@ -34,11 +34,11 @@
 	return files
 }
 
-// answering are the packages that write HTTP answers.
-var answering = []string{"internal/errkind", "internal/entry", "internal/guard", "internal/recordapi"}
+// httpPackages are the packages that write HTTP answers.
+var httpPackages = []string{"internal/errkind", "internal/entry", "internal/guard", "internal/recordapi"}
 
-// statusNames gives the constants of net/http by name.
-func statusNames() map[string]int {
+// statusByName gives the constants of net/http by name.
+func statusByName() map[string]int {
 	out := make(map[string]int)
 	for s := 100; s < 600; s++ {
 		if text := http.StatusText(s); text != "" {
@@ -50,39 +50,39 @@
 
 func TestHTTPStatuses(t *testing.T) {
 	c := qt.New(t)
-	names := statusNames()
+	statuses := statusByName()
 	found := make(map[string]bool)
-	for _, dir := range answering {
+	for _, dir := range httpPackages {
 		for _, f := range parseDir(c, dir) {
 			ast.Inspect(f, func(n ast.Node) bool {
-				if s, ok := n.(*ast.SelectorExpr); ok && strings.HasPrefix(s.Sel.Name, "Status") && isName(s.X, "http") {
-					found[strconv.Itoa(names[s.Sel.Name])] = names[s.Sel.Name] != 0
+				if s, ok := n.(*ast.SelectorExpr); ok && strings.HasPrefix(s.Sel.Name, "Status") && isIdent(s.X, "http") {
+					found[strconv.Itoa(statuses[s.Sel.Name])] = statuses[s.Sel.Name] != 0
 				}
 				return true
 			})
 		}
 	}
 	delete(found, "0") // http.StatusText and the like
-	checkNames(c, "docs/http.md", "statuses", slices.Collect(maps.Keys(found)))
+	checkFirstColumn(c, "docs/http.md", "statuses", slices.Collect(maps.Keys(found)))
 }
 
-func isName(x ast.Expr, name string) bool {
+func isIdent(x ast.Expr, name string) bool {
 	id, ok := x.(*ast.Ident)
 	return ok && id.Name == name
 }
 
-var pattern = regexp.MustCompile(`^(GET|POST|PUT|DELETE|PATCH) /`)
+var endpointPattern = regexp.MustCompile(`^(GET|POST|PUT|DELETE|PATCH) /`)
 
 func TestEndpoints(t *testing.T) {
 	c := qt.New(t)
 	found := make(map[string]bool)
-	for _, dir := range answering {
+	for _, dir := range httpPackages {
 		files := parseDir(c, dir)
-		consts := constants(files)
+		consts := stringConstants(files)
 		for _, f := range files {
 			ast.Inspect(f, func(n ast.Node) bool {
 				if x, ok := n.(ast.Expr); ok {
-					if s := value(x, consts); pattern.MatchString(s) {
+					if s := stringValue(x, consts); endpointPattern.MatchString(s) {
 						found[s] = true
 					}
 				}
@@ -90,17 +90,17 @@
 			})
 		}
 	}
-	checkNames(c, "docs/http.md", "endpoints", slices.Collect(maps.Keys(found)))
+	checkFirstColumn(c, "docs/http.md", "endpoints", slices.Collect(maps.Keys(found)))
 }
 
-// constants gives the string constants of a package by name.
-func constants(files []*ast.File) map[string]string {
+// stringConstants gives the string constants of a package by name.
+func stringConstants(files []*ast.File) map[string]string {
 	out := make(map[string]string)
 	for _, f := range files {
 		ast.Inspect(f, func(n ast.Node) bool {
 			if v, ok := n.(*ast.ValueSpec); ok && len(v.Values) == len(v.Names) {
 				for i := range v.Names {
-					out[v.Names[i].Name] = value(v.Values[i], out)
+					out[v.Names[i].Name] = stringValue(v.Values[i], out)
 				}
 			}
 			return true
@@ -109,8 +109,8 @@
 	return out
 }
 
-// value gives a string made of literals and constants, empty for anything else.
-func value(x ast.Expr, consts map[string]string) string {
+// stringValue gives a string made of literals and constants, empty for anything else.
+func stringValue(x ast.Expr, consts map[string]string) string {
 	switch x := x.(type) {
 	case *ast.BasicLit:
 		if s, err := strconv.Unquote(x.Value); err == nil && x.Kind == token.STRING {
@@ -119,7 +119,7 @@
 	case *ast.Ident:
 		return consts[x.Name]
 	case *ast.BinaryExpr:
-		return value(x.X, consts) + value(x.Y, consts)
+		return stringValue(x.X, consts) + stringValue(x.Y, consts)
 	}
 	return ""
 }
@@ -127,8 +127,8 @@
 // command is one command of the binary wigeontray.
 type command struct{ name, help string }
 
-// commands reads the tags that kong builds the command line from.
-func commands(c *qt.C) []command {
+// parseCommands reads the tags that kong builds the command line from.
+func parseCommands(c *qt.C) []command {
 	structs := make(map[string]*ast.StructType)
 	for _, f := range parseDir(c, "internal/cli") {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -170,8 +170,8 @@
 func TestCommands(t *testing.T) {
 	c := qt.New(t)
 	var rows [][]string
-	for _, cmd := range commands(c) {
-		rows = append(rows, []string{code("wigeontray " + cmd.name), cmd.help})
+	for _, cmd := range parseCommands(c) {
+		rows = append(rows, []string{codeSpan("wigeontray " + cmd.name), cmd.help})
 	}
-	checkTable(c, "docs/operators.md", "commands", render([]string{"command", "what it does"}, rows))
+	checkTable(c, "docs/operators.md", "commands", renderTable([]string{"command", "what it does"}, rows))
 }
--- a/internal/pages/tree_test.go
+++ b/internal/pages/tree_test.go
@@ -12,20 +12,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// notOurs are folders with nothing that people write: the repository's own, build
+// excludedDirs are folders with nothing that people write: the repository's own, build
 // output, and records of runs, which are kept as they were written. Scanned for
 // words, the programs in build output alone took 40 s of several processors, and
 // tests with time limits beside it failed.
-var notOurs = []string{".git", "bin", "target", "journal"}
+var excludedDirs = []string{".git", "bin", "target", "journal"}
 
-// tree lists the text files of the repository by their paths below root.
-func tree(c *qt.C) []string {
+// textFiles lists the text files of the repository by their paths below root.
+func textFiles(c *qt.C) []string {
 	var out []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		if d.IsDir() && slices.Contains(notOurs, d.Name()) {
+		if d.IsDir() && slices.Contains(excludedDirs, d.Name()) {
 			return filepath.SkipDir
 		}
 		if d.Type().IsRegular() && d.Name() != ".git" {
@@ -43,78 +43,78 @@
 // another; a newcomer who follows it finds nothing.
 func TestNoMachinePaths(t *testing.T) {
 	c := qt.New(t)
-	machine := regexp.MustCompile(`(^|[\s"'(=` + "`" + `])/(work|root|Users|home/\w+)/`)
-	for _, name := range tree(c) {
-		for i, line := range strings.Split(readPage(c, name), "\n") {
-			c.Check(machine.MatchString(line), qt.IsFalse, qt.Commentf("%s:%d: %s", name, i+1, line))
+	machinePath := regexp.MustCompile(`(^|[\s"'(=` + "`" + `])/(work|root|Users|home/\w+)/`)
+	for _, name := range textFiles(c) {
+		for i, line := range strings.Split(readFile(c, name), "\n") {
+			c.Check(machinePath.MatchString(line), qt.IsFalse, qt.Commentf("%s:%d: %s", name, i+1, line))
 		}
 	}
 }
 
 // Lengths at which a Go file is worth a look, and at which it must be split.
 const (
-	longFile    = 400
-	tooLongFile = 500
+	warnFileLines = 400
+	maxFileLines  = 500
 )
 
-func TestLongFiles(t *testing.T) {
+func TestFileLength(t *testing.T) {
 	c := qt.New(t)
-	for _, name := range tree(c) {
+	for _, name := range textFiles(c) {
 		if filepath.Ext(name) != ".go" {
 			continue
 		}
-		n := strings.Count(readPage(c, name), "\n")
-		c.Check(n <= tooLongFile, qt.IsTrue, qt.Commentf("%s has %d lines", name, n))
-		if n > longFile {
+		n := strings.Count(readFile(c, name), "\n")
+		c.Check(n <= maxFileLines, qt.IsTrue, qt.Commentf("%s has %d lines", name, n))
+		if n > warnFileLines {
 			c.Logf("look at %s: %d lines", name, n)
 		}
 	}
 }
 
-// pageFiles lists the Markdown pages.
-func pageFiles(c *qt.C) []string {
-	return slices.DeleteFunc(tree(c), func(name string) bool { return filepath.Ext(name) != ".md" })
+// markdownFiles lists the Markdown pages.
+func markdownFiles(c *qt.C) []string {
+	return slices.DeleteFunc(textFiles(c), func(name string) bool { return filepath.Ext(name) != ".md" })
 }
 
 // Marks that must stand on the line before a table of docs/CAPACITY.md, and may
 // stand before tables of other pages. Measured figures name the command that
 // gave them on a line below the table.
 const (
-	measuredMark = "<!-- measured -->"
-	derivedMark  = "<!-- worked out -->"
-	plainMark    = "<!-- no figures -->"
-	commandLine  = "Command: `"
+	measuredMark  = "<!-- measured -->"
+	derivedMark   = "<!-- worked out -->"
+	noFiguresMark = "<!-- no figures -->"
+	commandPrefix = "Command: `"
 )
 
-func TestMeasuredTablesNameTheirCommand(t *testing.T) {
+func TestMeasuredTablesNameCommand(t *testing.T) {
 	c := qt.New(t)
-	for _, page := range pageFiles(c) {
-		lines := strings.Split(readPage(c, page), "\n")
+	for _, page := range markdownFiles(c) {
+		lines := strings.Split(readFile(c, page), "\n")
 		for i, line := range lines {
 			if line == measuredMark {
-				c.Check(commandBelow(lines[i+1:]), qt.IsTrue, qt.Commentf("%s:%d: no %q below the table", page, i+1, commandLine))
+				c.Check(hasCommandBelow(lines[i+1:]), qt.IsTrue, qt.Commentf("%s:%d: no %q below the table", page, i+1, commandPrefix))
 			}
 		}
 	}
 }
 
-// commandBelow looks for the command between a table and the next heading.
-func commandBelow(lines []string) bool {
+// hasCommandBelow looks for the command between a table and the next heading.
+func hasCommandBelow(lines []string) bool {
 	for _, line := range lines {
 		if strings.HasPrefix(line, "#") {
 			return false
 		}
-		if strings.HasPrefix(line, commandLine) {
+		if strings.HasPrefix(line, commandPrefix) {
 			return true
 		}
 	}
 	return false
 }
 
-func TestEveryCapacityTableSaysWhatItIs(t *testing.T) {
+func TestCapacityTablesAreMarked(t *testing.T) {
 	c := qt.New(t)
-	lines := strings.Split(readPage(c, "docs/CAPACITY.md"), "\n")
-	marks := []string{measuredMark, derivedMark, plainMark}
+	lines := strings.Split(readFile(c, "docs/CAPACITY.md"), "\n")
+	marks := []string{measuredMark, derivedMark, noFiguresMark}
 	for i, line := range lines {
 		if strings.HasPrefix(line, "|") && (i == 0 || !strings.HasPrefix(lines[i-1], "|")) {
 			c.Check(i > 0 && slices.Contains(marks, lines[i-1]), qt.IsTrue, qt.Commentf("docs/CAPACITY.md:%d: %s", i+1, line))
@@ -126,14 +126,14 @@
 // continuation lines. The README has its commands in indented blocks.
 func shellCommands(name, page string) []string {
 	var out []string
-	inside, continued := false, false
+	inBlock, continued := false, false
 	for _, line := range strings.Split(page, "\n") {
 		trimmed := strings.TrimSpace(line)
 		indented := name == "README.md" && strings.HasPrefix(line, "    ")
 		switch {
 		case strings.HasPrefix(trimmed, "```"):
-			inside = trimmed == "```sh"
-		case (inside || indented) && !continued && trimmed != "" && !strings.HasPrefix(trimmed, "#"):
+			inBlock = trimmed == "```sh"
+		case (inBlock || indented) && !continued && trimmed != "" && !strings.HasPrefix(trimmed, "#"):
 			out = append(out, trimmed)
 		}
 		continued = strings.HasSuffix(trimmed, `\`)
@@ -141,28 +141,28 @@
 	return out
 }
 
-// inTree are prefixes of words in commands that name something in the tree.
-var inTree = []string{"./cmd/", "./internal/", "./bench", ".ci/", "examples/"}
+// treePrefixes are prefixes of words in commands that name something in the tree.
+var treePrefixes = []string{"./cmd/", "./internal/", "./bench", ".ci/", "examples/"}
 
-// tools are programs that a page may use and the tree does not hold.
-var tools = []string{"bash", "cd", "curl", "go", "kill", "mkdir", "export", "openssl"}
+// externalTools are programs that a page may use and the tree does not hold.
+var externalTools = []string{"bash", "cd", "curl", "go", "kill", "mkdir", "export", "openssl"}
 
-// builtPath matches the binaries that the pages build.
-var builtPath = regexp.MustCompile(`^(\./)?bin/(wigeontray|wigeontray-guard)$`)
+// builtBinary matches the binaries that the pages build.
+var builtBinary = regexp.MustCompile(`^(\./)?bin/(wigeontray|wigeontray-guard)$`)
 
-func TestShellCommandsBeginWithSomethingThatExists(t *testing.T) {
+func TestShellCommandsExist(t *testing.T) {
 	c := qt.New(t)
-	known := commands(c)
-	for _, page := range pageFiles(c) {
-		for _, line := range shellCommands(page, readPage(c, page)) {
+	known := parseCommands(c)
+	for _, page := range markdownFiles(c) {
+		for _, line := range shellCommands(page, readFile(c, page)) {
 			words := strings.Fields(line)
 			note := qt.Commentf("%s: %s", page, line)
-			c.Check(exists(words[0]), qt.IsTrue, note)
+			c.Check(isKnownProgram(words[0]), qt.IsTrue, note)
 			if strings.HasSuffix(words[0], "wigeontray") {
-				c.Check(isCommand(known, words[1:]), qt.IsTrue, note)
+				c.Check(isKnownCommand(known, words[1:]), qt.IsTrue, note)
 			}
 			for _, w := range words[1:] {
-				if slices.ContainsFunc(inTree, func(p string) bool { return strings.HasPrefix(w, p) }) {
+				if slices.ContainsFunc(treePrefixes, func(p string) bool { return strings.HasPrefix(w, p) }) {
 					_, err := os.Stat(filepath.Join(root, strings.TrimSuffix(w, "/...")))
 					c.Check(err, qt.IsNil, note)
 				}
@@ -171,15 +171,15 @@
 	}
 }
 
-func exists(word string) bool {
-	if slices.Contains(tools, word) || builtPath.MatchString(word) || word == "wigeontray" || word == "wigeontray-guard" {
+func isKnownProgram(word string) bool {
+	if slices.Contains(externalTools, word) || builtBinary.MatchString(word) || word == "wigeontray" || word == "wigeontray-guard" {
 		return true
 	}
 	_, err := os.Stat(filepath.Join(root, word))
 	return err == nil
 }
 
-func isCommand(known []command, words []string) bool {
+func isKnownCommand(known []command, words []string) bool {
 	line := strings.Join(words, " ") + " "
 	return slices.ContainsFunc(known, func(k command) bool { return strings.HasPrefix(line, k.name+" ") })
 }
