--- a/internal/proctest/proctest.go
+++ b/internal/proctest/proctest.go
@@ -18,8 +18,8 @@
 // Build puts both binaries into a folder. Extra words go to go build.
 func Build(dir string, flags ...string) error {
 	args := append([]string{"build", "-o", dir}, flags...)
-	build := exec.Command("go", append(args, "wigeontray/cmd/...")...)
-	if out, err := build.CombinedOutput(); err != nil {
+	cmd := exec.Command("go", append(args, "wigeontray/cmd/...")...)
+	if out, err := cmd.CombinedOutput(); err != nil {
 		return fmt.Errorf("build: %w\n%s", err, out)
 	}
 	return nil
@@ -27,15 +27,15 @@
 
 // Process is one started binary.
 type Process struct {
-	cmd   *exec.Cmd
-	ended chan struct{}
-	err   error
+	cmd  *exec.Cmd
+	done chan struct{}
+	err  error
 }
 
 // Start starts a binary. Both its outputs go to out; env is added to this process's
 // environment.
 func Start(out io.Writer, env []string, binary string, args ...string) (*Process, error) {
-	p := &Process{cmd: exec.Command(binary, args...), ended: make(chan struct{})}
+	p := &Process{cmd: exec.Command(binary, args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with a killed test
@@ -44,7 +44,7 @@
 	}
 	go func() {
 		p.err = p.cmd.Wait()
-		close(p.ended)
+		close(p.done)
 	}()
 	return p, nil
 }
@@ -53,66 +53,66 @@
 func (p *Process) Signal(sig syscall.Signal) {
 	_ = p.cmd.Process.Signal(sig) // one that has ended needs none
 	if sig == syscall.SIGSTOP {
-		p.awaitStopped()
+		p.waitStopped()
 	}
 }
 
-// awaitStopped waits until every thread of the process has stopped. The signal
+// waitStopped waits until every thread of the process has stopped. The signal
 // is on its way when the call that sent it returns, and a thread that still runs
 // would take a request that the test meant for a frozen process.
-func (p *Process) awaitStopped() {
-	for !p.stopped() {
+func (p *Process) waitStopped() {
+	for !p.allThreadsStopped() {
 		select {
-		case <-p.ended:
+		case <-p.done:
 			return
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-func (p *Process) stopped() bool {
-	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid)) // the pattern is well formed
-	for _, name := range tasks {
+func (p *Process) allThreadsStopped() bool {
+	statFiles, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid)) // the pattern is well formed
+	for _, name := range statFiles {
 		stat, err := os.ReadFile(name)
 		_, state, _ := strings.Cut(string(stat), ") ") // after the name in brackets
 		if err != nil || !strings.HasPrefix(state, "T") {
 			return false
 		}
 	}
-	return len(tasks) > 0
+	return len(statFiles) > 0
 }
 
 // Ended is closed when the process has ended.
-func (p *Process) Ended() <-chan struct{} { return p.ended }
+func (p *Process) Ended() <-chan struct{} { return p.done }
 
 // Wait waits for the end and tells how it was; nil for success.
 func (p *Process) Wait() error {
-	<-p.ended
+	<-p.done
 	return p.err
 }
 
 // Kill ends the process at once, also when it is stopped, and waits for it.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.done
 }
 
 // Buffer collects the output of a process.
 type Buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (s *Buffer) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.b.Write(p)
+func (b *Buffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.Write(p)
 }
 
 // String gives what was written so far.
-func (s *Buffer) String() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.b.String()
+func (b *Buffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.String()
 }
