--- a/bench/memory_test.go
+++ b/bench/memory_test.go
@@ -12,11 +12,11 @@
 	"wigeontray/internal/wire"
 )
 
-// remembered is how many records the benchmarks of memory hold.
-const remembered = 100_000
+// heldRecords is how many records the benchmarks of memory hold.
+const heldRecords = 100_000
 
-// heap is the live heap.
-func heap() float64 {
+// liveHeapBytes is the live heap.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC() // sweeps what the first one found
 	var m runtime.MemStats
@@ -28,18 +28,18 @@
 // finished job whose answer it no longer holds.
 func BenchmarkJobRecord(b *testing.B) {
 	for b.Loop() {
-		before := heap()
-		r := jobs.New(jobs.Limits{Retention: time.Hour, Skew: time.Minute, Records: remembered, AnswerBytes: 1})
-		for range remembered {
+		before := liveHeapBytes()
+		r := jobs.New(jobs.Limits{Retention: time.Hour, Skew: time.Minute, Records: heldRecords, AnswerBytes: 1})
+		for range heldRecords {
 			now := time.Now()
-			rec, _, err := r.Admit(now, member, identity.NewTicket("entry-callao-a-0123456789ab", now), jobs.Fingerprint{})
+			rec, _, err := r.Admit(now, benchMember, identity.NewTicket("entry-callao-a-0123456789ab", now), jobs.Fingerprint{})
 			if err != nil {
 				b.Fatal(err)
 			}
 			r.Finish(now, rec, &jobs.Answer{Body: make([]byte, 64)})
 			rec.Release()
 		}
-		b.ReportMetric((heap()-before)/remembered, "B/record")
+		b.ReportMetric((liveHeapBytes()-before)/heldRecords, "B/record")
 		runtime.KeepAlive(r)
 	}
 }
@@ -49,18 +49,18 @@
 func BenchmarkGuardStart(b *testing.B) {
 	const home = "entry-callao-a-0123456789ab"
 	for b.Loop() {
-		before := heap()
-		l := ledger.New(time.Now(), ledger.Options{Remembered: remembered, HeldBytes: 1})
+		before := liveHeapBytes()
+		l := ledger.New(time.Now(), ledger.Options{Remembered: heldRecords, HeldBytes: 1})
 		l.Health(time.Now(), true)
 		l.LinkUp(time.Now(), home)
-		for range remembered {
+		for range heldRecords {
 			now := time.Now()
-			ref := wire.Ref{Member: member, Key: identity.NewTicket(home, now).Text}
+			ref := wire.Ref{Member: benchMember, Key: identity.NewTicket(home, now).Text}
 			l.Start(now, home, &wire.Start{Ref: ref, Of: 1, Home: home, LeftMs: 1000})
 			l.Finished(now, wire.Result{Ref: ref, Ran: errkind.RanYes, Status: 200, Body: make([]byte, 64)})
 			l.Actions()
 		}
-		b.ReportMetric((heap()-before)/remembered, "B/start")
+		b.ReportMetric((liveHeapBytes()-before)/heldRecords, "B/start")
 		runtime.KeepAlive(l)
 	}
 }
--- a/bench/process_test.go
+++ b/bench/process_test.go
@@ -23,8 +23,8 @@
 	log bytes.Buffer
 }
 
-// build compiles both binaries into a folder that goes with the benchmark.
-func build(b *testing.B) string {
+// buildBinaries compiles both binaries into a folder that goes with the benchmark.
+func buildBinaries(b *testing.B) string {
 	b.Helper()
 	dir := b.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir, "../cmd/wigeontray", "../cmd/wigeontray-guard").CombinedOutput()
@@ -34,8 +34,8 @@
 	return dir
 }
 
-// start runs a binary until the end of the benchmark.
-func start(b *testing.B, path string, args ...string) *process {
+// startProcess runs a binary until the end of the benchmark.
+func startProcess(b *testing.B, path string, args ...string) *process {
 	b.Helper()
 	p := &process{cmd: exec.Command(path, args...)}
 	p.cmd.Stderr = &p.log
@@ -47,9 +47,9 @@
 }
 
 func (p *process) stop(b *testing.B) {
-	const patience = 20 * time.Second
+	const stopTimeout = 20 * time.Second
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	kill := time.AfterFunc(patience, func() { _ = p.cmd.Process.Kill() })
+	kill := time.AfterFunc(stopTimeout, func() { _ = p.cmd.Process.Kill() })
 	defer kill.Stop()
 	if err := p.cmd.Wait(); err != nil {
 		b.Errorf("%s: %v", filepath.Base(p.cmd.Path), err)
@@ -59,8 +59,8 @@
 	}
 }
 
-// cpu is the processor time of all threads so far.
-func (p *process) cpu(b *testing.B) time.Duration {
+// cpuTime is the processor time of all threads so far.
+func (p *process) cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	if err != nil || len(files) == 0 {
@@ -81,8 +81,8 @@
 	return time.Duration(sum)
 }
 
-// resident is the resident memory in bytes.
-func (p *process) resident(b *testing.B) float64 {
+// residentBytes is the resident memory in bytes.
+func (p *process) residentBytes(b *testing.B) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
@@ -106,16 +106,16 @@
 	return l.Addr().String()
 }
 
-// awaitFigure polls an exposition until a figure has the value.
-func awaitFigure(b *testing.B, admin, name string, want float64) {
+// waitForMetric polls an exposition until a figure has the value.
+func waitForMetric(b *testing.B, admin, name string, want float64) {
 	b.Helper()
 	const (
-		patience = 15 * time.Second
-		every    = 20 * time.Millisecond
+		waitTimeout  = 15 * time.Second
+		pollInterval = 20 * time.Millisecond
 	)
 	var got float64
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(every) {
-		if v, err := figure(admin, name); err == nil {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if v, err := readMetric(admin, name); err == nil {
 			if got = v; got == want {
 				return
 			}
@@ -124,7 +124,7 @@
 	b.Fatalf("%s of %s is %v, want %v", name, admin, got, want)
 }
 
-func figure(admin, name string) (float64, error) {
+func readMetric(admin, name string) (float64, error) {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
 		return 0, err
@@ -139,8 +139,8 @@
 	return 0, fmt.Errorf("no figure %s", name)
 }
 
-// post sends a body and reads the whole answer.
-func post(client *http.Client, req *http.Request) error {
+// sendRequest sends a body and reads the whole answer.
+func sendRequest(client *http.Client, req *http.Request) error {
 	resp, err := client.Do(req)
 	if err != nil {
 		return err
--- a/bench/site_test.go
+++ b/bench/site_test.go
@@ -24,29 +24,29 @@
 
 // Names used by every benchmark.
 const (
-	member  = "bench"
-	service = "echo"
+	benchMember  = "bench"
+	benchService = "echo"
 )
 
-// site is a store in this process, an entry and the addresses of both.
-type site struct {
+// testbed is a store in this process, an entry and the addresses of both.
+type testbed struct {
 	dir                   string
 	store                 string // base URL
 	callers, inner, admin string
 	configKey             string // file
 	token                 string
 	entry                 *process
-	bin                   string
+	binaryDir             string
 	storeCalls            atomic.Int64 // requests to the store so far
 	serviceRevision       int64        // of the service's record
 }
 
-// newSite starts an entry with one member and one service.
-func newSite(b *testing.B) *site {
+// newTestbed starts an entry with one member and one service.
+func newTestbed(b *testing.B) *testbed {
 	b.Helper()
 	kv := standin.New()
-	s := &site{
-		dir: b.TempDir(), bin: build(b),
+	s := &testbed{
+		dir: b.TempDir(), binaryDir: buildBinaries(b),
 		callers: freeAddr(b), inner: freeAddr(b), admin: freeAddr(b),
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,13 +60,13 @@
 	}
 	s.store, s.token = server.URL, token.Secret
 	s.putRecords(b, token.Hash)
-	s.configKey = s.write(b, "config.key", "the key of all entries\n")
-	s.entry = start(b, filepath.Join(s.bin, "wigeontray"), "serve", "--config", s.write(b, "entry.ini", s.entrySettings()))
-	awaitFigure(b, s.admin, "wigeontray_ready", 1)
+	s.configKey = s.writeFile(b, "config.key", "the key of all entries\n")
+	s.entry = startProcess(b, filepath.Join(s.binaryDir, "wigeontray"), "serve", "--config", s.writeFile(b, "entry.ini", s.entrySettings()))
+	waitForMetric(b, s.admin, "wigeontray_ready", 1)
 	return s
 }
 
-func (s *site) putRecords(b *testing.B, hash string) {
+func (s *testbed) putRecords(b *testing.B, hash string) {
 	b.Helper()
 	kv := store.NewEtcd(store.Options{Endpoints: []string{s.store}, Timeout: time.Second})
 	put := func(kind record.Kind, name, value string) int64 {
@@ -76,12 +76,12 @@
 		}
 		return revision
 	}
-	put(record.KindMember, member, fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":[%q]}`, member, hash))
-	name := member + "/" + service
+	put(record.KindMember, benchMember, fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":[%q]}`, benchMember, hash))
+	name := benchMember + "/" + benchService
 	s.serviceRevision = put(record.KindService, name, fmt.Sprintf(`{"kind":"service","name":%q,"schema":2}`, name))
 }
 
-func (s *site) write(b *testing.B, name, text string) string {
+func (s *testbed) writeFile(b *testing.B, name, text string) string {
 	b.Helper()
 	file := filepath.Join(s.dir, name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -90,7 +90,7 @@
 	return file
 }
 
-func (s *site) entrySettings() string {
+func (s *testbed) entrySettings() string {
 	return fmt.Sprintf(`[node]
 name = entry-1
 region = bench
@@ -107,7 +107,7 @@
 }
 
 // guard starts a guard beside the upstream and waits until the entry has it.
-func (s *site) guard(b *testing.B, upstream string) (p *process, admin string) {
+func (s *testbed) guard(b *testing.B, upstream string) (p *process, admin string) {
 	b.Helper()
 	admin = freeAddr(b)
 	settings := fmt.Sprintf(`[node]
@@ -122,24 +122,24 @@
 service = %s/%s
 [listen]
 admin = %s
-`, s.inner, upstream, member, service, admin)
-	p = start(b, filepath.Join(s.bin, "wigeontray-guard"), "--config", s.write(b, "guard.ini", settings))
-	awaitFigure(b, s.admin, "wigeontray_guards", 1)
+`, s.inner, upstream, benchMember, benchService, admin)
+	p = startProcess(b, filepath.Join(s.binaryDir, "wigeontray-guard"), "--config", s.writeFile(b, "guard.ini", settings))
+	waitForMetric(b, s.admin, "wigeontray_guards", 1)
 	return p, admin
 }
 
 // target is the site for package capacity.
-func (s *site) target() capacity.Target {
+func (s *testbed) target() capacity.Target {
 	return capacity.Target{
 		Inner: s.inner, Callers: "http://" + s.callers, Admin: "http://" + s.admin,
-		Token: s.token, Member: member, Service: service,
+		Token: s.token, Member: benchMember, Service: benchService,
 	}
 }
 
-// job is a request that submits one task.
-func (s *site) job(b *testing.B, task string) *http.Request {
+// newJobRequest is a request that submits one task.
+func (s *testbed) newJobRequest(b *testing.B, task string) *http.Request {
 	b.Helper()
-	body := fmt.Sprintf(`{"service":%q,"tasks":[%s]}`, service, task)
+	body := fmt.Sprintf(`{"service":%q,"tasks":[%s]}`, benchService, task)
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.callers+"/v1/jobs", bytes.NewReader([]byte(body)))
 	if err != nil {
 		b.Fatal(err)
--- a/bench/snapshot_test.go
+++ b/bench/snapshot_test.go
@@ -11,11 +11,11 @@
 // The records of a fleet with the 81 teams of letter 1: nine members with nine
 // teams, two services and four declared kinds of job each.
 const (
-	snapshotMembers  = 9
-	teamsPerMember   = 9
-	servicesPer      = 2
-	jobsPerMember    = 4
-	sampleTokenDigit = "a"
+	snapshotMembers   = 9
+	teamsPerMember    = 9
+	servicesPerMember = 2
+	jobsPerMember     = 4
+	tokenHashDigit    = "a"
 )
 
 func snapshotRecords() []record.Raw {
@@ -26,12 +26,12 @@
 	}
 	for m := range snapshotMembers {
 		member := fmt.Sprintf("member-%d", m)
-		hash := strings.Repeat(sampleTokenDigit, 63) + fmt.Sprint(m)
-		add(record.KindMember, member, fmt.Sprintf(`"schema":1,"token_sha256":[%q],"teams":[%s]`, hash, teams(`"team-%d"`)))
-		for s := range servicesPer {
+		hash := strings.Repeat(tokenHashDigit, 63) + fmt.Sprint(m)
+		add(record.KindMember, member, fmt.Sprintf(`"schema":1,"token_sha256":[%q],"teams":[%s]`, hash, teamList(`"team-%d"`)))
+		for s := range servicesPerMember {
 			name := fmt.Sprintf("%s/service-%d", member, s)
 			add(record.KindService, name, `"schema":2,"path":"/run","default_deadline_ms":5000,"max_tasks":500`)
-			add(record.KindPolicy, name, fmt.Sprintf(`"schema":1,"teams":{%s}`, teams(`"team-%d":{"starts_per_second":420,"burst":840,"weight":1}`)))
+			add(record.KindPolicy, name, fmt.Sprintf(`"schema":1,"teams":{%s}`, teamList(`"team-%d":{"starts_per_second":420,"burst":840,"weight":1}`)))
 		}
 		for j := range jobsPerMember {
 			add(record.KindJob, fmt.Sprintf("%s/job-%d", member, j), fmt.Sprintf(`"schema":1,"service":"%s/service-0","deadline_ms":3000`, member))
@@ -40,7 +40,7 @@
 	return out
 }
 
-func teams(format string) string {
+func teamList(format string) string {
 	var parts []string
 	for t := range teamsPerMember {
 		parts = append(parts, fmt.Sprintf(format, t))
