--- a/cmd/wigeontray-guard/main.go
+++ b/cmd/wigeontray-guard/main.go
@@ -1,5 +1,5 @@
-// Command wigeontray-guard runs beside one upstream. It announces the upstream
-// to the entries and runs their tasks on it.
+// Command wigeontray-guard runs a guard: a process beside one upstream that registers
+// the upstream with the entries and executes their tasks on it.
 package main
 
 import (
--- a/cmd/wigeontray-guard/main_test.go
+++ b/cmd/wigeontray-guard/main_test.go
@@ -18,8 +18,8 @@
 	"wigeontray/internal/wire"
 )
 
-// runAsGuardEnv tells the test binary to be the guard, so that the test needs no
-// other build.
+// runAsGuardEnv is the environment variable that makes the test binary run as the guard,
+// so that the test needs no separate build.
 const runAsGuardEnv = "WIGEONTRAY_TEST_AS_GUARD"
 
 func TestMain(m *testing.M) {
@@ -30,9 +30,9 @@
 	os.Exit(m.Run())
 }
 
-// The platform ends the process with SIGTERM while the upstream works on a
-// booking. The agent must still get the answer, and the process must end by
-// itself, or the platform kills it with whatever is in flight.
+// Guards against a lost result on SIGTERM while the upstream executes a task. The caller must
+// still receive the result, and the process must exit by itself; otherwise the platform
+// kills it together with all tasks in flight.
 func TestSIGTERMCompletesRunningTasks(t *testing.T) {
 	frames := make(chan *wire.Frame, 16)
 	links := make(chan wire.Link, 1)
@@ -70,7 +70,7 @@
 	qt.Assert(t, guard.Wait(), qt.IsNil)
 }
 
-// writeSettings writes the guard's settings.
+// writeSettings writes the guard's settings file and returns its path.
 func writeSettings(t *testing.T, entry, upstream string) string {
 	path := filepath.Join(t.TempDir(), "guard.ini")
 	ini := fmt.Sprintf(`[node]
@@ -92,6 +92,7 @@
 	return path
 }
 
+// waitForFrame discards frames until one matches, and fails the test after 10 s.
 func waitForFrame(t *testing.T, frames <-chan *wire.Frame, matches func(*wire.Frame) bool) {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
@@ -102,7 +103,7 @@
 				return
 			}
 		case <-timeout:
-			t.Fatal("the frame did not come within 10 s")
+			t.Fatal("timed out after 10 s waiting for the frame")
 		}
 	}
 }
--- a/cmd/wigeontray/main.go
+++ b/cmd/wigeontray/main.go
@@ -1,4 +1,4 @@
-// Command wigeontray is the entry and the operators' tool.
+// Command wigeontray runs an entry and provides the operators' commands.
 package main
 
 import (
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -12,7 +12,7 @@
 )
 
 type capacityCmd struct {
-	Inner       string        `placeholder:"HOST:PORT" help:"Inner address of a running entry; without one, an entry in this process is measured."`
+	Inner       string        `placeholder:"HOST:PORT" help:"Inner address of a running entry; by default an entry in this process is measured."`
 	Callers     string        `placeholder:"URL" help:"Base URL of the entry for callers."`
 	Admin       string        `placeholder:"URL" help:"Base URL of the entry for operators."`
 	TokenFile   string        `placeholder:"FILE" help:"File with the member's token."`
@@ -21,16 +21,16 @@
 	Key         string        `placeholder:"FILE" help:"Key of the certificate."`
 	CA          string        `placeholder:"FILE" help:"Authority of the entry's certificate."`
 	Member      string        `default:"ayni" help:"Member that submits."`
-	Service     string        `default:"measure" help:"Service of the member that has no other guards."`
-	Guards      []int         `help:"Numbers of guards to measure; 10,50,200,820 if left out."`
-	Jobs        []int         `help:"Tasks in a job to measure; 1,100 if left out."`
-	Idle        time.Duration `default:"15s" help:"Time to watch idle links at each size."`
-	Load        time.Duration `default:"1500ms" help:"Time to load the entry at each size."`
-	Concurrency int           `default:"32" help:"Callers at once."`
-	JSON        bool          `help:"Write JSON in place of tables."`
+	Service     string        `default:"measure" help:"Service of the member; no other guards may offer it."`
+	Guards      []int         `help:"Numbers of guards to measure; 10,50,200,820 by default."`
+	Jobs        []int         `help:"Numbers of tasks per job to measure; 1,100 by default."`
+	Idle        time.Duration `default:"15s" help:"Time to measure idle links at each number of guards."`
+	Load        time.Duration `default:"1500ms" help:"Time to load the entry at each number of guards."`
+	Concurrency int           `default:"32" help:"Number of concurrent callers."`
+	JSON        bool          `help:"Write JSON instead of tables."`
 }
 
-// Run measures and prints what a guard and a task cost at an entry.
+// Run measures what a guard and a task cost at an entry and prints the report.
 func (c *capacityCmd) Run(e *commandEnv) error {
 	opts := capacity.Options{
 		Guards: c.Guards, Jobs: c.Jobs, Idle: c.Idle, Load: c.Load,
@@ -47,6 +47,7 @@
 	return capacity.Run(e.ctx, opts, e.stdout)
 }
 
+// target builds the measurement target, an entry that is already running, from the flags.
 func (c *capacityCmd) target() (*capacity.Target, error) {
 	t := &capacity.Target{Inner: c.Inner, Callers: c.Callers, Admin: c.Admin, Member: c.Member, Service: c.Service}
 	var err error
@@ -67,7 +68,7 @@
 	return t, nil
 }
 
-// measureStandalone measures an entry of the quickstart in this process.
+// measureStandalone starts a standalone system in this process and measures its entry.
 func (c *capacityCmd) measureStandalone(e *commandEnv, opts capacity.Options) error {
 	s, err := node.NewStandalone("127.0.0.1:0", false, io.Discard)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli owns the command line of both binaries: flags, help texts, exit
-// codes and output. Each command calls the package that does the work.
+// Package cli implements the command lines of both binaries: flags, help texts,
+// exit codes and output. Each command delegates to the package that does the work.
 package cli
 
 import (
@@ -15,41 +15,42 @@
 	"wigeontray/internal/telemetry"
 )
 
-// errUsage marks wrong flags or settings.
+// errUsage marks invalid flags or settings.
 var errUsage = errors.New("usage")
 
-// errFailed marks a command that ran and whose answer is no.
+// errFailed marks a command that ran to completion with a negative result.
 var errFailed = errors.New("failed")
 
-// errOutcomeUnknown marks an outcome that cannot be known; ask before repeating.
+// errOutcomeUnknown marks a command whose outcome cannot be determined. The caller must check the
+// outcome before repeating the command.
 var errOutcomeUnknown = errors.New("outcome unknown")
 
-// commandEnv is what commands share.
+// commandEnv holds the context and output streams that all commands share.
 type commandEnv struct {
 	ctx    context.Context
 	stdout io.Writer
 	stderr io.Writer
 }
 
-// commands of wigeontray.
+// commands defines the commands of wigeontray. Field names are the command names.
 type commands struct {
-	Serve      serveCmd      `cmd:"" help:"Run an entry by a settings file until SIGTERM."`
+	Serve      serveCmd      `cmd:"" help:"Run an entry with a settings file until SIGTERM."`
 	Standalone standaloneCmd `cmd:"" help:"Run entry, guards, sample upstreams and store in one process and serve two sample jobs."`
 	Platform   platformCmd   `cmd:"" help:"Run an entry on the users' platform until SIGTERM."`
 	Submit     submitCmd     `cmd:"" help:"Submit a job and print its answer as JSON."`
-	Status     statusCmd     `cmd:"" help:"Print what is in force at an entry as JSON."`
-	Check      checkCmd      `cmd:"" help:"Check settings and records without using them."`
-	Replay     replayCmd     `cmd:"" help:"Replay traces against the decisions and report whether their outcomes are met."`
-	Compare    compareCmd    `cmd:"" help:"Compare the ways of placing tasks on generated workloads."`
+	Status     statusCmd     `cmd:"" help:"Print an entry's status and active configuration as JSON."`
+	Check      checkCmd      `cmd:"" help:"Validate settings and records without applying them."`
+	Replay     replayCmd     `cmd:"" help:"Replay traces against the dispatch logic and report whether their expected outcomes are met."`
+	Compare    compareCmd    `cmd:"" help:"Compare task placement policies on generated workloads."`
 	Capacity   capacityCmd   `cmd:"" help:"Measure what guards and tasks cost at an entry."`
 	Record     recordCmd     `cmd:"" help:"Read and amend records through an entry."`
-	Local      localCmd      `cmd:"" help:"Stand-ins to try a fleet on one machine: a store and an upstream."`
-	Keys       keysCmd       `cmd:"" help:"Make a certificate authority and certificates for a fleet, or a member's token."`
-	Explain    explainCmd    `cmd:"" help:"Tell from logs what became of a job on the users' platform, and why."`
+	Local      localCmd      `cmd:"" help:"Run local stand-ins of a store and an upstream, to try a fleet on one machine."`
+	Keys       keysCmd       `cmd:"" help:"Generate a certificate authority and certificates for a fleet, or a member's token."`
+	Explain    explainCmd    `cmd:"" help:"Reconstruct from logs what happened to a job on the users' platform, and why."`
 	Version    versionCmd    `cmd:"" help:"Print the version."`
 }
 
-// Main runs the command line of the entry binary and returns its exit code.
+// Main runs the command line of wigeontray and returns its exit code.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	ignoreSIGHUP(args, "platform")
 	var grammar commands
@@ -60,12 +61,12 @@
 	return exitCode("wigeontray", stderr, parsed.Run(&commandEnv{ctx: ctx, stdout: stdout, stderr: stderr}))
 }
 
-// parse reads args by the grammar of a binary. A request for help prints it and
-// ends the process with code 0.
+// parse parses args into grammar, the command struct of a binary. A help flag prints
+// the help text and exits the process with code 0.
 func parse(grammar any, name, description string, args []string, stdout, stderr io.Writer) (*kong.Context, error) {
 	parser, err := kong.New(grammar, kong.Name(name), kong.Description(description), kong.Writers(stdout, stderr))
 	if err != nil {
-		panic(err) // grammars are constant
+		panic(err) // the grammar is fixed at compile time, so this is a programming error
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
@@ -74,6 +75,7 @@
 	return parsed, nil
 }
 
+// exitCode prints err, if any, and returns the exit code for it.
 func exitCode(name string, stderr io.Writer, err error) int {
 	if err == nil {
 		return operator.ExitOK
@@ -96,7 +98,7 @@
 	return err
 }
 
-// readSecret reads a token or key from a file, without its trailing newline.
+// readSecret reads a token or key from a file and strips trailing line breaks.
 func readSecret(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -16,7 +16,7 @@
 	"wigeontray/internal/telemetry"
 )
 
-// run gives the exit code and output of a command line.
+// run executes a wigeontray command line and returns its exit code and output.
 func run(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = Main(t.Context(), args, &out, &errs)
@@ -33,8 +33,8 @@
 	qt.Assert(t, guard.String(), qt.Equals, "wigeontray-guard "+telemetry.Version+"\n")
 }
 
-// A script misspells a flag or a file. The code must tell it from a command that
-// ran and said no.
+// Guards against a usage error, such as a misspelt flag or file name, that a script cannot
+// distinguish from a command that ran and failed.
 func TestUsageErrorExitCode(t *testing.T) {
 	for _, args := range [][]string{
 		{}, {"fly"}, {"serve"}, {"serve", "--config", "no-such-file.ini"}, {"replay"}, {"replay", "no-such-file"},
@@ -58,8 +58,8 @@
 	qt.Assert(t, out, qt.Contains, "nmae")
 }
 
-// A trace states an outcome that does not come about. The command must say so by
-// its code, or a script would take the fault for a pass.
+// Guards against exit code 0 for a trace whose expected outcome is not met: a script
+// would take the failure for a pass.
 func TestReplayFailsOnUnmetOutcome(t *testing.T) {
 	trace := filepath.Join("..", "..", "traces", "cancel-races-start.trace")
 	code, _, errs := run(t, "replay", trace)
@@ -74,14 +74,15 @@
 	qt.Assert(t, code, qt.Equals, operator.ExitFailed)
 }
 
-// The first thing a newcomer types.
+// Covers the quickstart command of the README.
 func TestStandaloneCompletesSampleJobs(t *testing.T) {
 	code, out, errs := run(t, "standalone")
 	qt.Assert(t, code, qt.Equals, operator.ExitOK, qt.Commentf("%s", errs))
 	qt.Assert(t, strings.Count(out, `"state":"complete"`), qt.Equals, 2)
 }
 
-// Guards against a process of the platform that is ended by a signal for changed settings while it starts.
+// Guards against a platform process that is terminated during startup by SIGHUP, the signal for
+// changed settings, because its default action is still in effect.
 func TestSIGHUPIsIgnoredBeforeSettingsAreRead(t *testing.T) {
 	t.Setenv(configPathEnv, "no-such-file.ini")
 	for _, start := range []func() int{
@@ -95,7 +96,7 @@
 	restoreSIGHUP()
 }
 
-// restoreSIGHUP gives the signal its default; signal.Reset would leave it ignored.
+// restoreSIGHUP restores the default action of SIGHUP. signal.Reset would leave it ignored.
 func restoreSIGHUP() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -8,11 +8,11 @@
 )
 
 type explainCmd struct {
-	ID    string   `arg:"" help:"Identity of the job, or of one request for it."`
+	ID    string   `arg:"" help:"ID of the job, or of one of its requests."`
 	Files []string `arg:"" type:"existingfile" help:"Logs of entries and guards, in the JSON format."`
 }
 
-// Run prints what the logs tell of a job, in order, and what is missing.
+// Run prints the log events of a job in order and lists the events that are missing.
 func (c *explainCmd) Run(e *commandEnv) error {
 	lines, err := c.readLogs(e, c.ID)
 	if err != nil {
@@ -26,6 +26,7 @@
 	return explain.Write(e.stdout, lines)
 }
 
+// readLogs collects the lines about id from all files.
 func (c *explainCmd) readLogs(e *commandEnv, id string) ([]explain.Line, error) {
 	var lines []explain.Line
 	for _, name := range c.Files {
@@ -37,6 +38,8 @@
 	return lines, nil
 }
 
+// appendLog appends the lines of one file that concern id, and reports on stderr how many of them
+// could not be parsed.
 func appendLog(e *commandEnv, lines []explain.Line, name, id string) ([]explain.Line, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -48,7 +51,7 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if malformed > 0 {
-		fmt.Fprintf(e.stderr, "%s: %d lines about the job could not be read\n", name, malformed)
+		fmt.Fprintf(e.stderr, "%s: %d lines about the job could not be parsed\n", name, malformed)
 	}
 	return lines, nil
 }
--- a/internal/cli/guard.go
+++ b/internal/cli/guard.go
@@ -13,15 +13,15 @@
 	"wigeontray/platform"
 )
 
-// guardCommand is the command line of wigeontray-guard.
+// guardCommand defines the flags of wigeontray-guard.
 type guardCommand struct {
 	Config   string `required:"" xor:"do" type:"path" placeholder:"FILE" help:"Settings file."`
 	Version  bool   `required:"" xor:"do" help:"Print the version."`
-	Platform bool   `required:"" xor:"do" help:"Run on the users' platform, by the settings file that WIGEONTRAY_CONFIG names."`
+	Platform bool   `required:"" xor:"do" help:"Run on the users' platform, with the settings file that WIGEONTRAY_CONFIG names."`
 }
 
-// GuardMain runs the command line of the guard binary and returns its exit
-// code. The guard serves until SIGTERM asks for a planned stop.
+// GuardMain runs the command line of wigeontray-guard and returns its exit code.
+// The guard runs until SIGTERM starts a graceful shutdown.
 func GuardMain(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	ignoreSIGHUP(args, "--platform")
 	var command guardCommand
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -12,23 +12,23 @@
 )
 
 type keysCmd struct {
-	Fleet fleetKeysCmd `cmd:"" help:"Make an authority and certificates for entries and guards."`
-	Token tokenCmd     `cmd:"" help:"Draw a member's token; its hash goes into the member's record."`
+	Fleet fleetKeysCmd `cmd:"" help:"Generate a certificate authority and certificates for entries and guards."`
+	Token tokenCmd     `cmd:"" help:"Generate a member's token; its hash goes into the member's record."`
 }
 
 type fleetKeysCmd struct {
-	Dir  string   `arg:"" help:"Folder to write to; files that exist are not touched."`
-	Host []string `arg:"" help:"Names or IP numbers under which entries are reached."`
+	Dir  string   `arg:"" help:"Folder to write to; existing files are not changed."`
+	Host []string `arg:"" help:"Host names or IP addresses under which entries are reached."`
 }
 
-// Run writes the files.
+// Run generates the authority and the certificates and writes them to the folder.
 func (c *fleetKeysCmd) Run(*commandEnv) error {
 	return tlsconf.GenerateFleet(c.Dir, c.Host, time.Now())
 }
 
 type tokenCmd struct{}
 
-// Run prints the token and its hash as JSON. The token is kept nowhere.
+// Run prints the token and its hash as JSON. The token is not stored anywhere.
 func (tokenCmd) Run(e *commandEnv) error {
 	t, err := tlsconf.NewToken()
 	if err != nil {
@@ -40,7 +40,7 @@
 	}{t.Secret, t.Hash})
 }
 
-// printBody prints the body of a GET.
+// printBody sends a GET request and prints the response body.
 func printBody(ctx context.Context, e *commandEnv, h *http.Client, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: %s answered %s", errFailed, url, resp.Status)
+		return fmt.Errorf("%w: %s returned %s", errFailed, url, resp.Status)
 	}
 	_, err = io.Copy(e.stdout, resp.Body)
 	return err
--- a/internal/cli/record.go
+++ b/internal/cli/record.go
@@ -10,12 +10,12 @@
 
 type recordCmd struct {
 	Get    recordGetCmd    `cmd:"" help:"Print one record."`
-	List   recordListCmd   `cmd:"" help:"Print all records that the token may see."`
-	Put    recordPutCmd    `cmd:"" help:"Write a record if nobody has amended it since."`
-	Delete recordDeleteCmd `cmd:"" help:"Delete a record if nobody has amended it since."`
+	List   recordListCmd   `cmd:"" help:"Print all records that the token may read."`
+	Put    recordPutCmd    `cmd:"" help:"Write a record unless its revision has changed."`
+	Delete recordDeleteCmd `cmd:"" help:"Delete a record unless its revision has changed."`
 }
 
-// operatorFlags say how to reach an entry as an operator.
+// operatorFlags are the flags for calling an entry as an operator.
 type operatorFlags struct {
 	Entry     string `required:"" placeholder:"URL" help:"Base URL of an entry for callers."`
 	TokenFile string `required:"" placeholder:"FILE" help:"File with the token of the member or of the consortium's operator."`
@@ -34,7 +34,7 @@
 	return operator.New(operator.Options{Address: f.Entry, Token: token, Transport: httpClient.Transport}), nil
 }
 
-// printResult prints what a call answered.
+// printResult prints v as JSON, or returns err if the call failed.
 func printResult[T any](e *commandEnv, v T, err error) error {
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 type recordPutCmd struct {
 	operatorFlags
 	File     string `arg:"" type:"existingfile" help:"File with the record."`
-	Revision int64  `help:"Revision that is amended; 0 for a record that does not exist yet."`
+	Revision int64  `help:"Current revision of the record; 0 for a record that does not exist yet."`
 }
 
 // Run writes the record and prints its new revision.
@@ -100,7 +100,7 @@
 	operatorFlags
 	Kind     record.Kind `arg:"" help:"member, service, policy or job."`
 	Name     string      `arg:"" help:"Name of the record."`
-	Revision int64       `required:"" help:"Revision that is deleted."`
+	Revision int64       `required:"" help:"Current revision of the record."`
 }
 
 // Run deletes the record.
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -11,13 +11,13 @@
 )
 
 type replayCmd struct {
-	Trace []string `arg:"" type:"existingfile" help:"Trace files; docs/trace-format.md has their form."`
+	Trace []string `arg:"" type:"existingfile" help:"Trace files; docs/trace-format.md describes the format."`
 	Seed  uint64   `default:"1" help:"Seed of the random numbers."`
-	JSON  bool     `help:"Write JSON in place of a table."`
+	JSON  bool     `help:"Write JSON instead of a table."`
 }
 
-// Run replays the traces and fails when a promise was broken or a stated
-// outcome was missed.
+// Run replays the traces and fails if a guarantee was violated or an expected
+// outcome was not met.
 func (c *replayCmd) Run(e *commandEnv) error {
 	defer e.startProgress("replaying")()
 	err := replay.Main(e.stdout, c.Trace, c.Seed, c.JSON)
@@ -29,12 +29,12 @@
 
 type compareCmd struct {
 	Seed   uint64 `default:"1" help:"Seed of the random numbers."`
-	Only   string `help:"Run only workloads and placements with this in their name."`
+	Only   string `help:"Run only workloads and placements whose name contains this text."`
 	Traces string `type:"existingdir" help:"Folder with traces to compare besides the generated workloads."`
-	JSON   bool   `help:"Write JSON in place of a table."`
+	JSON   bool   `help:"Write JSON instead of a table."`
 }
 
-// Run prints the figures of every placement on every workload.
+// Run prints the results of every placement policy on every workload.
 func (c *compareCmd) Run(e *commandEnv) error {
 	opts := replay.CompareOptions{Seed: c.Seed, Only: c.Only, JSON: c.JSON}
 	if c.Traces != "" {
@@ -51,16 +51,17 @@
 }
 
 type checkCmd struct {
-	File []string `arg:"" help:"Settings (.ini) and records (.json); folders are read whole."`
+	File []string `arg:"" help:"Settings (.ini) and record (.json) files; folders are searched recursively."`
 }
 
-// isCheckable tells whether a file in a folder is a settings file or a record.
+// isCheckable reports whether the file extension is that of a settings file or a record.
 func isCheckable(path string) bool {
 	ext := filepath.Ext(path)
 	return ext == ".ini" || ext == ".json"
 }
 
-// Run checks every file and prints what was found in each.
+// Run validates every file and prints the result for each. A file that is named explicitly is
+// validated whatever its extension.
 func (c *checkCmd) Run(e *commandEnv) error {
 	var files []string
 	for _, root := range c.File {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -14,7 +14,8 @@
 	"wigeontray/internal/settings"
 )
 
-// notifyShutdown ends with SIGTERM or SIGINT, which ask for a planned stop.
+// notifyShutdown returns a context that is canceled by SIGTERM or SIGINT, the signals for a
+// graceful shutdown.
 func notifyShutdown(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 }
@@ -23,7 +24,7 @@
 	Config string `required:"" type:"path" placeholder:"FILE" help:"Settings file."`
 }
 
-// Run serves until a signal asks for a planned stop.
+// Run serves until a signal starts a graceful shutdown.
 func (c *serveCmd) Run(e *commandEnv) error {
 	conf, err := settings.LoadEntry(c.Config)
 	if err != nil {
@@ -39,14 +40,14 @@
 }
 
 type standaloneCmd struct {
-	Listen string `default:"127.0.0.1:0" help:"Address for callers; port 0 picks one."`
-	Serve  bool   `help:"Go on serving after the sample jobs, until SIGTERM."`
+	Listen string `default:"127.0.0.1:0" help:"Address for callers; port 0 selects a free port."`
+	Serve  bool   `help:"Continue to serve after the sample jobs, until SIGTERM."`
 }
 
-// startTimeout bounds the start of the whole system in one process.
+// startTimeout limits the startup of the standalone system together with its sample jobs.
 const startTimeout = 20 * time.Second
 
-// Run serves, submits one job for each sample member, and prints the answers.
+// Run starts the standalone system, submits one job for each sample member and prints the answers.
 func (c *standaloneCmd) Run(e *commandEnv) error {
 	s, err := node.NewStandalone(c.Listen, true, e.stderr)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return <-runDone
 }
 
-// runSampleJobs submits the sample jobs as a caller would.
+// runSampleJobs submits the sample jobs over HTTP, as a caller does, and prints the answers.
 func (c *standaloneCmd) runSampleJobs(ctx context.Context, e *commandEnv, s *node.Standalone) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -13,10 +13,10 @@
 	"wigeontray/internal/tlsconf"
 )
 
-// progressInterval is how long a command may stay silent (issue 3).
+// progressInterval is the longest time for which a command prints nothing while it waits (issue 3).
 const progressInterval = 2 * time.Second
 
-// memberFlags says how to reach entries as a member.
+// memberFlags are the flags for calling entries as a member.
 type memberFlags struct {
 	Entry     []string `required:"" placeholder:"URL" help:"Base URL of an entry for callers; repeat for more."`
 	TokenFile string   `required:"" placeholder:"FILE" help:"File with the member's token."`
@@ -35,6 +35,8 @@
 	return &client.Client{Entries: t.Entry, Token: token, HTTP: httpClient}, nil
 }
 
+// newHTTPClient returns a client that uses no proxy. If ca is set, it trusts the certificates in that
+// file.
 func newHTTPClient(ca string) (*http.Client, error) {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
@@ -51,16 +53,16 @@
 type submitCmd struct {
 	memberFlags
 	Service  string        `xor:"what" required:"" help:"Service of the member."`
-	Job      string        `xor:"what" required:"" help:"Declared kind of job, in place of a service."`
-	Team     string        `help:"Team whose quota counts."`
-	Key      string        `help:"Identity; without one a ticket is fetched. Repeat the command with the same identity to ask again."`
-	Deadline time.Duration `default:"10s" help:"Time left for the whole answer."`
+	Job      string        `xor:"what" required:"" help:"Declared kind of job, instead of a service."`
+	Team     string        `help:"Team whose quota is charged."`
+	Key      string        `help:"Idempotency key; by default a ticket is fetched. Repeat the command with the same key to query the outcome."`
+	Deadline time.Duration `default:"10s" help:"Time limit for the whole answer."`
 	Tasks    string        `type:"existingfile" help:"File with a JSON array of task bodies."`
 	Task     []string      `arg:"" optional:"" help:"Task bodies as JSON."`
 }
 
-// Run submits the job and prints the answer. A job that failed exits with
-// ExitFailed, one whose outcome is unknown with ExitUnknown.
+// Run submits the job and prints the answer. The exit code is ExitFailed for a failed
+// job and ExitUnknown for one whose outcome is unknown.
 func (c *submitCmd) Run(e *commandEnv) error {
 	tasks, err := c.taskBodies()
 	if err != nil {
@@ -70,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	// The answer comes by the deadline; the rest is for resubmissions.
+	// The answer arrives by the deadline; the extra 5 s allow for resubmissions.
 	ctx, cancel := context.WithTimeout(e.ctx, c.Deadline+5*time.Second)
 	defer cancel()
 	defer e.startProgress("waiting for the answer")()
@@ -92,6 +94,7 @@
 	return outcomeError(answer)
 }
 
+// taskBodies returns the task bodies of the file and of the arguments, in this order.
 func (c *submitCmd) taskBodies() ([]json.RawMessage, error) {
 	var out []json.RawMessage
 	if c.Tasks != "" {
@@ -105,7 +108,7 @@
 	}
 	for _, t := range c.Task {
 		if !json.Valid([]byte(t)) {
-			return nil, fmt.Errorf("task %q is no JSON", t)
+			return nil, fmt.Errorf("task %q is not valid JSON", t)
 		}
 		out = append(out, json.RawMessage(t))
 	}
@@ -115,7 +118,7 @@
 	return out, nil
 }
 
-// outcomeError turns an answer into the command's outcome.
+// outcomeError returns the error that determines the exit code for an answer.
 func outcomeError(a *client.Answer) error {
 	switch e := a.Parsed.Error; {
 	case e == nil:
@@ -127,9 +130,8 @@
 	}
 }
 
-// startProgress writes what to stderr once the command has been silent for
-// progressInterval, and again at the same distance, until the returned function
-// is called.
+// startProgress writes activity and the elapsed time to stderr every progressInterval
+// until the returned function is called.
 func (e *commandEnv) startProgress(activity string) (stop func()) {
 	done := make(chan struct{})
 	start := time.Now()
@@ -153,7 +155,7 @@
 	CA    string `placeholder:"FILE" help:"Certificates that the entry's certificate must chain to."`
 }
 
-// Run prints the entry's status.
+// Run prints the entry's status as JSON.
 func (c *statusCmd) Run(e *commandEnv) error {
 	httpClient, err := newHTTPClient(c.CA)
 	if err != nil {
--- a/internal/proctest/proctest.go
+++ b/internal/proctest/proctest.go
@@ -1,5 +1,5 @@
-// Package proctest starts this project's binaries as processes of a test and ends
-// them with real signals. Tests alone import it; it imports nothing of the project.
+// Package proctest builds this project's binaries, starts them as child processes of a test and
+// sends them real signals. Only tests import it, and it imports no other package of the project.
 package proctest
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Build puts both binaries into a folder. Extra words go to go build.
+// Build builds both binaries into the folder dir. flags are passed to go build.
 func Build(dir string, flags ...string) error {
 	args := append([]string{"build", "-o", dir}, flags...)
 	cmd := exec.Command("go", append(args, "wigeontray/cmd/...")...)
@@ -25,20 +25,20 @@
 	return nil
 }
 
-// Process is one started binary.
+// Process is a running binary.
 type Process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 	err  error
 }
 
-// Start starts a binary. Both its outputs go to out; env is added to this process's
-// environment.
+// Start starts a binary. Its stdout and stderr go to out, and env is appended to the environment
+// of the test process.
 func Start(out io.Writer, env []string, binary string, args ...string) (*Process, error) {
 	p := &Process{cmd: exec.Command(binary, args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	p.cmd.Env = append(os.Environ(), env...)
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with a killed test
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills it if the test is killed
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s: %w", binary, err)
 	}
@@ -49,17 +49,17 @@
 	return p, nil
 }
 
-// Signal sends a signal. With SIGSTOP it returns when every thread has stopped.
+// Signal sends a signal. For SIGSTOP it returns after every thread has stopped.
 func (p *Process) Signal(sig syscall.Signal) {
-	_ = p.cmd.Process.Signal(sig) // one that has ended needs none
+	_ = p.cmd.Process.Signal(sig) // fails only if the process has already exited
 	if sig == syscall.SIGSTOP {
 		p.waitStopped()
 	}
 }
 
-// waitStopped waits until every thread of the process has stopped. The signal
-// is on its way when the call that sent it returns, and a thread that still runs
-// would take a request that the test meant for a frozen process.
+// waitStopped waits until every thread of the process has stopped. The signal may still be
+// pending when the system call that sends it returns, and a thread that still runs could accept
+// a request that the test intends for a stopped process.
 func (p *Process) waitStopped() {
 	for !p.allThreadsStopped() {
 		select {
@@ -70,11 +70,12 @@
 	}
 }
 
+// allThreadsStopped reports whether all threads of the process are in state T (stopped).
 func (p *Process) allThreadsStopped() bool {
-	statFiles, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid)) // the pattern is well formed
+	statFiles, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid)) // fails only for a malformed pattern
 	for _, name := range statFiles {
 		stat, err := os.ReadFile(name)
-		_, state, _ := strings.Cut(string(stat), ") ") // after the name in brackets
+		_, state, _ := strings.Cut(string(stat), ") ") // the state follows the process name in parentheses
 		if err != nil || !strings.HasPrefix(state, "T") {
 			return false
 		}
@@ -82,22 +83,22 @@
 	return len(statFiles) > 0
 }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has exited.
 func (p *Process) Ended() <-chan struct{} { return p.done }
 
-// Wait waits for the end and tells how it was; nil for success.
+// Wait waits until the process has exited and returns its exit error, or nil for exit code 0.
 func (p *Process) Wait() error {
 	<-p.done
 	return p.err
 }
 
-// Kill ends the process at once, also when it is stopped, and waits for it.
+// Kill sends SIGKILL, which also terminates a stopped process, and waits for the exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Buffer collects the output of a process.
+// Buffer collects the output of a process. It is safe for concurrent use.
 type Buffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -110,7 +111,7 @@
 	return b.buf.Write(p)
 }
 
-// String gives what was written so far.
+// String returns the output so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
