--- a/internal/e2e/amend_test.go
+++ b/internal/e2e/amend_test.go
@@ -15,8 +15,8 @@
 	"wigeontray/internal/record"
 )
 
-// putService writes a service of ayni by the operators' command, and gives its
-// exit code and the revision that it printed.
+// putService writes the record of service ayni/reserva with the command "record put". It returns the
+// exit code and the new revision that the command printed.
 func (f *fleet) putService(e *entryProcess, maxTasks int, revision int64) (code int, printed int64) {
 	file := f.file("service.json", fmt.Sprintf(
 		`{"kind":"service","name":"ayni/reserva","schema":1,"path":"/reserva/run","max_tasks":%d}`, maxTasks))
@@ -32,9 +32,10 @@
 	return operator.ExitOK, r.Revision
 }
 
-// The store carries an operator's amendment out and its answer is lost. Told
-// "failed", he would amend again and meet his own write as a conflict; told
-// "done" of a write that nobody can look up, he would rely on a guess.
+// Guards against a wrong result of a write whose store response is lost after the write took effect.
+// If the command reports failure, the operator repeats the write and gets a conflict with the
+// operator's own first write. If the entry cannot read the record back, reporting success would be
+// unfounded, and the exit code must be ExitUnknown.
 func TestRecordPutWithLostStoreResponse(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -67,7 +68,7 @@
 	code, _ = f.putService(e, 9, revision)
 	f.Assert(code, qt.Equals, operator.ExitUnknown)
 	proxy.down.Store(false)
-	f.eventually("the write that took effect is in force", func() bool {
+	f.eventually("the write that the store applied is active", func() bool {
 		got, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
 		return err == nil && strings.Contains(string(got.Value), `"max_tasks":9`)
 	})
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -27,9 +27,9 @@
 	f.Assert(f.countStartedTasks(), qt.Equals, 3)
 }
 
-// An entry is killed while it holds a booking that already runs at the upstream.
-// The kiosk asks another entry, under the same identity. It gets the result of
-// the one run, which the guard still holds.
+// Guards against a lost result or a second run when an entry is killed after its task started at the
+// upstream. The caller repeats the submission with the same key at another entry and must get the
+// result of the first run, which the guard still holds.
 func TestEntryKilledAfterTaskStart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -45,8 +45,9 @@
 	f.Assert(f.countStartedTasks(), qt.Equals, 1)
 }
 
-// An entry is killed before a booking reached it. Asked at another entry, the
-// system proves that the booking never ran, so the kiosk may book anew at once.
+// Guards against an unknown outcome when an entry is killed before a job reaches it. Another entry must
+// establish that the job never ran and answer not_run, so that the caller may submit a new
+// job at once.
 func TestEntryKilledBeforeTaskStart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -64,9 +65,9 @@
 	f.Assert(f.countStartedTasks(), qt.Equals, 1)
 }
 
-// An entry freezes for longer than its lease with a booking in its socket, and
-// goes on after the others have declared it gone and told the caller "not run".
-// What it then sends to guards must be refused.
+// Guards against a start by an entry without a lease. The entry is paused beyond its lease
+// with an unread job in its socket, and resumes after the others have removed it and reported "not
+// run" to the caller. Guards must reject what it then sends.
 func TestEntryPausedPastLease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -80,7 +81,7 @@
 	f.Assert(answer.Parsed.Error, qt.IsNotNil, qt.Commentf("%s", answer.Body))
 	reportedKind := answer.Parsed.Error.Kind
 	a.Signal(syscall.SIGCONT)
-	f.eventually("the entry that was frozen ends", func() bool { return f.adminStatus(a, "/healthz") == 0 })
+	f.eventually("the paused entry exits after it resumes", func() bool { return f.adminStatus(a, "/healthz") == 0 })
 	<-delayed
 	if reportedKind == "not_run" {
 		f.Assert(f.countStartedTasks(), qt.Equals, 0)
@@ -88,8 +89,8 @@
 	f.Assert(f.countStartedTasks() <= 1, qt.IsTrue)
 }
 
-// A worker's VM dies with a task. The caller is told that the outcome is
-// unknown, and the next booking goes to the other worker.
+// Guards against a wrong outcome when a worker's VM fails during a task. The caller must get an unknown
+// outcome, and the next job must run on the other worker.
 func TestGuardKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -107,8 +108,8 @@
 	f.Assert(a.Status, qt.Equals, http.StatusOK)
 }
 
-// Entries and guards are stopped as planned, one after the other, while callers
-// submit. Nobody's request is cut off, and nothing runs twice.
+// Guards against requests that are dropped, or tasks that run twice, when a guard and an entry
+// are shut down gracefully while callers submit jobs.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -137,7 +138,7 @@
 			}
 		})
 	}
-	f.eventually("load runs", func() bool { return f.countStartedTasks() > 20 })
+	f.eventually("more than 20 tasks have started", func() bool { return f.countStartedTasks() > 20 })
 	g.Signal(syscall.SIGTERM)
 	a.Signal(syscall.SIGTERM)
 	wg.Wait()
@@ -147,8 +148,9 @@
 	f.Assert(a.Wait(), qt.IsNil)
 }
 
-// The platform's store goes down for long. Running processes go on; an entry
-// that starts in the outage takes the configuration from the others.
+// Guards against an outage of the service during a long outage of the platform's store. Running
+// processes must continue, and an entry that starts meanwhile must get the configuration from the
+// other entries.
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -157,14 +159,14 @@
 	f.kv.SetDown(true)
 	ans := <-f.submitAsync(newClient(a), f.fetchTicket(a), newJob(10, 1))
 	f.Assert(ans.Status, qt.Equals, http.StatusOK)
-	b := f.startEntry("entry-b") // ready only with a configuration
+	b := f.startEntry("entry-b") // becomes ready only with a configuration
 	ans = <-f.submitAsync(newClient(b), f.fetchTicket(a), newJob(10, 1))
 	f.Assert(ans.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", ans.Body))
 }
 
-// An operator amends a record at one entry. All entries must obey it within
-// five seconds (letter 1), and a second operator who amends the revision that
-// the first one replaced must be told of the conflict.
+// Guards against a slow or overwritten record update. An update at one entry must be active at all
+// entries within 5 s (letter 1), and a second update based on the replaced revision must be
+// rejected as a conflict.
 func TestRecordUpdateReachesAllEntries(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -180,7 +182,7 @@
 	after, err := op.Put(ctx, value, before.Revision)
 	f.Assert(err, qt.IsNil)
 	for _, e := range []*entryProcess{a, b} {
-		f.eventually("the amendment is in force at entry and guard", func() bool {
+		f.eventually("the update is active at the entry and its guards", func() bool {
 			var st struct {
 				Revision int64
 				Behind   int `json:"guards_behind"`
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -1,6 +1,6 @@
-// Package e2e holds a few tests that start the two real binaries and end them
-// with real signals. All decisions are tested elsewhere under fake time; here
-// only the plumbing between processes is.
+// Package e2e holds a few end-to-end tests that start the two real binaries and stop them
+// with real signals. They cover only the communication between processes; the decision logic is
+// tested in other packages with a simulated clock.
 package e2e
 
 import (
@@ -30,8 +30,8 @@
 	"wigeontray/internal/tlsconf"
 )
 
-// waitTimeout bounds every wait for real processes. It is far above what a wait
-// takes, so that a busy machine does not change the verdict.
+// waitTimeout limits every wait for real processes. It is far above the usual duration of a wait,
+// so that load on the machine does not change the test result.
 const waitTimeout = 60 * time.Second
 
 const memberToken = "ayni-test-token"
@@ -53,29 +53,29 @@
 	os.Exit(code)
 }
 
-// process is one started binary.
+// process is a running binary with its log output.
 type process struct {
 	*proctest.Process
 	log *proctest.Buffer
 }
 
-// fleet is a store stand-in and upstreams in the test's process, and entries
-// and guards as processes.
+// fleet is a deployment under test: a store stand-in and upstreams in the test process, and
+// entries and guards as processes of their own.
 type fleet struct {
 	*qt.C
 	t              *testing.T
 	dir            string
 	kv             *standin.Server
 	kvURL          string
-	fleetKey       string // path of the entries' key; empty for none
+	fleetKey       string // path of the fleet's key file; empty for none
 	memberRevision int64  // revision of ayni's record
 	certDir        string // folder of the fleet's certificates; empty for no TLS
 	entries        map[string]*entryProcess
 	upstreams      map[string]*sample.Upstream
-	urls           map[string]string // of the upstreams
-	slots          map[string]int    // of workers; 0 for the default
+	urls           map[string]string // base URLs of the upstreams, by worker
+	slots          map[string]int    // by worker; 0 for the default
 	region         string
-	service        string // of the workers
+	service        string // service of the workers
 }
 
 type entryProcess struct {
@@ -84,7 +84,8 @@
 	rootCAs               *x509.CertPool
 }
 
-// parseAddresses finds in the log which ports the entry was given.
+// parseAddresses reads the entry's listen addresses from its log and reports whether they are
+// there yet. The entry listens on free ports, so they are not known in advance.
 func (e *entryProcess) parseAddresses() bool {
 	for line := range strings.Lines(e.log.String()) {
 		var l struct{ Msg, Callers, Inner, Admin string }
@@ -123,6 +124,8 @@
 	return f
 }
 
+// writeRecord writes a record to the store and returns its new revision. revision is the current
+// one, 0 for a new record.
 func (f *fleet) writeRecord(kind record.Kind, name, value string, revision int64) int64 {
 	kv := store.NewEtcd(store.Options{Endpoints: []string{f.kvURL}})
 	newRevision, err := kv.Put(context.Background(), record.Key(kind, name), []byte(value), revision, 0)
@@ -130,13 +133,13 @@
 	return newRevision
 }
 
-// updateMember writes the fields of ayni's record.
+// updateMember replaces the fields of ayni's member record.
 func (f *fleet) updateMember(fields string) {
 	f.memberRevision = f.writeRecord(record.KindMember, "ayni", `{"kind":"member","name":"ayni","schema":1,`+fields+`}`, f.memberRevision)
 }
 
-// generateCerts makes an authority and certificates in a new folder by the operators'
-// command.
+// generateCerts generates an authority and certificates in a new folder with the command
+// "keys fleet".
 func (f *fleet) generateCerts(name string) string {
 	dir := filepath.Join(f.dir, name)
 	out, err := exec.Command(filepath.Join(binaries, "wigeontray"), "keys", "fleet", dir, "127.0.0.1").CombinedOutput()
@@ -144,8 +147,8 @@
 	return dir
 }
 
-// tls gives the settings of section tls, none without certificates. The
-// authority is the fleet's, whatever the certificate.
+// tls returns the content of the settings section [tls], empty if dir is. The authority is
+// always the fleet's, even if the certificate comes from another one.
 func (f *fleet) tls(dir, cert, key string) string {
 	if dir == "" {
 		return ""
@@ -154,7 +157,7 @@
 		filepath.Join(f.certDir, tlsconf.AuthorityCert))
 }
 
-// rootCAs is the authority that callers trust; nil without TLS.
+// rootCAs returns the certificate pool with the fleet's authority; nil without TLS.
 func (f *fleet) rootCAs() *x509.CertPool {
 	if f.certDir == "" {
 		return nil
@@ -186,7 +189,7 @@
 	return path
 }
 
-// startEntry starts an entry that knows the entries started before as peers.
+// startEntry starts an entry whose peers are the entries started so far, and waits until it is ready.
 func (f *fleet) startEntry(name string) *entryProcess {
 	var peers []string
 	for _, p := range f.entries {
@@ -212,16 +215,16 @@
 format = json
 `, name, f.region, strings.Join(peers, ","), f.kvURL, f.fleetKey, f.tls(f.certDir, tlsconf.EntryCert, tlsconf.EntryKey))
 	e := &entryProcess{process: f.startProcess("wigeontray", "serve", "--config", f.file(name+".ini", ini)), rootCAs: f.rootCAs()}
-	f.eventually("entry "+name+" tells its addresses", e.parseAddresses)
+	f.eventually("entry "+name+" logs its addresses", e.parseAddresses)
 	f.entries[name] = e
 	f.eventually("entry "+name+" is ready", func() bool { return f.adminStatus(e, "/readyz") == http.StatusOK })
 	return e
 }
 
-// waitForRosters waits until all entries are in the roster of each.
+// waitForRosters waits until the roster of every entry contains all entries, and all are linked.
 func (f *fleet) waitForRosters() {
 	for name, e := range f.entries {
-		f.eventually("the roster is known to "+name, func() bool {
+		f.eventually("the roster is complete at "+name, func() bool {
 			var st struct {
 				Roster struct {
 					Members, Linked []string
@@ -235,11 +238,12 @@
 	}
 }
 
-// startWorker starts an upstream in this process and a guard beside it.
+// startWorker starts an upstream in the test process and a guard for it, and waits until every entry
+// uses the guard.
 func (f *fleet) startWorker(name string) *process {
 	upstream := sample.New(name, 1)
 	mux := http.NewServeMux()
-	mux.Handle("/reserva/run", upstream) // the paths of the services' records
+	mux.Handle("/reserva/run", upstream) // the paths in the service records
 	mux.Handle("/clubcast/run", upstream)
 	srv := httptest.NewServer(mux)
 	f.t.Cleanup(func() {
@@ -258,13 +262,13 @@
 	return p
 }
 
-// usesGuard tells whether a guard is used by an entry.
+// usesGuard reports whether an entry lists a guard in its status.
 func (f *fleet) usesGuard(e *entryProcess, guard string) bool {
 	return strings.Contains(f.getAdmin(e, "/v1/status"), `"`+guard+`-`)
 }
 
-// launchGuard starts a guard with the key in a file and the certificate in a
-// folder, and does not wait for it.
+// launchGuard starts a guard with the given key file and the certificate in the folder certs. It
+// does not wait until entries use the guard.
 func (f *fleet) launchGuard(name, upstream, keyFile, certs string) *process {
 	var entries []string
 	for _, e := range f.entries {
@@ -291,7 +295,7 @@
 	return f.startProcess("wigeontray-guard", "--config", f.file(name+".ini", ini))
 }
 
-// slotsSetting is the setting of a worker's slots, none for the default.
+// slotsSetting returns the settings line for a worker's slots, empty for the default.
 func (f *fleet) slotsSetting(worker string) string {
 	if n := f.slots[worker]; n > 0 {
 		return fmt.Sprintf("slots = %d", n)
@@ -299,17 +303,20 @@
 	return ""
 }
 
+// eventually polls ok until it returns true, and fails the test after waitTimeout.
 func (f *fleet) eventually(condition string, ok func() bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("not within %v: %s", waitTimeout, condition)
+			f.t.Fatalf("condition not met within %v: %s", waitTimeout, condition)
 		}
-		time.Sleep(20 * time.Millisecond) // polls another process, which no fake clock reaches
+		time.Sleep(20 * time.Millisecond) // a simulated clock cannot control another process
 	}
 }
 
+// getAdmin returns the body of a GET request to the admin address of an entry, empty if the request
+// fails.
 func (f *fleet) getAdmin(e *entryProcess, path string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -325,12 +332,14 @@
 	return body.String()
 }
 
-// isCounterNonZero tells whether a counter of an entry has risen.
+// isCounterNonZero reports whether an entry exposes a counter with a value other than 0.
 func (f *fleet) isCounterNonZero(e *entryProcess, counter string) bool {
 	metrics := f.getAdmin(e, "/metrics")
 	return strings.Contains(metrics, "\n"+counter+" ") && !strings.Contains(metrics, "\n"+counter+" 0\n")
 }
 
+// adminStatus returns the HTTP status of a GET request to the admin address of an entry, 0 if the
+// request fails.
 func (f *fleet) adminStatus(e *entryProcess, path string) int {
 	resp, err := http.Get("http://" + e.admin + path)
 	if err != nil {
@@ -340,6 +349,7 @@
 	return resp.StatusCode
 }
 
+// newClient returns a client of ayni that calls the given entries.
 func newClient(entries ...*entryProcess) *client.Client {
 	conf := &tls.Config{RootCAs: entries[0].rootCAs}
 	c := &client.Client{Token: memberToken, HTTP: &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}}
@@ -349,6 +359,7 @@
 	return c
 }
 
+// newJob returns a job whose tasks each take sleepMs at the upstream.
 func newJob(sleepMs int, tasks int) *client.Job {
 	j := &client.Job{Service: "reserva", DeadlineMs: 20_000}
 	for range tasks {
@@ -357,7 +368,7 @@
 	return j
 }
 
-// submitAsync starts a submission in the background.
+// submitAsync submits a job in the background. The channel receives the answer, or nil after an error.
 func (f *fleet) submitAsync(c *client.Client, key string, j *client.Job) <-chan *client.Answer {
 	out := make(chan *client.Answer, 1)
 	go func() {
@@ -380,7 +391,7 @@
 	return key
 }
 
-// startsByTask counts the starts of each task at all upstreams.
+// startsByTask returns the number of starts of each task, summed over all upstreams.
 func (f *fleet) startsByTask() map[string]int {
 	out := make(map[string]int)
 	for _, upstream := range f.upstreams {
@@ -391,12 +402,12 @@
 	return out
 }
 
-// countStartedTasks counts the tasks that were started, and fails if one began twice, be it
-// at one upstream or at two.
+// countStartedTasks returns the number of tasks that were started. It fails the test if a task was
+// started twice, at the same upstream or at different ones.
 func (f *fleet) countStartedTasks() int {
 	startsByTask := f.startsByTask()
 	for task, n := range startsByTask {
-		f.Assert(n, qt.Equals, 1, qt.Commentf("starts of %s", task))
+		f.Assert(n, qt.Equals, 1, qt.Commentf("number of starts of %s", task))
 	}
 	return len(startsByTask)
 }
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -10,12 +10,13 @@
 	"wigeontray/internal/record"
 )
 
-// unreachableURL is an upstream that takes no connection.
+// unreachableURL is the URL of an upstream that accepts no connections.
 const unreachableURL = "http://127.0.0.1:9"
 
-// A rival's operator holds the fleet's key and lets a guard announce Ayni's
-// booking service. He must be handed nothing. Ayni then removes the key of its
-// own guard, whose VM it has given up, and that guard must get nothing more.
+// Guards against tasks sent to a guard without the member's own key. A rival member's guard has the
+// fleet's key and registers for Ayni's booking service: it must receive no tasks. Ayni then
+// removes the key of its own guard, as after decommissioning the guard's VM: the entry must drop that
+// guard too.
 func TestMemberGuardKeys(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -28,20 +29,20 @@
 	f.launchGuard("rival", unreachableURL, f.fleetKey, "")
 	f.fleetKey = f.file("ayni.key", memberKey)
 	f.startWorker("worker-1")
-	f.eventually("the rival's guard is refused", func() bool {
+	f.eventually("the rival's guard is rejected", func() bool {
 		return f.isCounterNonZero(e, "wigeontray_links_refused_total")
 	})
 	f.Assert(f.usesGuard(e, "rival"), qt.IsFalse)
 	a := <-f.submitAsync(newClient(e), f.fetchTicket(e), newJob(10, 3))
 	f.Assert(a.Status, qt.Equals, http.StatusOK, qt.Commentf("%s", a.Body))
 	f.updateMember(fmt.Sprintf(fields, hash, record.HashToken("another")))
-	f.eventually("the guard whose key was removed is shut out", func() bool { return !f.usesGuard(e, "worker-1") })
+	f.eventually("the guard whose key was removed is no longer used", func() bool { return !f.usesGuard(e, "worker-1") })
 }
 
-// Somebody on the network runs a guard that knows the fleet's key but has a
-// certificate of his own authority. Let in, he would read bookings. The true
-// guard is used by both entries, which are linked over TLS: a booking goes
-// through either, by HTTPS, also when the other entry owns it.
+// Guards against a guard that has the fleet's key but a certificate from another authority; if it were
+// accepted, it could read bookings. The genuine guard is used by both entries, which are
+// linked over TLS, and a job can be submitted over HTTPS to either entry, also when the other one
+// owns its key.
 func TestFleetOverTLS(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -53,7 +54,7 @@
 	f.launchGuard("stranger", unreachableURL, f.fleetKey, f.generateCerts("others"))
 	f.startWorker("worker-1")
 	for _, e := range []*entryProcess{a, b} {
-		f.eventually("the stranger's certificate is refused", func() bool {
+		f.eventually("the stranger's certificate is rejected", func() bool {
 			return f.isCounterNonZero(e, "wigeontray_tls_handshakes_failed_total")
 		})
 		f.Assert(f.usesGuard(e, "stranger"), qt.IsFalse)
--- a/internal/e2e/regions_test.go
+++ b/internal/e2e/regions_test.go
@@ -19,18 +19,19 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// storeProxy stands between some entries and the store, and can cut them off alone.
+// storeProxy is an HTTP proxy between some entries and the store. It can disconnect these entries
+// from the store while other entries stay connected.
 type storeProxy struct {
 	*httptest.Server
 	store http.Handler
 	down  atomic.Bool
-	// beforeServiceWrite runs once, just before the next write of service ayni/reserva
-	// reaches the store. Other writes pass: entries make some at any time.
+	// beforeServiceWrite is called once, just before the next write of service ayni/reserva
+	// reaches the store. It ignores other writes, because entries may write at any time.
 	beforeServiceWrite atomic.Pointer[func()]
 	refusedRequests    atomic.Int64
 }
 
-// startStoreProxy opens a front to the fleet's store.
+// startStoreProxy starts a proxy for the fleet's store.
 func (f *fleet) startStoreProxy() *storeProxy {
 	proxy := &storeProxy{store: f.kv}
 	proxy.Server = httptest.NewServer(proxy)
@@ -41,7 +42,7 @@
 	return proxy
 }
 
-// disconnect ends all connections and refuses new calls.
+// disconnect closes all connections and makes the proxy abort all further requests.
 func (p *storeProxy) disconnect() {
 	p.down.Store(true)
 	p.CloseClientConnections()
@@ -59,6 +60,7 @@
 	p.store.ServeHTTP(w, r)
 }
 
+// runWriteHook calls beforeServiceWrite if the transaction r writes service ayni/reserva.
 func (p *storeProxy) runWriteHook(r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -74,7 +76,7 @@
 	}
 }
 
-// inRegion is a second region over the same store, reached through a front.
+// inRegion returns a fleet for a second region, which uses the same store through a proxy.
 func (f *fleet) inRegion(region, service string, proxy *storeProxy) *fleet {
 	other := *f
 	other.region, other.service, other.kvURL = region, service, proxy.URL
@@ -84,10 +86,10 @@
 
 const leeuwinMemberToken = "leeuwin-test-token"
 
-// A club's program calls the entries of Lima by mistake, where nobody may start
-// its work: it must be sent home without a claim on earlier tries. Then
-// wa-south is cut off from the store. Both regions go on, each by its own
-// roster, with tickets and with plain keys.
+// Guards against two faults of a fleet with two regions. A member whose home region is wa-south
+// submits to an entry in lima by mistake: the entry must answer wrong_region and must not claim whether
+// earlier attempts ran. Then wa-south loses its connection to the store: both regions must continue to
+// serve, each with its own roster, for tickets as well as for plain keys.
 func TestRegionsShareStore(t *testing.T) {
 	t.Parallel()
 	lima := newFleet(t)
@@ -100,7 +102,7 @@
 	a, b, c := lima.startEntry("lima-a"), south.startEntry("south-a"), south.startEntry("south-b")
 	lima.startWorker("callao-1")
 	south.startWorker("fremantle-1")
-	lima.waitForRosters() // counts the entries of its region alone
+	lima.waitForRosters() // counts only the entries of its own region
 	south.waitForRosters()
 
 	body := `{"service":"clubcast","deadline_ms":20000,"tasks":[{"sleep_ms":10}]}`
@@ -115,8 +117,8 @@
 	lima.Assert(r.State, qt.Equals, "complete", qt.Commentf("%+v", r))
 
 	proxy.disconnect()
-	lima.eventually("wa-south misses the store", func() bool { return proxy.refusedRequests.Load() > 0 })
-	for range 5 { // plain keys of any owner
+	lima.eventually("wa-south has lost its connection to the store", func() bool { return proxy.refusedRequests.Load() > 0 })
+	for range 5 { // enough plain keys that different entries own them
 		lima.checkServes(memberToken, "reserva", a)
 		south.checkServes(leeuwinMemberToken, "clubcast", b, c)
 	}
@@ -124,7 +126,8 @@
 	lima.Assert(south.countStartedTasks(), qt.Equals, 21)
 }
 
-// checkServes submits a job with a ticket and one with a plain key to each entry.
+// checkServes submits two jobs to each entry, one with a ticket and one with a plain key, and checks
+// that both succeed.
 func (f *fleet) checkServes(token, service string, entries ...*entryProcess) {
 	for _, e := range entries {
 		c := newClient(e)
--- a/internal/e2e/traces_test.go
+++ b/internal/e2e/traces_test.go
@@ -20,16 +20,16 @@
 	"wigeontray/internal/replay"
 )
 
-// A stated time is multiplied by timeBoundFactor, and minTimeBound is the least bound of
-// any answer: the traces know no other load on the machine.
+// The time limits of a trace are multiplied by timeBoundFactor and raised to at least
+// minTimeBound, because the traces take no account of other load on the machine.
 const (
 	timeBoundFactor = 2
 	minTimeBound    = 5 * time.Second
 )
 
-// TestTracesOnProcesses plays the traces that are written for both engines. A
-// trace that cuts links between processes, or that generates load, is for the
-// explicit clock only: see player.play.
+// TestTracesOnProcesses runs the traces that are written for both engines: the replay with a
+// simulated clock, and real processes. A trace that partitions links between processes or generates
+// load works with the simulated clock only: see traceRunner.apply.
 func TestTracesOnProcesses(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../traces/process-*.trace")
@@ -45,23 +45,23 @@
 	}
 }
 
-// traceRunner plays a trace with real processes in real time.
+// traceRunner runs a trace with real processes in real time.
 type traceRunner struct {
 	*fleet
 	trace         *replay.Trace
 	guards        map[string]*process
 	drainedGuards []*process
-	tickets       map[string][]string // by entry, drawn while it answers
+	tickets       map[string][]string // unused tickets by entry, fetched while it responds
 	jobs          map[string]*submittedJob
 	pendingCalls  sync.WaitGroup
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	violations     []string
-	reportedNotRun map[string]bool // tasks of which a caller was told "not run"
-	reportedRan    map[string]bool // tasks of which a caller was told that they ran
+	reportedNotRun map[string]bool // tasks reported to a caller as not run
+	reportedRan    map[string]bool // tasks reported to a caller as run
 }
 
-// submittedJob is a job of the trace under its identity.
+// submittedJob is a job of the trace with its idempotency key.
 type submittedJob struct {
 	key     string
 	request *replay.Request
@@ -72,7 +72,7 @@
 		fleet: newFleet(t), trace: trace, guards: make(map[string]*process), tickets: make(map[string][]string),
 		jobs: make(map[string]*submittedJob), reportedNotRun: make(map[string]bool), reportedRan: make(map[string]bool),
 	}
-	p.Assert(trace.Loads, qt.HasLen, 0, qt.Commentf("generated load is for the explicit clock"))
+	p.Assert(trace.Loads, qt.HasLen, 0, qt.Commentf("generated load requires the simulated clock"))
 	for _, e := range trace.Entries {
 		p.startEntryWithTickets(e.Name)
 	}
@@ -84,8 +84,8 @@
 	return p
 }
 
-// startEntryWithTickets draws a ticket for each submission in advance, since the entry may
-// be frozen by the time of it.
+// startEntryWithTickets starts an entry and fetches a ticket for each submission to it in advance,
+// since the entry may be paused by the time of the submission.
 func (p *traceRunner) startEntryWithTickets(name string) {
 	e := p.startEntry(name)
 	p.tickets[name] = nil
@@ -96,28 +96,31 @@
 	}
 }
 
-// run plays the events in order, none before its time, and checks the whole.
+// run applies the events in order, none before its time, waits for all calls and drained guards,
+// and compares the reported outcomes with the task starts at the upstreams.
 func (p *traceRunner) run() {
 	start := time.Now()
 	for _, ev := range p.trace.Events {
-		time.Sleep(time.Until(start.Add(ev.At))) // the clock of the trace
+		time.Sleep(time.Until(start.Add(ev.At))) // event times are relative to the start
 		p.apply(&ev)
 	}
 	p.pendingCalls.Wait()
 	for _, g := range p.drainedGuards {
-		p.Check(g.Wait(), qt.IsNil, qt.Commentf("a drained guard ends well"))
+		p.Check(g.Wait(), qt.IsNil, qt.Commentf("exit status of a drained guard"))
 	}
-	p.countStartedTasks() // fails if a task started twice
+	p.countStartedTasks() // fails if any task started twice
 	p.Check(p.violations, qt.HasLen, 0)
 	startsByTask := p.startsByTask()
 	for task := range p.reportedNotRun {
-		p.Check(startsByTask[task], qt.Equals, 0, qt.Commentf("%s started, and its caller was told that it did not", task))
+		p.Check(startsByTask[task], qt.Equals, 0, qt.Commentf("%s started but was reported as not run", task))
 	}
 	for task := range p.reportedRan {
-		p.Check(startsByTask[task], qt.Equals, 1, qt.Commentf("%s never started, and its caller was told that it did", task))
+		p.Check(startsByTask[task], qt.Equals, 1, qt.Commentf("%s never started but was reported as run", task))
 	}
 }
 
+// apply carries out one event. It fails the test for an event that real processes do not support,
+// such as a network partition.
 func (p *traceRunner) apply(ev *replay.Event) {
 	switch ev.Op {
 	case replay.OpSubmit:
@@ -143,7 +146,7 @@
 	case replay.OpStoreDown, replay.OpStoreUp:
 		p.kv.SetDown(ev.Op == replay.OpStoreDown)
 	default:
-		p.t.Fatalf("%s cannot be done to real processes", ev.Op)
+		p.t.Fatalf("event %s is not supported with real processes", ev.Op)
 	}
 }
 
@@ -154,8 +157,8 @@
 	return p.guards[name]
 }
 
-// killProcess ends a process. A dead guard leaves the lists of entries before the
-// trace goes on, else its successor could not be told from it.
+// killProcess kills a process. After a guard is killed, it waits until no entry lists the guard;
+// otherwise the guard could not be distinguished from its replacement.
 func (p *traceRunner) killProcess(name string) {
 	p.process(name).Kill()
 	if _, ok := p.entries[name]; ok {
@@ -163,7 +166,7 @@
 		return
 	}
 	for id, e := range p.entries {
-		p.eventually(id+" misses guard "+name, func() bool { return !p.usesGuard(e, name) })
+		p.eventually(id+" has removed guard "+name, func() bool { return !p.usesGuard(e, name) })
 	}
 }
 
@@ -175,20 +178,21 @@
 	p.startEntryWithTickets(name)
 }
 
-// jobReply is the part of an answer that a trace speaks of.
+// jobReply holds the fields of an answer that a trace can check.
 type jobReply struct {
 	status  int
 	State   string
 	Results []struct{ Body struct{ Task string } }
 	Error   struct{ Kind, Ran, Advice string }
-	// Failures are the tasks without a result.
+	// Failures lists the tasks without a result.
 	Failures []struct {
 		Task int
 		Ran  string
 	}
 }
 
-// submitAndCheck sends a job in the background and checks what comes of it.
+// submitAndCheck submits a job in the background and records a violation if the outcome differs
+// from the trace.
 func (p *traceRunner) submitAndCheck(ev *replay.Event) {
 	j, e, start := p.jobs[ev.Target], p.entries[ev.Other], time.Now()
 	p.pendingCalls.Go(func() {
@@ -201,8 +205,8 @@
 	})
 }
 
-// submitUntilFinal asks again while the advice is to, unless the trace states that very
-// answer, as a caller would. An error is a connection that broke.
+// submitUntilFinal repeats a submission while the answer advises a retry with the same key, as a
+// caller does, unless the trace expects that answer. An error means that the connection broke.
 func (p *traceRunner) submitUntilFinal(j *submittedJob, e *entryProcess, want *replay.Want) (*jobReply, error) {
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
 		r, err := p.postJob(j, e)
@@ -212,6 +216,7 @@
 	}
 }
 
+// postJob submits the job once.
 func (p *traceRunner) postJob(j *submittedJob, e *entryProcess) (*jobReply, error) {
 	body := client.Job{Service: "reserva", DeadlineMs: j.request.Deadline.Milliseconds(), DeclaredMs: j.request.Declared.Milliseconds()}
 	for _, d := range j.request.Tasks {
@@ -224,7 +229,7 @@
 	return p.sendRequest(memberToken, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
 }
 
-// cancelJob withdraws a job; what its caller is told is judged at the submission.
+// cancelJob cancels a job in the background. The outcome is checked where the job was submitted.
 func (p *traceRunner) cancelJob(ev *replay.Event) {
 	url := p.entries[ev.Other].url() + "/v1/jobs/" + p.jobs[ev.Target].key
 	p.pendingCalls.Go(func() {
@@ -234,7 +239,8 @@
 	})
 }
 
-// sendRequest makes one call of a member, and does not repeat it.
+// sendRequest sends one request of a member without retries. key is the idempotency key of a
+// submission, empty for other requests.
 func (f *fleet) sendRequest(token, method, url, key string, body io.Reader) (*jobReply, error) {
 	req, err := http.NewRequestWithContext(f.t.Context(), method, url, body)
 	if err != nil {
@@ -254,7 +260,8 @@
 	return r, json.NewDecoder(resp.Body).Decode(r)
 }
 
-// checkReply compares an answer with what the trace states, and notes its claims.
+// checkReply compares an answer with the trace, records which tasks it reports as run or not run, and
+// returns a description of the violation, or an empty string.
 func (p *traceRunner) checkReply(ev *replay.Event, j *submittedJob, r *jobReply, err error, took time.Duration) string {
 	want := ev.Want
 	if err != nil {
@@ -272,17 +279,17 @@
 	}
 	switch {
 	case !slices.Contains(allowedKinds(want), kind):
-		return fmt.Sprintf("answered %+v, want %v", *r, allowedKinds(want))
+		return fmt.Sprintf("got %+v, want %v", *r, allowedKinds(want))
 	case kind != "ok" && !want.AnyRan && r.Error.Ran != want.Ran.String():
-		return fmt.Sprintf("answered %+v, want ran %v", *r, want.Ran)
+		return fmt.Sprintf("got %+v, want ran %v", *r, want.Ran)
 	case want.Before > 0 && took > max(timeBoundFactor*want.Before, minTimeBound):
-		return fmt.Sprintf("answered after %v, want %v", took, want.Before)
+		return fmt.Sprintf("got the answer after %v, want at most %v", took, want.Before)
 	}
 	return ""
 }
 
-// recordReports notes what an answer says of each task; a whole one has each result in
-// its place.
+// recordReports records which tasks an answer reports as run or not run. In a complete answer it
+// also checks that every result is present and in the position of its task.
 func (p *traceRunner) recordReports(j *submittedJob, r *jobReply) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -304,17 +311,17 @@
 		}
 	}
 	if r.State == "complete" && len(r.Results) != len(j.request.Tasks) {
-		return fmt.Sprintf("%d of %d results", len(r.Results), len(j.request.Tasks))
+		return fmt.Sprintf("got %d results for %d tasks", len(r.Results), len(j.request.Tasks))
 	}
 	for i, result := range r.Results {
 		if result.Body.Task != taskName(i) {
-			return fmt.Sprintf("result %d is of %q", i, result.Body.Task)
+			return fmt.Sprintf("result %d belongs to task %q", i, result.Body.Task)
 		}
 	}
 	return ""
 }
 
-// allowedKinds names the outcomes that a trace allows.
+// allowedKinds returns the names of the outcomes that a trace allows; "ok" stands for no error.
 func allowedKinds(w *replay.Want) []string {
 	var out []string
 	for _, k := range w.Kinds {
