--- a/internal/pages/code_test.go
+++ b/internal/pages/code_test.go
@@ -46,8 +46,8 @@
 	checkFirstColumn(qt.New(t), "docs/operators.md", "record-kinds", names)
 }
 
-// Advice on an error kind that does not exist would send an operator looking
-// for a counter that is never there.
+// Guards against advice on an error kind that does not exist: an operator would look for a counter
+// that is never exported.
 func TestAdviceNamesKnownErrorKinds(t *testing.T) {
 	c := qt.New(t)
 	_, body, _ := splitTable(c, "docs/operators.md", "what-to-do")
@@ -88,7 +88,8 @@
 	checkTable(qt.New(t), "docs/inner-protocol.md", "messages", renderTable(header, rows))
 }
 
-// appendNestedTypes adds the types of a message's fields that are no messages.
+// appendNestedTypes appends the struct types of a message's fields, recursively, unless they are in
+// known.
 func appendNestedTypes(types []reflect.Type, message reflect.Type, known map[reflect.Type]bool) []reflect.Type {
 	for i := range message.NumField() {
 		t := message.Field(i).Type
@@ -103,6 +104,7 @@
 	return types
 }
 
+// fieldRows returns a table row for each field of a message.
 func fieldRows(message reflect.Type, frameKey string) [][]string {
 	var rows [][]string
 	for i := range message.NumField() {
@@ -112,12 +114,13 @@
 	return rows
 }
 
+// cborKey returns the CBOR key in the tag of a field.
 func cborKey(f reflect.StructField) string {
 	key, _, _ := strings.Cut(f.Tag.Get("cbor"), ",")
 	return key
 }
 
-// cborType names a field's type as CBOR has it.
+// cborType returns the name of the CBOR type that a Go type is encoded as.
 func cborType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Slice:
@@ -138,8 +141,8 @@
 	}
 }
 
-// A figure that nothing counts stays at zero for ever, and an operator takes
-// its zero for good news.
+// Guards against a metric that no code updates: it stays at zero, and an operator would read the zero
+// as the absence of a problem.
 func TestEveryMetricIsUpdated(t *testing.T) {
 	c := qt.New(t)
 	used := make(map[string]bool)
@@ -156,14 +159,14 @@
 			})
 		}
 	}
-	byKind := used["RetryAfter"] // counts the reasons that follow from a kind
+	byKind := used["RetryAfter"] // RetryAfter counts the retry reasons that are derived from an error kind
 	for _, name := range metricConstants(c) {
 		counted := used[name] || byKind && strings.HasPrefix(name, "Retry")
-		c.Check(counted, qt.IsTrue, qt.Commentf("telemetry.%s is never counted", name))
+		c.Check(counted, qt.IsTrue, qt.Commentf("telemetry.%s is never updated", name))
 	}
 }
 
-// internalPackages lists the folders below internal that hold code.
+// internalPackages returns the folders below internal that contain non-test Go files.
 func internalPackages(c *qt.C) []string {
 	seen := make(map[string]bool)
 	for _, name := range textFiles(c) {
@@ -174,10 +177,10 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// metricTypes are the types whose constants name figures.
+// metricTypes are the types in package telemetry whose constants identify metrics.
 var metricTypes = []string{"Counter", "Gauge", "Latency", "RetryReason"}
 
-// metricConstants lists the exported constants of those types.
+// metricConstants returns the exported constants of metricTypes.
 func metricConstants(c *qt.C) []string {
 	var out []string
 	for _, f := range parseDir(c, "internal/telemetry") {
@@ -190,7 +193,8 @@
 	return out
 }
 
-// metricNames gives the exported names of a block that begins with a figure.
+// metricNames returns the exported names of a constant block whose first constant has one of
+// metricTypes.
 func metricNames(g *ast.GenDecl) []string {
 	first := g.Specs[0].(*ast.ValueSpec)
 	if id, ok := first.Type.(*ast.Ident); !ok || !slices.Contains(metricTypes, id.Name) {
--- a/internal/pages/examples_test.go
+++ b/internal/pages/examples_test.go
@@ -13,7 +13,8 @@
 	"wigeontray/internal/settings"
 )
 
-// exampleDeployments are the folders of samples with their service and failure domains.
+// exampleDeployments are the example folders, named after the member, with their service and failure
+// domains.
 var exampleDeployments = []struct {
 	member, service string
 	domains         []string
@@ -29,7 +30,7 @@
 		entry, err := settings.LoadEntry(filepath.Join(dir, "entry.ini"))
 		c.Assert(err, qt.IsNil)
 		c.Check(slices.Contains(d.domains, entry.FailureDomain), qt.IsTrue)
-		c.Check(entry.Peers, qt.HasLen, len(d.domains)-1, qt.Commentf("an entry in each other failure domain"))
+		c.Check(entry.Peers, qt.HasLen, len(d.domains)-1, qt.Commentf("want one peer in each other failure domain"))
 		guard, err := settings.LoadGuard(filepath.Join(dir, "guard.ini"))
 		c.Assert(err, qt.IsNil)
 		c.Check(slices.Contains(d.domains, guard.FailureDomain), qt.IsTrue)
@@ -41,8 +42,8 @@
 	}
 }
 
-// The sample records of a deployment are in force together: its service and
-// kind of job can be asked for, and its teams are the ones with quotas.
+// Checks that the example records of a deployment are valid together: there is one record of each
+// kind, none is rejected, the deployment's service is available, and every team has a quota.
 func TestExampleRecords(t *testing.T) {
 	c := qt.New(t)
 	for _, d := range exampleDeployments {
--- a/internal/pages/figures_test.go
+++ b/internal/pages/figures_test.go
@@ -11,10 +11,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// metricFuncs are the calls whose literals name a figure.
+// metricFuncs are the functions whose calls contain metric names as string literals.
 var metricFuncs = []string{"count", "gauge", "GetOrRegisterCounter", "GetOrRegister"}
 
-// metricLiterals gives the literals in the counting calls of a package.
+// metricLiterals returns the string literals in the calls of metricFuncs in a package.
 func metricLiterals(c *qt.C, dir string) []string {
 	var out []string
 	for _, f := range parseDir(c, dir) {
@@ -28,6 +28,7 @@
 	return out
 }
 
+// calleeName returns the unqualified name of the called function, empty if it has none.
 func calleeName(call *ast.CallExpr) string {
 	switch f := call.Fun.(type) {
 	case *ast.SelectorExpr:
@@ -38,6 +39,7 @@
 	return ""
 }
 
+// stringLiterals returns the values of all string literals below n.
 func stringLiterals(n ast.Node) []string {
 	var out []string
 	ast.Inspect(n, func(n ast.Node) bool {
@@ -51,8 +53,8 @@
 	return out
 }
 
-// packageMetrics lists the figures that packages count on go-metrics alone, in
-// the form of the exposition. A star stands for what is only known at run time.
+// packageMetrics returns the names of the metrics that packages register only with go-metrics, in
+// the exposition format. A star replaces a part that is determined at run time.
 func packageMetrics(c *qt.C) []string {
 	var out []string
 	add := func(name string) {
@@ -75,7 +77,7 @@
 	}
 	for _, s := range metricLiterals(c, "internal/store") {
 		switch {
-		case s == "store." || s == ".": // parts of the common form
+		case s == "store." || s == ".": // fragments from which all metric names of the package are built
 		case strings.HasPrefix(s, "store."):
 			add(s)
 		default:
--- a/internal/pages/imports_test.go
+++ b/internal/pages/imports_test.go
@@ -10,12 +10,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// importRowPattern is a row of the table of packages with its allowed imports.
+// importRowPattern matches a row of the package table; its groups are the package and its allowed
+// imports.
 var importRowPattern = regexp.MustCompile(`(?m)^\| ([a-z/]+) \| [^|]* \| ([^|]*) \|$`)
 
 const internalPrefix = "wigeontray/internal/"
 
-// The table of packages in docs/architecture.md names what each may import.
+// Checks that each package imports only the internal packages that the package table in
+// docs/architecture.md allows.
 func TestImportsAreAllowed(t *testing.T) {
 	c := qt.New(t)
 	allowed := make(map[string][]string)
--- a/internal/pages/links_test.go
+++ b/internal/pages/links_test.go
@@ -35,8 +35,8 @@
 
 var nonAnchorChars = regexp.MustCompile(`[^a-z0-9 -]`)
 
-// hasHeading tells whether a page has a heading with the anchor, by the rule of
-// the usual renderers: lower case, no punctuation, hyphens for spaces.
+// hasHeading reports whether a page has a heading with the given anchor. Anchors follow the common
+// Markdown convention: lower case, punctuation removed, hyphens for spaces.
 func hasHeading(page, anchor string) bool {
 	for _, line := range strings.Split(page, "\n") {
 		text, ok := strings.CutPrefix(strings.TrimLeft(line, "#"), " ")
--- a/internal/pages/logs_test.go
+++ b/internal/pages/logs_test.go
@@ -15,8 +15,8 @@
 
 var logFieldPattern = regexp.MustCompile("`([a-z_]+)`")
 
-// An engineer on call looks up a field of a log line and does not find it, or finds
-// one that no line has.
+// Guards against log fields that are missing from docs/OPERATIONS.md, and against listed fields
+// that no log line has.
 func TestLogFieldsAreDocumented(t *testing.T) {
 	c := qt.New(t)
 	var used []string
@@ -36,11 +36,11 @@
 		c.Check(slices.Contains(documented, name), qt.IsTrue, qt.Commentf("docs/OPERATIONS.md does not list %q", name))
 	}
 	for _, name := range documented {
-		c.Check(slices.Contains(used, name), qt.IsTrue, qt.Commentf("no line has %q", name))
+		c.Check(slices.Contains(used, name), qt.IsTrue, qt.Commentf("no log line has the documented field %q", name))
 	}
 }
 
-// logFieldsOf gives the names of the fields of a call that writes a line.
+// logFieldsOf returns the field names in a logging call, nothing for any other call.
 func logFieldsOf(call *ast.CallExpr) []string {
 	f, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains([]string{"Info", "Warn", "Error"}, f.Sel.Name) {
@@ -57,6 +57,7 @@
 	return out
 }
 
+// documentedFields returns the field names in the log field table of docs/OPERATIONS.md.
 func documentedFields(c *qt.C) []string {
 	_, after, found := strings.Cut(readFile(c, filepath.Join("docs", "OPERATIONS.md")), "<!-- log fields -->")
 	c.Assert(found, qt.IsTrue)
--- a/internal/pages/promises_test.go
+++ b/internal/pages/promises_test.go
@@ -13,11 +13,11 @@
 
 var testReference = regexp.MustCompile("`([a-z0-9]+)\\.((?:Test|Fuzz|Benchmark)[A-Za-z0-9]+)`")
 
-// A promise that names a test which was renamed or dropped looks proved to its
-// reader and is not.
+// Guards against pages that reference a test that was renamed or removed: the
+// guarantee would appear to be tested although it is not.
 func TestReferencedTestsExist(t *testing.T) {
 	c := qt.New(t)
-	functions := make(map[string]map[string]bool) // functions of the tests of a package
+	functions := make(map[string]map[string]bool) // function names in the test files of each package
 	for _, page := range markdownFiles(c) {
 		for _, m := range testReference.FindAllStringSubmatch(readFile(c, page), -1) {
 			if functions[m[1]] == nil {
@@ -28,6 +28,8 @@
 	}
 }
 
+// testFunctionNames returns the names of all functions in the test files of a package, either below
+// internal or at the top level of the tree.
 func testFunctionNames(c *qt.C, pkg string) map[string]bool {
 	out := make(map[string]bool)
 	files, err := filepath.Glob(filepath.Join(root, "internal", pkg, "*_test.go"))
--- a/internal/pages/source_test.go
+++ b/internal/pages/source_test.go
@@ -17,7 +17,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// parseDir parses the files of a package that are no tests.
+// parseDir parses the files of a package except its tests.
 func parseDir(c *qt.C, dir string) []*ast.File {
 	names, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
 	c.Assert(err, qt.IsNil)
@@ -30,14 +30,14 @@
 		c.Assert(err, qt.IsNil)
 		files = append(files, f)
 	}
-	c.Assert(files, qt.Not(qt.HasLen), 0, qt.Commentf("no code in %s", dir))
+	c.Assert(files, qt.Not(qt.HasLen), 0, qt.Commentf("no Go files in %s", dir))
 	return files
 }
 
-// httpPackages are the packages that write HTTP answers.
+// httpPackages are the packages that write HTTP responses.
 var httpPackages = []string{"internal/errkind", "internal/entry", "internal/guard", "internal/recordapi"}
 
-// statusByName gives the constants of net/http by name.
+// statusByName returns the values of the status constants of net/http by name.
 func statusByName() map[string]int {
 	out := make(map[string]int)
 	for s := 100; s < 600; s++ {
@@ -62,7 +62,7 @@
 			})
 		}
 	}
-	delete(found, "0") // http.StatusText and the like
+	delete(found, "0") // http.StatusText and other names that are not status constants
 	checkFirstColumn(c, "docs/http.md", "statuses", slices.Collect(maps.Keys(found)))
 }
 
@@ -93,7 +93,7 @@
 	checkFirstColumn(c, "docs/http.md", "endpoints", slices.Collect(maps.Keys(found)))
 }
 
-// stringConstants gives the string constants of a package by name.
+// stringConstants returns the values of the string constants of a package by name.
 func stringConstants(files []*ast.File) map[string]string {
 	out := make(map[string]string)
 	for _, f := range files {
@@ -109,7 +109,8 @@
 	return out
 }
 
-// stringValue gives a string made of literals and constants, empty for anything else.
+// stringValue evaluates an expression of string literals and constants. It returns an empty string
+// for any other expression.
 func stringValue(x ast.Expr, consts map[string]string) string {
 	switch x := x.(type) {
 	case *ast.BasicLit:
@@ -124,10 +125,11 @@
 	return ""
 }
 
-// command is one command of the binary wigeontray.
+// command is a command of the binary wigeontray with its help text.
 type command struct{ name, help string }
 
-// parseCommands reads the tags that kong builds the command line from.
+// parseCommands reads the commands of wigeontray from the struct tags from which kong builds the
+// command line.
 func parseCommands(c *qt.C) []command {
 	structs := make(map[string]*ast.StructType)
 	for _, f := range parseDir(c, "internal/cli") {
@@ -144,6 +146,8 @@
 	return subcommands(structs, structs["commands"], "")
 }
 
+// subcommands returns the commands that the fields of st define. A command with subcommands is
+// replaced by these, with its name as their prefix.
 func subcommands(structs map[string]*ast.StructType, st *ast.StructType, prefix string) []command {
 	var out []command
 	for _, f := range st.Fields.List {
--- a/internal/pages/tables_test.go
+++ b/internal/pages/tables_test.go
@@ -11,9 +11,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var update = flag.Bool("update", false, "write the tables that follow from the code")
+var update = flag.Bool("update", false, "write the tables that are generated from the code")
 
-// root is the top of the tree, seen from this package.
+// root is the relative path from this package to the root of the repository.
 const root = "../.."
 
 func readFile(c *qt.C, page string) string {
@@ -22,25 +22,26 @@
 	return string(b)
 }
 
-// Marks around a table that a test reads.
+// tableStart returns the marker before a table that a test reads.
 func tableStart(name string) string { return "<!-- table " + name + " -->\n" }
 
+// tableEnd is the marker after a table that a test reads.
 const tableEnd = "<!-- /table -->\n"
 
-// splitTable splits a page around the body of a marked table.
+// splitTable splits a page at the markers of a table. before and after include the markers.
 func splitTable(c *qt.C, page, name string) (before, body, after string) {
 	before, rest, ok := strings.Cut(readFile(c, page), tableStart(name))
 	c.Assert(ok, qt.IsTrue, qt.Commentf("%s has no table %s", page, name))
 	body, after, ok = strings.Cut(rest, tableEnd)
-	c.Assert(ok, qt.IsTrue, qt.Commentf("%s: table %s has no end", page, name))
+	c.Assert(ok, qt.IsTrue, qt.Commentf("%s: table %s has no end marker", page, name))
 	return before + tableStart(name), body, tableEnd + after
 }
 
-// firstColumn gives the cells of a table's first column, without backquotes.
+// firstColumn returns the cells of a table's first column, without backquotes.
 func firstColumn(body string) []string {
 	var out []string
 	for i, line := range strings.Split(strings.TrimSpace(body), "\n") {
-		if i < 2 { // header and rule
+		if i < 2 { // header and delimiter row
 			continue
 		}
 		cells := strings.Split(line, "|")
@@ -49,7 +50,7 @@
 	return out
 }
 
-// renderTable writes a Markdown table.
+// renderTable returns a Markdown table.
 func renderTable(header []string, rows [][]string) string {
 	var b strings.Builder
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
@@ -61,9 +62,11 @@
 	return b.String()
 }
 
+// codeSpan formats s as a Markdown code span.
 func codeSpan(s string) string { return "`" + s + "`" }
 
-// checkTable compares a table with what the code gives, or writes it.
+// checkTable compares a table with the one generated from the code. With the flag -update it writes
+// the generated table instead.
 func checkTable(c *qt.C, page, name, want string) {
 	before, body, after := splitTable(c, page, name)
 	if *update && body != want {
@@ -77,12 +80,13 @@
 	c.Check(body == want, qt.IsTrue, note)
 }
 
-// difference gives the lines of a that b lacks.
+// difference returns the lines of a that are not in b.
 func difference(a, b []string) []string {
 	return slices.DeleteFunc(slices.Clone(a), func(line string) bool { return slices.Contains(b, line) })
 }
 
-// checkFirstColumn compares the first column of a table with names, in any order.
+// checkFirstColumn checks that the first column of a table consists of the names in want, in any
+// order.
 func checkFirstColumn(c *qt.C, page, name string, want []string) {
 	_, body, _ := splitTable(c, page, name)
 	got := firstColumn(body)
--- a/internal/pages/tree_test.go
+++ b/internal/pages/tree_test.go
@@ -12,13 +12,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// excludedDirs are folders with nothing that people write: the repository's own, build
-// output, and records of runs, which are kept as they were written. Scanned for
-// words, the programs in build output alone took 40 s of several processors, and
-// tests with time limits beside it failed.
+// excludedDirs are folders without maintained text: the repository's metadata, build
+// output, and records of runs, which are never edited. Scanning the binaries in the build output
+// alone took 40 s on several processors and made tests with time limits fail that ran at the same
+// time.
 var excludedDirs = []string{".git", "bin", "target", "journal"}
 
-// textFiles lists the text files of the repository by their paths below root.
+// textFiles returns the paths, relative to root, of the text files in the repository.
 func textFiles(c *qt.C) []string {
 	var out []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// A path of the machine on which something was written means nothing on
-// another; a newcomer who follows it finds nothing.
+// Guards against absolute paths of the machine on which a file was written, which do not exist
+// on other machines.
 func TestNoMachinePaths(t *testing.T) {
 	c := qt.New(t)
 	machinePath := regexp.MustCompile(`(^|[\s"'(=` + "`" + `])/(work|root|Users|home/\w+)/`)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Lengths at which a Go file is worth a look, and at which it must be split.
+// Numbers of lines above which the test logs a Go file as long, and above which it fails.
 const (
 	warnFileLines = 400
 	maxFileLines  = 500
@@ -66,19 +66,19 @@
 		n := strings.Count(readFile(c, name), "\n")
 		c.Check(n <= maxFileLines, qt.IsTrue, qt.Commentf("%s has %d lines", name, n))
 		if n > warnFileLines {
-			c.Logf("look at %s: %d lines", name, n)
+			c.Logf("long file %s: %d lines", name, n)
 		}
 	}
 }
 
-// markdownFiles lists the Markdown pages.
+// markdownFiles returns the paths of the Markdown pages.
 func markdownFiles(c *qt.C) []string {
 	return slices.DeleteFunc(textFiles(c), func(name string) bool { return filepath.Ext(name) != ".md" })
 }
 
-// Marks that must stand on the line before a table of docs/CAPACITY.md, and may
-// stand before tables of other pages. Measured figures name the command that
-// gave them on a line below the table.
+// Markers for the line before a table: one of the first three is required in docs/CAPACITY.md and
+// optional on other pages. Below a table of measured values, a line with commandPrefix must name
+// the command that produced them.
 const (
 	measuredMark  = "<!-- measured -->"
 	derivedMark   = "<!-- worked out -->"
@@ -98,7 +98,7 @@
 	}
 }
 
-// hasCommandBelow looks for the command between a table and the next heading.
+// hasCommandBelow reports whether a line with commandPrefix precedes the next heading.
 func hasCommandBelow(lines []string) bool {
 	for _, line := range lines {
 		if strings.HasPrefix(line, "#") {
@@ -122,7 +122,7 @@
 	}
 }
 
-// shellCommands lists the lines of a page's sh blocks, without comments and
+// shellCommands returns the lines of a page's sh blocks, without comments and
 // continuation lines. The README has its commands in indented blocks.
 func shellCommands(name, page string) []string {
 	var out []string
@@ -141,13 +141,13 @@
 	return out
 }
 
-// treePrefixes are prefixes of words in commands that name something in the tree.
+// treePrefixes are prefixes of command arguments that are paths in the tree.
 var treePrefixes = []string{"./cmd/", "./internal/", "./bench", ".ci/", "examples/"}
 
-// externalTools are programs that a page may use and the tree does not hold.
+// externalTools are programs outside the tree that a page may use.
 var externalTools = []string{"bash", "cd", "curl", "go", "kill", "mkdir", "export", "openssl"}
 
-// builtBinary matches the binaries that the pages build.
+// builtBinary matches the paths of binaries that commands on the pages build.
 var builtBinary = regexp.MustCompile(`^(\./)?bin/(wigeontray|wigeontray-guard)$`)
 
 func TestShellCommandsExist(t *testing.T) {
@@ -171,6 +171,7 @@
 	}
 }
 
+// isKnownProgram reports whether the first word of a command is a known program or a path in the tree.
 func isKnownProgram(word string) bool {
 	if slices.Contains(externalTools, word) || builtBinary.MatchString(word) || word == "wigeontray" || word == "wigeontray-guard" {
 		return true
@@ -179,6 +180,7 @@
 	return err == nil
 }
 
+// isKnownCommand reports whether the arguments begin with a command of wigeontray.
 func isKnownCommand(known []command, words []string) bool {
 	line := strings.Join(words, " ") + " "
 	return slices.ContainsFunc(known, func(k command) bool { return strings.HasPrefix(line, k.name+" ") })
