--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -14,8 +14,8 @@
 	"wigeontray/internal/wire"
 )
 
-// BenchmarkIdle reports what an entry with one guard, and that guard, cost
-// while nothing is asked of them.
+// BenchmarkIdle reports the CPU use, memory and store requests of an entry with one guard, and the
+// CPU use and memory of that guard, while there are no jobs.
 func BenchmarkIdle(b *testing.B) {
 	s := newTestbed(b)
 	upstream := httptest.NewServer(http.HandlerFunc(echo))
@@ -23,7 +23,7 @@
 	guard, _ := s.guard(b, upstream.URL)
 	const window = wire.PingEvery
 	for b.Loop() {
-		time.Sleep(time.Second) // what starting took is over
+		time.Sleep(time.Second) // excludes the cost of the startup
 		entry0, guard0, calls0 := s.entry.cpuTime(b), guard.cpuTime(b), s.storeCalls.Load()
 		time.Sleep(window)
 		corePercent := func(d time.Duration) float64 { return 100 * d.Seconds() / window.Seconds() }
@@ -35,8 +35,8 @@
 	}
 }
 
-// Requests of BenchmarkOverhead. They go one after the other: the difference is
-// what the path adds, not what queues add.
+// Numbers of requests in BenchmarkOverhead. Requests are sent one at a time, so that the difference
+// is the overhead of the path without queueing delay.
 const (
 	warmupRequests   = 300
 	measuredRequests = 3000
@@ -44,8 +44,8 @@
 
 const taskBody = `{"kind":"escort","flight":"LA2047"}`
 
-// BenchmarkOverhead reports the time of a direct call to the upstream, of the
-// same call through entry and guard, and the difference of each quantile.
+// BenchmarkOverhead reports the latency of a direct call to the upstream, the latency of the same
+// call through entry and guard, and the difference at each quantile.
 func BenchmarkOverhead(b *testing.B) {
 	s := newTestbed(b)
 	upstream := httptest.NewServer(http.HandlerFunc(echo))
@@ -67,6 +67,7 @@
 	}
 }
 
+// newDirectRequest returns a request that sends the task directly to the upstream.
 func newDirectRequest(b *testing.B, url string) *http.Request {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(taskBody))
 	if err != nil {
@@ -75,7 +76,8 @@
 	return req
 }
 
-// measureLatencies sends requests one after the other and gives their times, sorted.
+// measureLatencies sends requests one at a time and returns their latencies in ascending order,
+// without those of the warm-up.
 func measureLatencies(b *testing.B, client *http.Client, request func() *http.Request) []time.Duration {
 	b.Helper()
 	out := make([]time.Duration, 0, measuredRequests)
@@ -95,14 +97,15 @@
 
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// Jobs of BenchmarkGuardFull: enough tasks to fill what a guard remembers.
+// Numbers of jobs and of tasks per job in BenchmarkGuardFull: enough to fill the guard's record of
+// task starts.
 const (
 	fillJobs        = 200
 	fillTasksPerJob = 100
 )
 
-// BenchmarkGuardFull reports the resident memory of a guard that remembers as
-// many starts and holds as many results as it may, and what a task costs it.
+// BenchmarkGuardFull reports the resident memory of a guard whose stored task starts and results
+// have reached their limits, and the CPU time per task.
 func BenchmarkGuardFull(b *testing.B) {
 	s := newTestbed(b)
 	upstream := httptest.NewServer(http.HandlerFunc(echo))
@@ -124,8 +127,8 @@
 	}
 }
 
-// BenchmarkCapacity prints the report of package capacity for an entry in a
-// process of its own, so that its figures are the entry's alone.
+// BenchmarkCapacity prints the report of package capacity for an entry in a separate
+// process, so that the measured values include only the entry.
 func BenchmarkCapacity(b *testing.B) {
 	s := newTestbed(b)
 	for b.Loop() {
--- a/bench/change_test.go
+++ b/bench/change_test.go
@@ -13,12 +13,12 @@
 	"wigeontray/internal/wire"
 )
 
-// guardsPerRegion are the guards of one region of letter 1.
+// guardsPerRegion is the number of guards in one region of the fleet in letter 1.
 const guardsPerRegion = 410
 
-// BenchmarkChange reports what an entry with the guards of a region sends them
-// for one change of the configuration: of a member's record, which concerns no
-// guard, and of the record of the guards' service.
+// BenchmarkChange reports the frames and bytes that an entry sends to all guards of a region for
+// one configuration change: of a member record, which affects no guard, and of the record
+// of the guards' service.
 func BenchmarkChange(b *testing.B) {
 	s := newTestbed(b)
 	kv := store.NewEtcd(store.Options{Endpoints: []string{s.store}, Timeout: time.Second})
@@ -57,10 +57,11 @@
 	}
 }
 
-// settleDelay lets a change reach all guards.
+// settleDelay is the time allowed for a change to reach all guards.
 const settleDelay = 2 * time.Second
 
-// linkGuard links guard number i, which reads and acknowledges and does nothing else.
+// linkGuard connects a simulated guard with number i, which only receives frames and acknowledges
+// configurations.
 func (s *testbed) linkGuard(b *testing.B, i int, traffic *wire.Traffic) {
 	b.Helper()
 	l, err := wire.Dial(context.Background(), "ws://"+s.inner+wire.GuardPath, http.DefaultClient, traffic)
@@ -79,6 +80,7 @@
 	go acknowledgeConfigs(l)
 }
 
+// acknowledgeConfigs acknowledges every configuration until the link ends.
 func acknowledgeConfigs(l wire.Link) {
 	for {
 		f, err := l.Recv(context.Background())
--- a/bench/memory_test.go
+++ b/bench/memory_test.go
@@ -12,20 +12,20 @@
 	"wigeontray/internal/wire"
 )
 
-// heldRecords is how many records the benchmarks of memory hold.
+// heldRecords is the number of records that each memory benchmark stores.
 const heldRecords = 100_000
 
-// liveHeapBytes is the live heap.
+// liveHeapBytes returns the size of the live heap.
 func liveHeapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // sweeps what the first one found
+	runtime.GC() // completes the sweep of the first collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkJobRecord reports the memory that an entry takes to remember one
-// finished job whose answer it no longer holds.
+// BenchmarkJobRecord reports the memory that an entry uses for the record of one finished job
+// whose answer has been dropped.
 func BenchmarkJobRecord(b *testing.B) {
 	for b.Loop() {
 		before := liveHeapBytes()
@@ -44,8 +44,8 @@
 	}
 }
 
-// BenchmarkGuardStart reports the memory that a guard takes to remember one
-// start whose result it no longer holds.
+// BenchmarkGuardStart reports the memory that a guard uses for the record of one task start
+// whose result has been dropped.
 func BenchmarkGuardStart(b *testing.B) {
 	const home = "entry-callao-a-0123456789ab"
 	for b.Loop() {
--- a/bench/process_test.go
+++ b/bench/process_test.go
@@ -17,13 +17,13 @@
 	"time"
 )
 
-// process is a started binary. Its log is shown when the benchmark fails.
+// process is a running binary. Its log is printed if the benchmark fails.
 type process struct {
 	cmd *exec.Cmd
 	log bytes.Buffer
 }
 
-// buildBinaries compiles both binaries into a folder that goes with the benchmark.
+// buildBinaries compiles both binaries into a temporary folder, which is removed after the benchmark.
 func buildBinaries(b *testing.B) string {
 	b.Helper()
 	dir := b.TempDir()
@@ -34,7 +34,7 @@
 	return dir
 }
 
-// startProcess runs a binary until the end of the benchmark.
+// startProcess starts a binary that runs until the end of the benchmark.
 func startProcess(b *testing.B, path string, args ...string) *process {
 	b.Helper()
 	p := &process{cmd: exec.Command(path, args...)}
@@ -46,6 +46,7 @@
 	return p
 }
 
+// stop sends SIGTERM, and SIGKILL after stopTimeout, and waits for the exit.
 func (p *process) stop(b *testing.B) {
 	const stopTimeout = 20 * time.Second
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -59,7 +60,7 @@
 	}
 }
 
-// cpuTime is the processor time of all threads so far.
+// cpuTime returns the CPU time that all live threads have used so far.
 func (p *process) cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
@@ -70,7 +71,7 @@
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		ns, err := strconv.ParseInt(strings.Fields(string(text))[0], 10, 64)
 		if err != nil {
@@ -81,7 +82,7 @@
 	return time.Duration(sum)
 }
 
-// residentBytes is the resident memory in bytes.
+// residentBytes returns the resident set size in bytes.
 func (p *process) residentBytes(b *testing.B) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
@@ -95,7 +96,7 @@
 	return float64(pages) * float64(os.Getpagesize())
 }
 
-// freeAddr finds a loopback address that nobody listens on now.
+// freeAddr returns a loopback address whose port is currently free.
 func freeAddr(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,7 +107,7 @@
 	return l.Addr().String()
 }
 
-// waitForMetric polls an exposition until a figure has the value.
+// waitForMetric polls the metrics endpoint of an admin address until a metric has the value want.
 func waitForMetric(b *testing.B, admin, name string, want float64) {
 	b.Helper()
 	const (
@@ -121,9 +122,10 @@
 			}
 		}
 	}
-	b.Fatalf("%s of %s is %v, want %v", name, admin, got, want)
+	b.Fatalf("metric %s at %s is %v, want %v", name, admin, got, want)
 }
 
+// readMetric returns the value of a metric without labels.
 func readMetric(admin, name string) (float64, error) {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
@@ -136,10 +138,10 @@
 			return strconv.ParseFloat(value, 64)
 		}
 	}
-	return 0, fmt.Errorf("no figure %s", name)
+	return 0, fmt.Errorf("metric %s not found", name)
 }
 
-// sendRequest sends a body and reads the whole answer.
+// sendRequest sends a request and reads the whole response. A status other than 200 is an error.
 func sendRequest(client *http.Client, req *http.Request) error {
 	resp, err := client.Do(req)
 	if err != nil {
--- a/bench/site_test.go
+++ b/bench/site_test.go
@@ -22,26 +22,26 @@
 	"wigeontray/internal/tlsconf"
 )
 
-// Names used by every benchmark.
+// Names of the member and service that all benchmarks use.
 const (
 	benchMember  = "bench"
 	benchService = "echo"
 )
 
-// testbed is a store in this process, an entry and the addresses of both.
+// testbed is a store in the benchmark process, an entry in a process of its own, and their addresses.
 type testbed struct {
 	dir                   string
 	store                 string // base URL
 	callers, inner, admin string
-	configKey             string // file
+	configKey             string // path of the configuration key file
 	token                 string
 	entry                 *process
 	binaryDir             string
-	storeCalls            atomic.Int64 // requests to the store so far
-	serviceRevision       int64        // of the service's record
+	storeCalls            atomic.Int64 // number of requests to the store so far
+	serviceRevision       int64        // revision of the service record
 }
 
-// newTestbed starts an entry with one member and one service.
+// newTestbed starts a store with one member and one service, and an entry that uses it.
 func newTestbed(b *testing.B) *testbed {
 	b.Helper()
 	kv := standin.New()
@@ -66,6 +66,7 @@
 	return s
 }
 
+// putRecords writes the records of the member and the service to the store.
 func (s *testbed) putRecords(b *testing.B, hash string) {
 	b.Helper()
 	kv := store.NewEtcd(store.Options{Endpoints: []string{s.store}, Timeout: time.Second})
@@ -106,7 +107,7 @@
 `, s.callers, s.inner, s.admin, s.store, s.configKey)
 }
 
-// guard starts a guard beside the upstream and waits until the entry has it.
+// guard starts a guard for the upstream and waits until the entry uses it.
 func (s *testbed) guard(b *testing.B, upstream string) (p *process, admin string) {
 	b.Helper()
 	admin = freeAddr(b)
@@ -128,7 +129,7 @@
 	return p, admin
 }
 
-// target is the site for package capacity.
+// target returns the testbed as a measurement target for package capacity.
 func (s *testbed) target() capacity.Target {
 	return capacity.Target{
 		Inner: s.inner, Callers: "http://" + s.callers, Admin: "http://" + s.admin,
@@ -136,7 +137,8 @@
 	}
 }
 
-// newJobRequest is a request that submits one task.
+// newJobRequest returns a request that submits a job. task is a task body, or several separated by
+// commas.
 func (s *testbed) newJobRequest(b *testing.B, task string) *http.Request {
 	b.Helper()
 	body := fmt.Sprintf(`{"service":%q,"tasks":[%s]}`, benchService, task)
@@ -149,7 +151,7 @@
 	return req
 }
 
-// echo is an upstream that answers each task with its body.
+// echo is the handler of an upstream that returns the body of each task.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/bench/snapshot_test.go
+++ b/bench/snapshot_test.go
@@ -8,8 +8,8 @@
 	"wigeontray/internal/record"
 )
 
-// The records of a fleet with the 81 teams of letter 1: nine members with nine
-// teams, two services and four declared kinds of job each.
+// Dimensions of a fleet with the 81 teams of letter 1: nine members, each with nine
+// teams, two services and four declared kinds of job.
 const (
 	snapshotMembers   = 9
 	teamsPerMember    = 9
@@ -18,6 +18,7 @@
 	tokenHashDigit    = "a"
 )
 
+// snapshotRecords returns the records of that fleet.
 func snapshotRecords() []record.Raw {
 	var out []record.Raw
 	add := func(kind record.Kind, name, fields string) {
@@ -40,6 +41,7 @@
 	return out
 }
 
+// teamList returns one formatted element for each team, separated by commas.
 func teamList(format string) string {
 	var parts []string
 	for t := range teamsPerMember {
@@ -48,8 +50,8 @@
 	return strings.Join(parts, ",")
 }
 
-// BenchmarkSnapshot reports the size of the configuration on the wire and the
-// time to take it in force.
+// BenchmarkSnapshot reports the encoded size of the configuration and the time to decode
+// and apply it.
 func BenchmarkSnapshot(b *testing.B) {
 	raw := snapshotRecords()
 	first := record.Build(nil, raw, 1)
