--- a/bench/change_test.go
+++ b/bench/change_test.go
@@ -20,14 +20,14 @@
 // one configuration change: of a member record, which affects no guard, and of the record
 // of the guards' service.
 func BenchmarkChange(b *testing.B) {
-	s := newTestbed(b)
-	kv := store.NewEtcd(store.Options{Endpoints: []string{s.store}, Timeout: time.Second})
+	tb := newTestbed(b)
+	kv := store.NewEtcd(store.Options{Endpoints: []string{tb.store}, Timeout: time.Second})
 	put := func(key, value string, expect int64) int64 {
 		revision, err := kv.Put(context.Background(), key, []byte(value), expect, 0)
 		if err != nil {
 			b.Fatal(err)
 		}
-		waitForMetric(b, s.admin, "wigeontray_config_revision", float64(revision))
+		waitForMetric(b, tb.admin, "wigeontray_config_revision", float64(revision))
 		return revision
 	}
 	for _, r := range snapshotRecords() {
@@ -35,11 +35,11 @@
 	}
 	var traffic wire.Traffic
 	for i := range guardsPerRegion {
-		s.linkGuard(b, i, &traffic)
+		tb.linkGuard(b, i, &traffic)
 	}
-	waitForMetric(b, s.admin, "wigeontray_guards", guardsPerRegion)
+	waitForMetric(b, tb.admin, "wigeontray_guards", guardsPerRegion)
 	memberKey, serviceKey := record.Key(record.KindMember, "fresh"), record.Key(record.KindService, benchMember+"/"+benchService)
-	revisions := map[string]int64{serviceKey: s.serviceRevision}
+	revisions := map[string]int64{serviceKey: tb.serviceRevision}
 	change := func(key, format string) (frames, bytes float64) {
 		time.Sleep(settleDelay)
 		frames0, bytes0 := traffic.FramesIn.Load(), traffic.BytesIn.Load()
@@ -62,9 +62,9 @@
 
 // linkGuard connects a simulated guard with number i, which only receives frames and acknowledges
 // configurations.
-func (s *testbed) linkGuard(b *testing.B, i int, traffic *wire.Traffic) {
+func (tb *testbed) linkGuard(b *testing.B, i int, traffic *wire.Traffic) {
 	b.Helper()
-	l, err := wire.Dial(context.Background(), "ws://"+s.inner+wire.GuardPath, http.DefaultClient, traffic)
+	l, err := wire.Dial(context.Background(), "ws://"+tb.inner+wire.GuardPath, http.DefaultClient, traffic)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/bench/site_test.go
+++ b/bench/site_test.go
@@ -45,12 +45,12 @@
 func newTestbed(b *testing.B) *testbed {
 	b.Helper()
 	kv := standin.New()
-	s := &testbed{
+	tb := &testbed{
 		dir: b.TempDir(), binaryDir: buildBinaries(b),
 		callers: freeAddr(b), inner: freeAddr(b), admin: freeAddr(b),
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.storeCalls.Add(1)
+		tb.storeCalls.Add(1)
 		kv.ServeHTTP(w, r)
 	}))
 	b.Cleanup(func() { kv.Close(); server.Close() })
@@ -58,18 +58,18 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.store, s.token = server.URL, token.Secret
-	s.putRecords(b, token.Hash)
-	s.configKey = s.writeFile(b, "config.key", "the key of all entries\n")
-	s.entry = startProcess(b, filepath.Join(s.binaryDir, "wigeontray"), "serve", "--config", s.writeFile(b, "entry.ini", s.entrySettings()))
-	waitForMetric(b, s.admin, "wigeontray_ready", 1)
-	return s
+	tb.store, tb.token = server.URL, token.Secret
+	tb.putRecords(b, token.Hash)
+	tb.configKey = tb.writeFile(b, "config.key", "the key of all entries\n")
+	tb.entry = startProcess(b, filepath.Join(tb.binaryDir, "wigeontray"), "serve", "--config", tb.writeFile(b, "entry.ini", tb.entrySettings()))
+	waitForMetric(b, tb.admin, "wigeontray_ready", 1)
+	return tb
 }
 
 // putRecords writes the records of the member and the service to the store.
-func (s *testbed) putRecords(b *testing.B, hash string) {
+func (tb *testbed) putRecords(b *testing.B, hash string) {
 	b.Helper()
-	kv := store.NewEtcd(store.Options{Endpoints: []string{s.store}, Timeout: time.Second})
+	kv := store.NewEtcd(store.Options{Endpoints: []string{tb.store}, Timeout: time.Second})
 	put := func(kind record.Kind, name, value string) int64 {
 		revision, err := kv.Put(context.Background(), record.Key(kind, name), []byte(value), 0, 0)
 		if err != nil {
@@ -79,19 +79,19 @@
 	}
 	put(record.KindMember, benchMember, fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":[%q]}`, benchMember, hash))
 	name := benchMember + "/" + benchService
-	s.serviceRevision = put(record.KindService, name, fmt.Sprintf(`{"kind":"service","name":%q,"schema":2}`, name))
+	tb.serviceRevision = put(record.KindService, name, fmt.Sprintf(`{"kind":"service","name":%q,"schema":2}`, name))
 }
 
-func (s *testbed) writeFile(b *testing.B, name, text string) string {
+func (tb *testbed) writeFile(b *testing.B, name, text string) string {
 	b.Helper()
-	file := filepath.Join(s.dir, name)
+	file := filepath.Join(tb.dir, name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	return file
 }
 
-func (s *testbed) entrySettings() string {
+func (tb *testbed) entrySettings() string {
 	return fmt.Sprintf(`[node]
 name = entry-1
 region = bench
@@ -104,11 +104,11 @@
 endpoints = %s
 [fleet]
 config_key_file = %s
-`, s.callers, s.inner, s.admin, s.store, s.configKey)
+`, tb.callers, tb.inner, tb.admin, tb.store, tb.configKey)
 }
 
 // guard starts a guard for the upstream and waits until the entry uses it.
-func (s *testbed) guard(b *testing.B, upstream string) (p *process, admin string) {
+func (tb *testbed) guard(b *testing.B, upstream string) (p *process, admin string) {
 	b.Helper()
 	admin = freeAddr(b)
 	settings := fmt.Sprintf(`[node]
@@ -123,30 +123,30 @@
 service = %s/%s
 [listen]
 admin = %s
-`, s.inner, upstream, benchMember, benchService, admin)
-	p = startProcess(b, filepath.Join(s.binaryDir, "wigeontray-guard"), "--config", s.writeFile(b, "guard.ini", settings))
-	waitForMetric(b, s.admin, "wigeontray_guards", 1)
+`, tb.inner, upstream, benchMember, benchService, admin)
+	p = startProcess(b, filepath.Join(tb.binaryDir, "wigeontray-guard"), "--config", tb.writeFile(b, "guard.ini", settings))
+	waitForMetric(b, tb.admin, "wigeontray_guards", 1)
 	return p, admin
 }
 
 // target returns the testbed as a measurement target for package capacity.
-func (s *testbed) target() capacity.Target {
+func (tb *testbed) target() capacity.Target {
 	return capacity.Target{
-		Inner: s.inner, Callers: "http://" + s.callers, Admin: "http://" + s.admin,
-		Token: s.token, Member: benchMember, Service: benchService,
+		Inner: tb.inner, Callers: "http://" + tb.callers, Admin: "http://" + tb.admin,
+		Token: tb.token, Member: benchMember, Service: benchService,
 	}
 }
 
 // newJobRequest returns a request that submits a job. task is a task body, or several separated by
 // commas.
-func (s *testbed) newJobRequest(b *testing.B, task string) *http.Request {
+func (tb *testbed) newJobRequest(b *testing.B, task string) *http.Request {
 	b.Helper()
 	body := fmt.Sprintf(`{"service":%q,"tasks":[%s]}`, benchService, task)
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.callers+"/v1/jobs", bytes.NewReader([]byte(body)))
+	req, err := http.NewRequest(http.MethodPost, "http://"+tb.callers+"/v1/jobs", bytes.NewReader([]byte(body)))
 	if err != nil {
 		b.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+s.token)
+	req.Header.Set("Authorization", "Bearer "+tb.token)
 	req.Header.Set("Idempotency-Key", uuid.Must(uuid.NewV7()).String())
 	return req
 }
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -49,23 +49,23 @@
 
 // target builds the measurement target, an entry that is already running, from the flags.
 func (c *capacityCmd) target() (*capacity.Target, error) {
-	t := &capacity.Target{Inner: c.Inner, Callers: c.Callers, Admin: c.Admin, Member: c.Member, Service: c.Service}
+	entryTarget := &capacity.Target{Inner: c.Inner, Callers: c.Callers, Admin: c.Admin, Member: c.Member, Service: c.Service}
 	var err error
-	if t.Token, err = readSecret(c.TokenFile); err != nil {
+	if entryTarget.Token, err = readSecret(c.TokenFile); err != nil {
 		return nil, err
 	}
 	if c.KeyFile != "" {
-		if t.FleetKey, err = readSecret(c.KeyFile); err != nil {
+		if entryTarget.FleetKey, err = readSecret(c.KeyFile); err != nil {
 			return nil, err
 		}
 	}
 	if c.Cert != "" {
-		t.InnerTLS, err = tlsconf.InnerClient(tlsconf.Files{Cert: c.Cert, Key: c.Key, CA: c.CA})
+		entryTarget.InnerTLS, err = tlsconf.InnerClient(tlsconf.Files{Cert: c.Cert, Key: c.Key, CA: c.CA})
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", errUsage, err)
 		}
 	}
-	return t, nil
+	return entryTarget, nil
 }
 
 // measureStandalone starts a standalone system in this process and measures its entry.
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -30,14 +30,14 @@
 
 // Run prints the token and its hash as JSON. The token is not stored anywhere.
 func (tokenCmd) Run(e *commandEnv) error {
-	t, err := tlsconf.NewToken()
+	token, err := tlsconf.NewToken()
 	if err != nil {
 		return err
 	}
 	return json.NewEncoder(e.stdout).Encode(struct {
 		Token  string `json:"token"`
 		SHA256 string `json:"token_sha256"`
-	}{t.Secret, t.Hash})
+	}{token.Secret, token.Hash})
 }
 
 // printBody sends a GET request and prints the response body.
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -23,16 +23,16 @@
 	CA        string   `placeholder:"FILE" help:"Certificates that the entries' certificates must chain to."`
 }
 
-func (t *memberFlags) client() (*client.Client, error) {
-	token, err := readSecret(t.TokenFile)
+func (f *memberFlags) client() (*client.Client, error) {
+	token, err := readSecret(f.TokenFile)
 	if err != nil {
 		return nil, err
 	}
-	httpClient, err := newHTTPClient(t.CA)
+	httpClient, err := newHTTPClient(f.CA)
 	if err != nil {
 		return nil, err
 	}
-	return &client.Client{Entries: t.Entry, Token: token, HTTP: httpClient}, nil
+	return &client.Client{Entries: f.Entry, Token: token, HTTP: httpClient}, nil
 }
 
 // newHTTPClient returns a client that uses no proxy. If ca is set, it trusts the certificates in that
@@ -96,13 +96,13 @@
 
 // taskBodies returns the task bodies of the file and of the arguments, in this order.
 func (c *submitCmd) taskBodies() ([]json.RawMessage, error) {
-	var out []json.RawMessage
+	var bodies []json.RawMessage
 	if c.Tasks != "" {
 		b, err := os.ReadFile(c.Tasks)
 		if err != nil {
 			return nil, err
 		}
-		if err := json.Unmarshal(b, &out); err != nil {
+		if err := json.Unmarshal(b, &bodies); err != nil {
 			return nil, fmt.Errorf("%s: %w", c.Tasks, err)
 		}
 	}
@@ -110,12 +110,12 @@
 		if !json.Valid([]byte(t)) {
 			return nil, fmt.Errorf("task %q is not valid JSON", t)
 		}
-		out = append(out, json.RawMessage(t))
+		bodies = append(bodies, json.RawMessage(t))
 	}
-	if len(out) == 0 {
+	if len(bodies) == 0 {
 		return nil, fmt.Errorf("no tasks")
 	}
-	return out, nil
+	return bodies, nil
 }
 
 // outcomeError returns the error that determines the exit code for an answer.
@@ -136,11 +136,11 @@
 	done := make(chan struct{})
 	start := time.Now()
 	go func() {
-		t := time.NewTicker(progressInterval)
-		defer t.Stop()
+		ticker := time.NewTicker(progressInterval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-t.C:
+			case <-ticker.C:
 				fmt.Fprintf(e.stderr, "%s, %v so far\n", activity, time.Since(start).Round(time.Second))
 			case <-done:
 				return
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -368,7 +368,8 @@
 	return j
 }
 
-// submitAsync submits a job in the background. The channel receives the answer, or nil after an error.
+// submitAsync submits a job in the background. The channel receives the answer, or nil if
+// there was none. Errors are logged.
 func (f *fleet) submitAsync(c *client.Client, key string, j *client.Job) <-chan *client.Answer {
 	out := make(chan *client.Answer, 1)
 	go func() {
--- a/internal/e2e/regions_test.go
+++ b/internal/e2e/regions_test.go
@@ -90,7 +90,7 @@
 // submits to an entry in lima by mistake: the entry must answer wrong_region and must not claim whether
 // earlier attempts ran. Then wa-south loses its connection to the store: both regions must continue to
 // serve, each with its own roster, for tickets as well as for plain keys.
-func TestRegionsShareStore(t *testing.T) {
+func TestRegions(t *testing.T) {
 	t.Parallel()
 	lima := newFleet(t)
 	hash := record.HashToken(leeuwinMemberToken)
--- a/internal/e2e/traces_test.go
+++ b/internal/e2e/traces_test.go
@@ -68,114 +68,114 @@
 }
 
 func newTraceRunner(t *testing.T, trace *replay.Trace) *traceRunner {
-	p := &traceRunner{
+	tr := &traceRunner{
 		fleet: newFleet(t), trace: trace, guards: make(map[string]*process), tickets: make(map[string][]string),
 		jobs: make(map[string]*submittedJob), reportedNotRun: make(map[string]bool), reportedRan: make(map[string]bool),
 	}
-	p.Assert(trace.Loads, qt.HasLen, 0, qt.Commentf("generated load requires the simulated clock"))
+	tr.Assert(trace.Loads, qt.HasLen, 0, qt.Commentf("generated load requires the simulated clock"))
 	for _, e := range trace.Entries {
-		p.startEntryWithTickets(e.Name)
+		tr.startEntryWithTickets(e.Name)
 	}
 	for _, w := range trace.Workers {
-		p.slots[w.Name] = w.Slots
-		p.guards[w.Name] = p.startWorker(w.Name)
+		tr.slots[w.Name] = w.Slots
+		tr.guards[w.Name] = tr.startWorker(w.Name)
 	}
-	p.waitForRosters()
-	return p
+	tr.waitForRosters()
+	return tr
 }
 
 // startEntryWithTickets starts an entry and fetches a ticket for each submission to it in advance,
 // since the entry may be paused by the time of the submission.
-func (p *traceRunner) startEntryWithTickets(name string) {
-	e := p.startEntry(name)
-	p.tickets[name] = nil
-	for _, ev := range p.trace.Events {
+func (tr *traceRunner) startEntryWithTickets(name string) {
+	e := tr.startEntry(name)
+	tr.tickets[name] = nil
+	for _, ev := range tr.trace.Events {
 		if ev.Op == replay.OpSubmit && ev.Other == name {
-			p.tickets[name] = append(p.tickets[name], p.fetchTicket(e))
+			tr.tickets[name] = append(tr.tickets[name], tr.fetchTicket(e))
 		}
 	}
 }
 
 // run applies the events in order, none before its time, waits for all calls and drained guards,
 // and compares the reported outcomes with the task starts at the upstreams.
-func (p *traceRunner) run() {
+func (tr *traceRunner) run() {
 	start := time.Now()
-	for _, ev := range p.trace.Events {
+	for _, ev := range tr.trace.Events {
 		time.Sleep(time.Until(start.Add(ev.At))) // event times are relative to the start
-		p.apply(&ev)
+		tr.apply(&ev)
 	}
-	p.pendingCalls.Wait()
-	for _, g := range p.drainedGuards {
-		p.Check(g.Wait(), qt.IsNil, qt.Commentf("exit status of a drained guard"))
+	tr.pendingCalls.Wait()
+	for _, g := range tr.drainedGuards {
+		tr.Check(g.Wait(), qt.IsNil, qt.Commentf("exit status of a drained guard"))
 	}
-	p.countStartedTasks() // fails if any task started twice
-	p.Check(p.violations, qt.HasLen, 0)
-	startsByTask := p.startsByTask()
-	for task := range p.reportedNotRun {
-		p.Check(startsByTask[task], qt.Equals, 0, qt.Commentf("%s started but was reported as not run", task))
+	tr.countStartedTasks() // fails if any task started twice
+	tr.Check(tr.violations, qt.HasLen, 0)
+	startsByTask := tr.startsByTask()
+	for task := range tr.reportedNotRun {
+		tr.Check(startsByTask[task], qt.Equals, 0, qt.Commentf("%s started but was reported as not run", task))
 	}
-	for task := range p.reportedRan {
-		p.Check(startsByTask[task], qt.Equals, 1, qt.Commentf("%s never started but was reported as run", task))
+	for task := range tr.reportedRan {
+		tr.Check(startsByTask[task], qt.Equals, 1, qt.Commentf("%s never started but was reported as run", task))
 	}
 }
 
 // apply carries out one event. It fails the test for an event that real processes do not support,
 // such as a network partition.
-func (p *traceRunner) apply(ev *replay.Event) {
+func (tr *traceRunner) apply(ev *replay.Event) {
 	switch ev.Op {
 	case replay.OpSubmit:
-		unused := p.tickets[ev.Other]
-		p.tickets[ev.Other] = unused[1:]
-		p.jobs[ev.Target] = &submittedJob{key: unused[0], request: ev.Request}
-		p.submitAndCheck(ev)
+		unused := tr.tickets[ev.Other]
+		tr.tickets[ev.Other] = unused[1:]
+		tr.jobs[ev.Target] = &submittedJob{key: unused[0], request: ev.Request}
+		tr.submitAndCheck(ev)
 	case replay.OpResubmit:
-		p.submitAndCheck(ev)
+		tr.submitAndCheck(ev)
 	case replay.OpCancel:
-		p.cancelJob(ev)
+		tr.cancelJob(ev)
 	case replay.OpKill:
-		p.killProcess(ev.Target)
+		tr.killProcess(ev.Target)
 	case replay.OpRestart:
-		p.restartProcess(ev.Target)
+		tr.restartProcess(ev.Target)
 	case replay.OpPause:
-		p.process(ev.Target).Signal(syscall.SIGSTOP)
+		tr.process(ev.Target).Signal(syscall.SIGSTOP)
 	case replay.OpResume:
-		p.process(ev.Target).Signal(syscall.SIGCONT)
+		tr.process(ev.Target).Signal(syscall.SIGCONT)
 	case replay.OpDrain:
-		p.process(ev.Target).Signal(syscall.SIGTERM)
-		p.drainedGuards = append(p.drainedGuards, p.process(ev.Target))
+		tr.process(ev.Target).Signal(syscall.SIGTERM)
+		tr.drainedGuards = append(tr.drainedGuards, tr.process(ev.Target))
 	case replay.OpStoreDown, replay.OpStoreUp:
-		p.kv.SetDown(ev.Op == replay.OpStoreDown)
+		tr.kv.SetDown(ev.Op == replay.OpStoreDown)
 	default:
-		p.t.Fatalf("event %s is not supported with real processes", ev.Op)
+		tr.t.Fatalf("event %s is not supported with real processes", ev.Op)
 	}
 }
 
-func (p *traceRunner) process(name string) *process {
-	if e := p.entries[name]; e != nil {
+func (tr *traceRunner) process(name string) *process {
+	if e := tr.entries[name]; e != nil {
 		return e.process
 	}
-	return p.guards[name]
+	return tr.guards[name]
 }
 
 // killProcess kills a process. After a guard is killed, it waits until no entry lists the guard;
 // otherwise the guard could not be distinguished from its replacement.
-func (p *traceRunner) killProcess(name string) {
-	p.process(name).Kill()
-	if _, ok := p.entries[name]; ok {
-		delete(p.entries, name)
+func (tr *traceRunner) killProcess(name string) {
+	tr.process(name).Kill()
+	if _, ok := tr.entries[name]; ok {
+		delete(tr.entries, name)
 		return
 	}
-	for id, e := range p.entries {
-		p.eventually(id+" has removed guard "+name, func() bool { return !p.usesGuard(e, name) })
+	for id, e := range tr.entries {
+		tr.eventually(id+" has removed guard "+name, func() bool { return !tr.usesGuard(e, name) })
 	}
 }
 
-func (p *traceRunner) restartProcess(name string) {
-	if _, ok := p.guards[name]; ok {
-		p.guards[name] = p.startGuard(name, p.urls[name])
+func (tr *traceRunner) restartProcess(name string) {
+	if _, ok := tr.guards[name]; ok {
+		tr.guards[name] = tr.startGuard(name, tr.urls[name])
 		return
 	}
-	p.startEntryWithTickets(name)
+	tr.startEntryWithTickets(name)
 }
 
 // jobReply holds the fields of an answer that a trace can check.
@@ -193,23 +193,23 @@
 
 // submitAndCheck submits a job in the background and records a violation if the outcome differs
 // from the trace.
-func (p *traceRunner) submitAndCheck(ev *replay.Event) {
-	j, e, start := p.jobs[ev.Target], p.entries[ev.Other], time.Now()
-	p.pendingCalls.Go(func() {
-		r, err := p.submitUntilFinal(j, e, ev.Want)
-		if violation := p.checkReply(ev, j, r, err, time.Since(start)); violation != "" {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.violations = append(p.violations, fmt.Sprintf("%s of %s at %v: %s", ev.Op, ev.Target, ev.At, violation))
+func (tr *traceRunner) submitAndCheck(ev *replay.Event) {
+	j, e, start := tr.jobs[ev.Target], tr.entries[ev.Other], time.Now()
+	tr.pendingCalls.Go(func() {
+		r, err := tr.submitUntilFinal(j, e, ev.Want)
+		if violation := tr.checkReply(ev, j, r, err, time.Since(start)); violation != "" {
+			tr.mu.Lock()
+			defer tr.mu.Unlock()
+			tr.violations = append(tr.violations, fmt.Sprintf("%s of %s at %v: %s", ev.Op, ev.Target, ev.At, violation))
 		}
 	})
 }
 
 // submitUntilFinal repeats a submission while the answer advises a retry with the same key, as a
 // caller does, unless the trace expects that answer. An error means that the connection broke.
-func (p *traceRunner) submitUntilFinal(j *submittedJob, e *entryProcess, want *replay.Want) (*jobReply, error) {
+func (tr *traceRunner) submitUntilFinal(j *submittedJob, e *entryProcess, want *replay.Want) (*jobReply, error) {
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
-		r, err := p.postJob(j, e)
+		r, err := tr.postJob(j, e)
 		if err != nil || r.Error.Advice != "same" || want != nil && slices.Contains(allowedKinds(want), r.Error.Kind) || time.Now().After(deadline) {
 			return r, err
 		}
@@ -217,7 +217,7 @@
 }
 
 // postJob submits the job once.
-func (p *traceRunner) postJob(j *submittedJob, e *entryProcess) (*jobReply, error) {
+func (tr *traceRunner) postJob(j *submittedJob, e *entryProcess) (*jobReply, error) {
 	body := client.Job{Service: "reserva", DeadlineMs: j.request.Deadline.Milliseconds(), DeclaredMs: j.request.Declared.Milliseconds()}
 	for _, d := range j.request.Tasks {
 		body.Tasks = append(body.Tasks, json.RawMessage(fmt.Sprintf(`{"sleep_ms":%d}`, d.Milliseconds())))
@@ -226,15 +226,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return p.sendRequest(memberToken, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
+	return tr.sendRequest(memberToken, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
 }
 
 // cancelJob cancels a job in the background. The outcome is checked where the job was submitted.
-func (p *traceRunner) cancelJob(ev *replay.Event) {
-	url := p.entries[ev.Other].url() + "/v1/jobs/" + p.jobs[ev.Target].key
-	p.pendingCalls.Go(func() {
-		if _, err := p.sendRequest(memberToken, http.MethodDelete, url, "", nil); err != nil {
-			p.t.Errorf("cancel of %s: %v", ev.Target, err)
+func (tr *traceRunner) cancelJob(ev *replay.Event) {
+	url := tr.entries[ev.Other].url() + "/v1/jobs/" + tr.jobs[ev.Target].key
+	tr.pendingCalls.Go(func() {
+		if _, err := tr.sendRequest(memberToken, http.MethodDelete, url, "", nil); err != nil {
+			tr.t.Errorf("cancel of %s: %v", ev.Target, err)
 		}
 	})
 }
@@ -262,7 +262,7 @@
 
 // checkReply compares an answer with the trace, records which tasks it reports as run or not run, and
 // returns a description of the violation, or an empty string.
-func (p *traceRunner) checkReply(ev *replay.Event, j *submittedJob, r *jobReply, err error, took time.Duration) string {
+func (tr *traceRunner) checkReply(ev *replay.Event, j *submittedJob, r *jobReply, err error, took time.Duration) string {
 	want := ev.Want
 	if err != nil {
 		if want == nil || want.Lost {
@@ -270,7 +270,7 @@
 		}
 		return fmt.Sprintf("no answer: %v", err)
 	}
-	if violation := p.recordReports(j, r); violation != "" || want == nil {
+	if violation := tr.recordReports(j, r); violation != "" || want == nil {
 		return violation
 	}
 	kind := "ok"
@@ -290,16 +290,16 @@
 
 // recordReports records which tasks an answer reports as run or not run. In a complete answer it
 // also checks that every result is present and in the position of its task.
-func (p *traceRunner) recordReports(j *submittedJob, r *jobReply) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (tr *traceRunner) recordReports(j *submittedJob, r *jobReply) string {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	taskName := func(task int) string { return fmt.Sprintf("ayni/%s/%d", j.key, task) }
 	report := func(task int, reportedRan string) {
 		if reportedRan == errkind.RanNo.String() {
-			p.reportedNotRun[taskName(task)] = true
+			tr.reportedNotRun[taskName(task)] = true
 		}
 		if reportedRan == errkind.RanYes.String() {
-			p.reportedRan[taskName(task)] = true
+			tr.reportedRan[taskName(task)] = true
 		}
 	}
 	for _, f := range r.Failures {
