--- a/bench/process_test.go
+++ b/bench/process_test.go
@@ -17,14 +17,14 @@
 	"time"
 )
 
-// process is a started binary. Its log is shown when the benchmark fails.
+// process is a running binary. Its log is printed if the benchmark fails.
 type process struct {
 	cmd *exec.Cmd
 	log bytes.Buffer
 }
 
-// build compiles both binaries into a folder that goes with the benchmark.
-func build(b *testing.B) string {
+// buildBinaries compiles both binaries into a temporary folder, which is removed after the benchmark.
+func buildBinaries(b *testing.B) string {
 	b.Helper()
 	dir := b.TempDir()
 	out, err := exec.Command("go", "build", "-o", dir, "../cmd/wigeontray", "../cmd/wigeontray-guard").CombinedOutput()
@@ -34,8 +34,8 @@
 	return dir
 }
 
-// start runs a binary until the end of the benchmark.
-func start(b *testing.B, path string, args ...string) *process {
+// startProcess starts a binary that runs until the end of the benchmark.
+func startProcess(b *testing.B, path string, args ...string) *process {
 	b.Helper()
 	p := &process{cmd: exec.Command(path, args...)}
 	p.cmd.Stderr = &p.log
@@ -46,10 +46,11 @@
 	return p
 }
 
+// stop sends SIGTERM, and SIGKILL after stopTimeout, and waits for the exit.
 func (p *process) stop(b *testing.B) {
-	const patience = 20 * time.Second
+	const stopTimeout = 20 * time.Second
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	kill := time.AfterFunc(patience, func() { _ = p.cmd.Process.Kill() })
+	kill := time.AfterFunc(stopTimeout, func() { _ = p.cmd.Process.Kill() })
 	defer kill.Stop()
 	if err := p.cmd.Wait(); err != nil {
 		b.Errorf("%s: %v", filepath.Base(p.cmd.Path), err)
@@ -59,8 +60,8 @@
 	}
 }
 
-// cpu is the processor time of all threads so far.
-func (p *process) cpu(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that all live threads have used so far.
+func (p *process) cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	if err != nil || len(files) == 0 {
@@ -70,7 +71,7 @@
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		ns, err := strconv.ParseInt(strings.Fields(string(text))[0], 10, 64)
 		if err != nil {
@@ -81,8 +82,8 @@
 	return time.Duration(sum)
 }
 
-// resident is the resident memory in bytes.
-func (p *process) resident(b *testing.B) float64 {
+// residentBytes returns the resident set size in bytes.
+func (p *process) residentBytes(b *testing.B) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
@@ -95,7 +96,7 @@
 	return float64(pages) * float64(os.Getpagesize())
 }
 
-// freeAddr finds a loopback address that nobody listens on now.
+// freeAddr returns a loopback address whose port is currently free.
 func freeAddr(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,25 +107,26 @@
 	return l.Addr().String()
 }
 
-// awaitFigure polls an exposition until a figure has the value.
-func awaitFigure(b *testing.B, admin, name string, want float64) {
+// waitForMetric polls the metrics endpoint of an admin address until a metric has the value want.
+func waitForMetric(b *testing.B, admin, name string, want float64) {
 	b.Helper()
 	const (
-		patience = 15 * time.Second
-		every    = 20 * time.Millisecond
+		waitTimeout  = 15 * time.Second
+		pollInterval = 20 * time.Millisecond
 	)
 	var got float64
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(every) {
-		if v, err := figure(admin, name); err == nil {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if v, err := readMetric(admin, name); err == nil {
 			if got = v; got == want {
 				return
 			}
 		}
 	}
-	b.Fatalf("%s of %s is %v, want %v", name, admin, got, want)
+	b.Fatalf("metric %s at %s is %v, want %v", name, admin, got, want)
 }
 
-func figure(admin, name string) (float64, error) {
+// readMetric returns the value of a metric without labels.
+func readMetric(admin, name string) (float64, error) {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
 		return 0, err
@@ -136,11 +138,11 @@
 			return strconv.ParseFloat(value, 64)
 		}
 	}
-	return 0, fmt.Errorf("no figure %s", name)
+	return 0, fmt.Errorf("metric %s not found", name)
 }
 
-// post sends a body and reads the whole answer.
-func post(client *http.Client, req *http.Request) error {
+// sendRequest sends a request and reads the whole response. A status other than 200 is an error.
+func sendRequest(client *http.Client, req *http.Request) error {
 	resp, err := client.Do(req)
 	if err != nil {
 		return err
--- a/bench/site_test.go
+++ b/bench/site_test.go
@@ -22,35 +22,35 @@
 	"wigeontray/internal/tlsconf"
 )
 
-// Names used by every benchmark.
+// Names of the member and service that all benchmarks use.
 const (
-	member  = "bench"
-	service = "echo"
+	benchMember  = "bench"
+	benchService = "echo"
 )
 
-// site is a store in this process, an entry and the addresses of both.
-type site struct {
+// testbed is a store in the benchmark process, an entry in a process of its own, and their addresses.
+type testbed struct {
 	dir                   string
 	store                 string // base URL
 	callers, inner, admin string
-	configKey             string // file
+	configKey             string // path of the configuration key file
 	token                 string
 	entry                 *process
-	bin                   string
-	storeCalls            atomic.Int64 // requests to the store so far
-	serviceRevision       int64        // of the service's record
+	binaryDir             string
+	storeCalls            atomic.Int64 // number of requests to the store so far
+	serviceRevision       int64        // revision of the service record
 }
 
-// newSite starts an entry with one member and one service.
-func newSite(b *testing.B) *site {
+// newTestbed starts a store with one member and one service, and an entry that uses it.
+func newTestbed(b *testing.B) *testbed {
 	b.Helper()
 	kv := standin.New()
-	s := &site{
-		dir: b.TempDir(), bin: build(b),
+	tb := &testbed{
+		dir: b.TempDir(), binaryDir: buildBinaries(b),
 		callers: freeAddr(b), inner: freeAddr(b), admin: freeAddr(b),
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.storeCalls.Add(1)
+		tb.storeCalls.Add(1)
 		kv.ServeHTTP(w, r)
 	}))
 	b.Cleanup(func() { kv.Close(); server.Close() })
@@ -58,17 +58,18 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.store, s.token = server.URL, token.Secret
-	s.putRecords(b, token.Hash)
-	s.configKey = s.write(b, "config.key", "the key of all entries\n")
-	s.entry = start(b, filepath.Join(s.bin, "wigeontray"), "serve", "--config", s.write(b, "entry.ini", s.entrySettings()))
-	awaitFigure(b, s.admin, "wigeontray_ready", 1)
-	return s
+	tb.store, tb.token = server.URL, token.Secret
+	tb.putRecords(b, token.Hash)
+	tb.configKey = tb.writeFile(b, "config.key", "the key of all entries\n")
+	tb.entry = startProcess(b, filepath.Join(tb.binaryDir, "wigeontray"), "serve", "--config", tb.writeFile(b, "entry.ini", tb.entrySettings()))
+	waitForMetric(b, tb.admin, "wigeontray_ready", 1)
+	return tb
 }
 
-func (s *site) putRecords(b *testing.B, hash string) {
+// putRecords writes the records of the member and the service to the store.
+func (tb *testbed) putRecords(b *testing.B, hash string) {
 	b.Helper()
-	kv := store.NewEtcd(store.Options{Endpoints: []string{s.store}, Timeout: time.Second})
+	kv := store.NewEtcd(store.Options{Endpoints: []string{tb.store}, Timeout: time.Second})
 	put := func(kind record.Kind, name, value string) int64 {
 		revision, err := kv.Put(context.Background(), record.Key(kind, name), []byte(value), 0, 0)
 		if err != nil {
@@ -76,21 +77,21 @@
 		}
 		return revision
 	}
-	put(record.KindMember, member, fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":[%q]}`, member, hash))
-	name := member + "/" + service
-	s.serviceRevision = put(record.KindService, name, fmt.Sprintf(`{"kind":"service","name":%q,"schema":2}`, name))
+	put(record.KindMember, benchMember, fmt.Sprintf(`{"kind":"member","name":%q,"schema":1,"token_sha256":[%q]}`, benchMember, hash))
+	name := benchMember + "/" + benchService
+	tb.serviceRevision = put(record.KindService, name, fmt.Sprintf(`{"kind":"service","name":%q,"schema":2}`, name))
 }
 
-func (s *site) write(b *testing.B, name, text string) string {
+func (tb *testbed) writeFile(b *testing.B, name, text string) string {
 	b.Helper()
-	file := filepath.Join(s.dir, name)
+	file := filepath.Join(tb.dir, name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	return file
 }
 
-func (s *site) entrySettings() string {
+func (tb *testbed) entrySettings() string {
 	return fmt.Sprintf(`[node]
 name = entry-1
 region = bench
@@ -103,11 +104,11 @@
 endpoints = %s
 [fleet]
 config_key_file = %s
-`, s.callers, s.inner, s.admin, s.store, s.configKey)
+`, tb.callers, tb.inner, tb.admin, tb.store, tb.configKey)
 }
 
-// guard starts a guard beside the upstream and waits until the entry has it.
-func (s *site) guard(b *testing.B, upstream string) (p *process, admin string) {
+// guard starts a guard for the upstream and waits until the entry uses it.
+func (tb *testbed) guard(b *testing.B, upstream string) (p *process, admin string) {
 	b.Helper()
 	admin = freeAddr(b)
 	settings := fmt.Sprintf(`[node]
@@ -122,34 +123,35 @@
 service = %s/%s
 [listen]
 admin = %s
-`, s.inner, upstream, member, service, admin)
-	p = start(b, filepath.Join(s.bin, "wigeontray-guard"), "--config", s.write(b, "guard.ini", settings))
-	awaitFigure(b, s.admin, "wigeontray_guards", 1)
+`, tb.inner, upstream, benchMember, benchService, admin)
+	p = startProcess(b, filepath.Join(tb.binaryDir, "wigeontray-guard"), "--config", tb.writeFile(b, "guard.ini", settings))
+	waitForMetric(b, tb.admin, "wigeontray_guards", 1)
 	return p, admin
 }
 
-// target is the site for package capacity.
-func (s *site) target() capacity.Target {
+// target returns the testbed as a measurement target for package capacity.
+func (tb *testbed) target() capacity.Target {
 	return capacity.Target{
-		Inner: s.inner, Callers: "http://" + s.callers, Admin: "http://" + s.admin,
-		Token: s.token, Member: member, Service: service,
+		Inner: tb.inner, Callers: "http://" + tb.callers, Admin: "http://" + tb.admin,
+		Token: tb.token, Member: benchMember, Service: benchService,
 	}
 }
 
-// job is a request that submits one task.
-func (s *site) job(b *testing.B, task string) *http.Request {
+// newJobRequest returns a request that submits a job. task is a task body, or several separated by
+// commas.
+func (tb *testbed) newJobRequest(b *testing.B, task string) *http.Request {
 	b.Helper()
-	body := fmt.Sprintf(`{"service":%q,"tasks":[%s]}`, service, task)
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.callers+"/v1/jobs", bytes.NewReader([]byte(body)))
+	body := fmt.Sprintf(`{"service":%q,"tasks":[%s]}`, benchService, task)
+	req, err := http.NewRequest(http.MethodPost, "http://"+tb.callers+"/v1/jobs", bytes.NewReader([]byte(body)))
 	if err != nil {
 		b.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+s.token)
+	req.Header.Set("Authorization", "Bearer "+tb.token)
 	req.Header.Set("Idempotency-Key", uuid.Must(uuid.NewV7()).String())
 	return req
 }
 
-// echo is an upstream that answers each task with its body.
+// echo is the handler of an upstream that returns the body of each task.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -11,15 +11,15 @@
 )
 
 type replayCmd struct {
-	Trace []string `arg:"" type:"existingfile" help:"Trace files; docs/trace-format.md has their form."`
+	Trace []string `arg:"" type:"existingfile" help:"Trace files; docs/trace-format.md describes the format."`
 	Seed  uint64   `default:"1" help:"Seed of the random numbers."`
-	JSON  bool     `help:"Write JSON in place of a table."`
+	JSON  bool     `help:"Write JSON instead of a table."`
 }
 
-// Run replays the traces and fails when a promise was broken or a stated
-// outcome was missed.
-func (c *replayCmd) Run(e *env) error {
-	defer e.progress("replaying")()
+// Run replays the traces and fails if a guarantee was violated or an expected
+// outcome was not met.
+func (c *replayCmd) Run(e *commandEnv) error {
+	defer e.startProgress("replaying")()
 	err := replay.Main(e.stdout, c.Trace, c.Seed, c.JSON)
 	if errors.Is(err, replay.ErrUnmet) {
 		return fmt.Errorf("%w: %w", errFailed, err)
@@ -29,43 +29,44 @@
 
 type compareCmd struct {
 	Seed   uint64 `default:"1" help:"Seed of the random numbers."`
-	Only   string `help:"Run only workloads and placements with this in their name."`
+	Only   string `help:"Run only workloads and placements whose name contains this text."`
 	Traces string `type:"existingdir" help:"Folder with traces to compare besides the generated workloads."`
-	JSON   bool   `help:"Write JSON in place of a table."`
+	JSON   bool   `help:"Write JSON instead of a table."`
 }
 
-// Run prints the figures of every placement on every workload.
-func (c *compareCmd) Run(e *env) error {
-	o := replay.CompareOptions{Seed: c.Seed, Only: c.Only, JSON: c.JSON}
+// Run prints the results of every placement policy on every workload.
+func (c *compareCmd) Run(e *commandEnv) error {
+	opts := replay.CompareOptions{Seed: c.Seed, Only: c.Only, JSON: c.JSON}
 	if c.Traces != "" {
 		paths, err := filepath.Glob(filepath.Join(c.Traces, "*.trace"))
 		if err != nil {
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
-		if o.Traces, err = replay.LoadFiles(paths); err != nil {
+		if opts.Traces, err = replay.LoadFiles(paths); err != nil {
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 	}
-	defer e.progress("comparing")()
-	return replay.Compare(e.stdout, o)
+	defer e.startProgress("comparing")()
+	return replay.Compare(e.stdout, opts)
 }
 
 type checkCmd struct {
-	File []string `arg:"" help:"Settings (.ini) and records (.json); folders are read whole."`
+	File []string `arg:"" help:"Settings (.ini) and record (.json) files; folders are searched recursively."`
 }
 
-// checkable tells whether a file in a folder is a settings file or a record.
-func checkable(path string) bool {
+// isCheckable reports whether the file extension is that of a settings file or a record.
+func isCheckable(path string) bool {
 	ext := filepath.Ext(path)
 	return ext == ".ini" || ext == ".json"
 }
 
-// Run checks every file and prints what was found in each.
-func (c *checkCmd) Run(e *env) error {
+// Run validates every file and prints the result for each. A file that is named explicitly is
+// validated whatever its extension.
+func (c *checkCmd) Run(e *commandEnv) error {
 	var files []string
 	for _, root := range c.File {
 		err := filepath.WalkDir(root, func(path string, d os.DirEntry, err error) error {
-			if err == nil && !d.IsDir() && (path == root || checkable(path)) {
+			if err == nil && !d.IsDir() && (path == root || isCheckable(path)) {
 				files = append(files, path)
 			}
 			return err
@@ -74,9 +75,9 @@
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 	}
-	found, err := operator.Check(files)
-	if werr := operator.WriteJSON(e.stdout, found); werr != nil {
-		return werr
+	results, err := operator.Check(files)
+	if writeErr := operator.WriteJSON(e.stdout, results); writeErr != nil {
+		return writeErr
 	}
 	return err
 }
--- a/internal/e2e/traces_test.go
+++ b/internal/e2e/traces_test.go
@@ -20,16 +20,16 @@
 	"wigeontray/internal/replay"
 )
 
-// A stated time is multiplied by timeSlack, and leastBound is the least bound of
-// any answer: the traces know no other load on the machine.
+// The time limits of a trace are multiplied by timeBoundFactor and raised to at least
+// minTimeBound, because the traces take no account of other load on the machine.
 const (
-	timeSlack  = 2
-	leastBound = 5 * time.Second
+	timeBoundFactor = 2
+	minTimeBound    = 5 * time.Second
 )
 
-// TestTracesOnProcesses plays the traces that are written for both engines. A
-// trace that cuts links between processes, or that generates load, is for the
-// explicit clock only: see player.play.
+// TestTracesOnProcesses runs the traces that are written for both engines: the replay with a
+// simulated clock, and real processes. A trace that partitions links between processes or generates
+// load works with the simulated clock only: see traceRunner.apply.
 func TestTracesOnProcesses(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../traces/process-*.trace")
@@ -40,179 +40,184 @@
 		qt.Assert(t, err, qt.IsNil)
 		t.Run(trace.Name, func(t *testing.T) {
 			t.Parallel()
-			newPlayer(t, trace).run()
+			newTraceRunner(t, trace).run()
 		})
 	}
 }
 
-// player plays a trace with real processes in real time.
-type player struct {
+// traceRunner runs a trace with real processes in real time.
+type traceRunner struct {
 	*fleet
-	trace   *replay.Trace
-	guards  map[string]*process
-	drained []*process
-	tickets map[string][]string // by entry, drawn while it answers
-	jobs    map[string]*tracedJob
-	calls   sync.WaitGroup
+	trace         *replay.Trace
+	guards        map[string]*process
+	drainedGuards []*process
+	tickets       map[string][]string // unused tickets by entry, fetched while it responds
+	jobs          map[string]*submittedJob
+	pendingCalls  sync.WaitGroup
 
-	mu     sync.Mutex // guards what follows
-	faults []string
-	notRun map[string]bool // tasks of which a caller was told "not run"
-	ran    map[string]bool // tasks of which a caller was told that they ran
+	mu             sync.Mutex // guards the fields below
+	violations     []string
+	reportedNotRun map[string]bool // tasks reported to a caller as not run
+	reportedRan    map[string]bool // tasks reported to a caller as run
 }
 
-// tracedJob is a job of the trace under its identity.
-type tracedJob struct {
+// submittedJob is a job of the trace with its idempotency key.
+type submittedJob struct {
 	key     string
 	request *replay.Request
 }
 
-func newPlayer(t *testing.T, trace *replay.Trace) *player {
-	p := &player{
+func newTraceRunner(t *testing.T, trace *replay.Trace) *traceRunner {
+	tr := &traceRunner{
 		fleet: newFleet(t), trace: trace, guards: make(map[string]*process), tickets: make(map[string][]string),
-		jobs: make(map[string]*tracedJob), notRun: make(map[string]bool), ran: make(map[string]bool),
+		jobs: make(map[string]*submittedJob), reportedNotRun: make(map[string]bool), reportedRan: make(map[string]bool),
 	}
-	p.Assert(trace.Loads, qt.HasLen, 0, qt.Commentf("generated load is for the explicit clock"))
+	tr.Assert(trace.Loads, qt.HasLen, 0, qt.Commentf("generated load requires the simulated clock"))
 	for _, e := range trace.Entries {
-		p.startEntry(e.Name)
+		tr.startEntryWithTickets(e.Name)
 	}
 	for _, w := range trace.Workers {
-		p.slots[w.Name] = w.Slots
-		p.guards[w.Name] = p.worker(w.Name)
+		tr.slots[w.Name] = w.Slots
+		tr.guards[w.Name] = tr.startWorker(w.Name)
 	}
-	p.settled()
-	return p
+	tr.waitForRosters()
+	return tr
 }
 
-// startEntry draws a ticket for each submission in advance, since the entry may
-// be frozen by the time of it.
-func (p *player) startEntry(name string) {
-	e := p.entry(name)
-	p.tickets[name] = nil
-	for _, ev := range p.trace.Events {
+// startEntryWithTickets starts an entry and fetches a ticket for each submission to it in advance,
+// since the entry may be paused by the time of the submission.
+func (tr *traceRunner) startEntryWithTickets(name string) {
+	e := tr.startEntry(name)
+	tr.tickets[name] = nil
+	for _, ev := range tr.trace.Events {
 		if ev.Op == replay.OpSubmit && ev.Other == name {
-			p.tickets[name] = append(p.tickets[name], p.ticket(e))
+			tr.tickets[name] = append(tr.tickets[name], tr.fetchTicket(e))
 		}
 	}
 }
 
-// run plays the events in order, none before its time, and checks the whole.
-func (p *player) run() {
-	began := time.Now()
-	for _, ev := range p.trace.Events {
-		time.Sleep(time.Until(began.Add(ev.At))) // the clock of the trace
-		p.play(&ev)
+// run applies the events in order, none before its time, waits for all calls and drained guards,
+// and compares the reported outcomes with the task starts at the upstreams.
+func (tr *traceRunner) run() {
+	start := time.Now()
+	for _, ev := range tr.trace.Events {
+		time.Sleep(time.Until(start.Add(ev.At))) // event times are relative to the start
+		tr.apply(&ev)
 	}
-	p.calls.Wait()
-	for _, g := range p.drained {
-		p.Check(g.Wait(), qt.IsNil, qt.Commentf("a drained guard ends well"))
+	tr.pendingCalls.Wait()
+	for _, g := range tr.drainedGuards {
+		tr.Check(g.Wait(), qt.IsNil, qt.Commentf("exit status of a drained guard"))
 	}
-	p.starts() // fails if a task started twice
-	p.Check(p.faults, qt.HasLen, 0)
-	started := p.started()
-	for task := range p.notRun {
-		p.Check(started[task], qt.Equals, 0, qt.Commentf("%s started, and its caller was told that it did not", task))
+	tr.countStartedTasks() // fails if any task started twice
+	tr.Check(tr.violations, qt.HasLen, 0)
+	startsByTask := tr.startsByTask()
+	for task := range tr.reportedNotRun {
+		tr.Check(startsByTask[task], qt.Equals, 0, qt.Commentf("%s started but was reported as not run", task))
 	}
-	for task := range p.ran {
-		p.Check(started[task], qt.Equals, 1, qt.Commentf("%s never started, and its caller was told that it did", task))
+	for task := range tr.reportedRan {
+		tr.Check(startsByTask[task], qt.Equals, 1, qt.Commentf("%s never started but was reported as run", task))
 	}
 }
 
-func (p *player) play(ev *replay.Event) {
+// apply carries out one event. It fails the test for an event that real processes do not support,
+// such as a network partition.
+func (tr *traceRunner) apply(ev *replay.Event) {
 	switch ev.Op {
 	case replay.OpSubmit:
-		stock := p.tickets[ev.Other]
-		p.tickets[ev.Other] = stock[1:]
-		p.jobs[ev.Target] = &tracedJob{key: stock[0], request: ev.Request}
-		p.submit(ev)
+		unused := tr.tickets[ev.Other]
+		tr.tickets[ev.Other] = unused[1:]
+		tr.jobs[ev.Target] = &submittedJob{key: unused[0], request: ev.Request}
+		tr.submitAndCheck(ev)
 	case replay.OpResubmit:
-		p.submit(ev)
+		tr.submitAndCheck(ev)
 	case replay.OpCancel:
-		p.cancel(ev)
+		tr.cancelJob(ev)
 	case replay.OpKill:
-		p.killed(ev.Target)
+		tr.killProcess(ev.Target)
 	case replay.OpRestart:
-		p.restart(ev.Target)
+		tr.restartProcess(ev.Target)
 	case replay.OpPause:
-		p.process(ev.Target).Signal(syscall.SIGSTOP)
+		tr.process(ev.Target).Signal(syscall.SIGSTOP)
 	case replay.OpResume:
-		p.process(ev.Target).Signal(syscall.SIGCONT)
+		tr.process(ev.Target).Signal(syscall.SIGCONT)
 	case replay.OpDrain:
-		p.process(ev.Target).Signal(syscall.SIGTERM)
-		p.drained = append(p.drained, p.process(ev.Target))
+		tr.process(ev.Target).Signal(syscall.SIGTERM)
+		tr.drainedGuards = append(tr.drainedGuards, tr.process(ev.Target))
 	case replay.OpStoreDown, replay.OpStoreUp:
-		p.kv.SetDown(ev.Op == replay.OpStoreDown)
+		tr.kv.SetDown(ev.Op == replay.OpStoreDown)
 	default:
-		p.t.Fatalf("%s cannot be done to real processes", ev.Op)
+		tr.t.Fatalf("event %s is not supported with real processes", ev.Op)
 	}
 }
 
-func (p *player) process(name string) *process {
-	if e := p.entries[name]; e != nil {
+func (tr *traceRunner) process(name string) *process {
+	if e := tr.entries[name]; e != nil {
 		return e.process
 	}
-	return p.guards[name]
+	return tr.guards[name]
 }
 
-// killed ends a process. A dead guard leaves the lists of entries before the
-// trace goes on, else its successor could not be told from it.
-func (p *player) killed(name string) {
-	p.process(name).Kill()
-	if _, ok := p.entries[name]; ok {
-		delete(p.entries, name)
+// killProcess kills a process. After a guard is killed, it waits until no entry lists the guard;
+// otherwise the guard could not be distinguished from its replacement.
+func (tr *traceRunner) killProcess(name string) {
+	tr.process(name).Kill()
+	if _, ok := tr.entries[name]; ok {
+		delete(tr.entries, name)
 		return
 	}
-	for id, e := range p.entries {
-		p.eventually(id+" misses guard "+name, func() bool { return !p.lists(e, name) })
+	for id, e := range tr.entries {
+		tr.eventually(id+" has removed guard "+name, func() bool { return !tr.usesGuard(e, name) })
 	}
 }
 
-func (p *player) restart(name string) {
-	if _, ok := p.guards[name]; ok {
-		p.guards[name] = p.guard(name, p.urls[name])
+func (tr *traceRunner) restartProcess(name string) {
+	if _, ok := tr.guards[name]; ok {
+		tr.guards[name] = tr.startGuard(name, tr.urls[name])
 		return
 	}
-	p.startEntry(name)
+	tr.startEntryWithTickets(name)
 }
 
-// reply is the part of an answer that a trace speaks of.
-type reply struct {
+// jobReply holds the fields of an answer that a trace can check.
+type jobReply struct {
 	status  int
 	State   string
 	Results []struct{ Body struct{ Task string } }
 	Error   struct{ Kind, Ran, Advice string }
-	// Failures are the tasks without a result.
+	// Failures lists the tasks without a result.
 	Failures []struct {
 		Task int
 		Ran  string
 	}
 }
 
-// submit sends a job in the background and checks what comes of it.
-func (p *player) submit(ev *replay.Event) {
-	j, e, began := p.jobs[ev.Target], p.entries[ev.Other], time.Now()
-	p.calls.Go(func() {
-		r, err := p.answer(j, e, ev.Want)
-		if fault := p.judge(ev, j, r, err, time.Since(began)); fault != "" {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.faults = append(p.faults, fmt.Sprintf("%s of %s at %v: %s", ev.Op, ev.Target, ev.At, fault))
+// submitAndCheck submits a job in the background and records a violation if the outcome differs
+// from the trace.
+func (tr *traceRunner) submitAndCheck(ev *replay.Event) {
+	j, e, start := tr.jobs[ev.Target], tr.entries[ev.Other], time.Now()
+	tr.pendingCalls.Go(func() {
+		r, err := tr.submitUntilFinal(j, e, ev.Want)
+		if violation := tr.checkReply(ev, j, r, err, time.Since(start)); violation != "" {
+			tr.mu.Lock()
+			defer tr.mu.Unlock()
+			tr.violations = append(tr.violations, fmt.Sprintf("%s of %s at %v: %s", ev.Op, ev.Target, ev.At, violation))
 		}
 	})
 }
 
-// answer asks again while the advice is to, unless the trace states that very
-// answer, as a caller would. An error is a connection that broke.
-func (p *player) answer(j *tracedJob, e *entryProcess, want *replay.Want) (*reply, error) {
-	for deadline := time.Now().Add(patience); ; time.Sleep(100 * time.Millisecond) {
-		r, err := p.post(j, e)
-		if err != nil || r.Error.Advice != "same" || want != nil && slices.Contains(kinds(want), r.Error.Kind) || time.Now().After(deadline) {
+// submitUntilFinal repeats a submission while the answer advises a retry with the same key, as a
+// caller does, unless the trace expects that answer. An error means that the connection broke.
+func (tr *traceRunner) submitUntilFinal(j *submittedJob, e *entryProcess, want *replay.Want) (*jobReply, error) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
+		r, err := tr.postJob(j, e)
+		if err != nil || r.Error.Advice != "same" || want != nil && slices.Contains(allowedKinds(want), r.Error.Kind) || time.Now().After(deadline) {
 			return r, err
 		}
 	}
 }
 
-func (p *player) post(j *tracedJob, e *entryProcess) (*reply, error) {
+// postJob submits the job once.
+func (tr *traceRunner) postJob(j *submittedJob, e *entryProcess) (*jobReply, error) {
 	body := client.Job{Service: "reserva", DeadlineMs: j.request.Deadline.Milliseconds(), DeclaredMs: j.request.Declared.Milliseconds()}
 	for _, d := range j.request.Tasks {
 		body.Tasks = append(body.Tasks, json.RawMessage(fmt.Sprintf(`{"sleep_ms":%d}`, d.Milliseconds())))
@@ -221,21 +226,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return p.call(token, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
+	return tr.sendRequest(memberToken, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
 }
 
-// cancel withdraws a job; what its caller is told is judged at the submission.
-func (p *player) cancel(ev *replay.Event) {
-	url := p.entries[ev.Other].url() + "/v1/jobs/" + p.jobs[ev.Target].key
-	p.calls.Go(func() {
-		if _, err := p.call(token, http.MethodDelete, url, "", nil); err != nil {
-			p.t.Errorf("cancel of %s: %v", ev.Target, err)
+// cancelJob cancels a job in the background. The outcome is checked where the job was submitted.
+func (tr *traceRunner) cancelJob(ev *replay.Event) {
+	url := tr.entries[ev.Other].url() + "/v1/jobs/" + tr.jobs[ev.Target].key
+	tr.pendingCalls.Go(func() {
+		if _, err := tr.sendRequest(memberToken, http.MethodDelete, url, "", nil); err != nil {
+			tr.t.Errorf("cancel of %s: %v", ev.Target, err)
 		}
 	})
 }
 
-// call makes one call of a member, and does not repeat it.
-func (f *fleet) call(token, method, url, key string, body io.Reader) (*reply, error) {
+// sendRequest sends one request of a member without retries. key is the idempotency key of a
+// submission, empty for other requests.
+func (f *fleet) sendRequest(token, method, url, key string, body io.Reader) (*jobReply, error) {
 	req, err := http.NewRequestWithContext(f.t.Context(), method, url, body)
 	if err != nil {
 		return nil, err
@@ -245,17 +251,18 @@
 		req.Header.Set("Content-Type", "application/json")
 		req.Header.Set("Idempotency-Key", key)
 	}
-	resp, err := (&http.Client{Timeout: patience}).Do(req)
+	resp, err := (&http.Client{Timeout: waitTimeout}).Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	r := &reply{status: resp.StatusCode}
+	r := &jobReply{status: resp.StatusCode}
 	return r, json.NewDecoder(resp.Body).Decode(r)
 }
 
-// judge compares an answer with what the trace states, and notes its claims.
-func (p *player) judge(ev *replay.Event, j *tracedJob, r *reply, err error, took time.Duration) string {
+// checkReply compares an answer with the trace, records which tasks it reports as run or not run, and
+// returns a description of the violation, or an empty string.
+func (tr *traceRunner) checkReply(ev *replay.Event, j *submittedJob, r *jobReply, err error, took time.Duration) string {
 	want := ev.Want
 	if err != nil {
 		if want == nil || want.Lost {
@@ -263,59 +270,59 @@
 		}
 		return fmt.Sprintf("no answer: %v", err)
 	}
-	if fault := p.claims(j, r); fault != "" || want == nil {
-		return fault
+	if violation := tr.recordReports(j, r); violation != "" || want == nil {
+		return violation
 	}
 	kind := "ok"
 	if r.State != "complete" {
 		kind = r.Error.Kind
 	}
 	switch {
-	case !slices.Contains(kinds(want), kind):
-		return fmt.Sprintf("answered %+v, want %v", *r, kinds(want))
+	case !slices.Contains(allowedKinds(want), kind):
+		return fmt.Sprintf("got %+v, want %v", *r, allowedKinds(want))
 	case kind != "ok" && !want.AnyRan && r.Error.Ran != want.Ran.String():
-		return fmt.Sprintf("answered %+v, want ran %v", *r, want.Ran)
-	case want.Before > 0 && took > max(timeSlack*want.Before, leastBound):
-		return fmt.Sprintf("answered after %v, want %v", took, want.Before)
+		return fmt.Sprintf("got %+v, want ran %v", *r, want.Ran)
+	case want.Before > 0 && took > max(timeBoundFactor*want.Before, minTimeBound):
+		return fmt.Sprintf("got the answer after %v, want at most %v", took, want.Before)
 	}
 	return ""
 }
 
-// claims notes what an answer says of each task; a whole one has each result in
-// its place.
-func (p *player) claims(j *tracedJob, r *reply) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	name := func(task int) string { return fmt.Sprintf("ayni/%s/%d", j.key, task) }
-	note := func(task int, ran string) {
-		if ran == errkind.RanNo.String() {
-			p.notRun[name(task)] = true
+// recordReports records which tasks an answer reports as run or not run. In a complete answer it
+// also checks that every result is present and in the position of its task.
+func (tr *traceRunner) recordReports(j *submittedJob, r *jobReply) string {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	taskName := func(task int) string { return fmt.Sprintf("ayni/%s/%d", j.key, task) }
+	report := func(task int, reportedRan string) {
+		if reportedRan == errkind.RanNo.String() {
+			tr.reportedNotRun[taskName(task)] = true
 		}
-		if ran == errkind.RanYes.String() {
-			p.ran[name(task)] = true
+		if reportedRan == errkind.RanYes.String() {
+			tr.reportedRan[taskName(task)] = true
 		}
 	}
 	for _, f := range r.Failures {
-		note(f.Task, f.Ran)
+		report(f.Task, f.Ran)
 	}
 	if r.Error.Ran == errkind.RanNo.String() {
 		for i := range j.request.Tasks {
-			note(i, r.Error.Ran)
+			report(i, r.Error.Ran)
 		}
 	}
 	if r.State == "complete" && len(r.Results) != len(j.request.Tasks) {
-		return fmt.Sprintf("%d of %d results", len(r.Results), len(j.request.Tasks))
+		return fmt.Sprintf("got %d results for %d tasks", len(r.Results), len(j.request.Tasks))
 	}
 	for i, result := range r.Results {
-		if result.Body.Task != name(i) {
-			return fmt.Sprintf("result %d is of %q", i, result.Body.Task)
+		if result.Body.Task != taskName(i) {
+			return fmt.Sprintf("result %d belongs to task %q", i, result.Body.Task)
 		}
 	}
 	return ""
 }
 
-// kinds names the outcomes that a trace allows.
-func kinds(w *replay.Want) []string {
+// allowedKinds returns the names of the outcomes that a trace allows; "ok" stands for no error.
+func allowedKinds(w *replay.Want) []string {
 	var out []string
 	for _, k := range w.Kinds {
 		if k == errkind.None {
--- a/internal/pages/figures_test.go
+++ b/internal/pages/figures_test.go
@@ -11,16 +11,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// counting are the calls whose literals name a figure.
-var counting = []string{"count", "gauge", "GetOrRegisterCounter", "GetOrRegister"}
+// metricFuncs are the functions whose calls contain metric names as string literals.
+var metricFuncs = []string{"count", "gauge", "GetOrRegisterCounter", "GetOrRegister"}
 
-// named gives the literals in the counting calls of a package.
-func named(c *qt.C, dir string) []string {
+// metricLiterals returns the string literals in the calls of metricFuncs in a package.
+func metricLiterals(c *qt.C, dir string) []string {
 	var out []string
 	for _, f := range parseDir(c, dir) {
 		ast.Inspect(f, func(n ast.Node) bool {
-			if call, ok := n.(*ast.CallExpr); ok && slices.Contains(counting, calledName(call)) {
-				out = append(out, literals(call)...)
+			if call, ok := n.(*ast.CallExpr); ok && slices.Contains(metricFuncs, calleeName(call)) {
+				out = append(out, stringLiterals(call)...)
 			}
 			return true
 		})
@@ -28,7 +28,8 @@
 	return out
 }
 
-func calledName(call *ast.CallExpr) string {
+// calleeName returns the unqualified name of the called function, empty if it has none.
+func calleeName(call *ast.CallExpr) string {
 	switch f := call.Fun.(type) {
 	case *ast.SelectorExpr:
 		return f.Sel.Name
@@ -38,7 +39,8 @@
 	return ""
 }
 
-func literals(n ast.Node) []string {
+// stringLiterals returns the values of all string literals below n.
+func stringLiterals(n ast.Node) []string {
 	var out []string
 	ast.Inspect(n, func(n ast.Node) bool {
 		if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
@@ -51,9 +53,9 @@
 	return out
 }
 
-// packageFigures lists the figures that packages count on go-metrics alone, in
-// the form of the exposition. A star stands for what is only known at run time.
-func packageFigures(c *qt.C) []string {
+// packageMetrics returns the names of the metrics that packages register only with go-metrics, in
+// the exposition format. A star replaces a part that is determined at run time.
+func packageMetrics(c *qt.C) []string {
 	var out []string
 	add := func(name string) {
 		if strings.HasSuffix(name, ".") {
@@ -61,21 +63,21 @@
 		}
 		out = append(out, "wigeontray_"+strings.ReplaceAll(name, ".", "_"))
 	}
-	for _, s := range named(c, "internal/guard") {
+	for _, s := range metricLiterals(c, "internal/guard") {
 		add(s)
 	}
 	add("guard.result.")
 	add("guard.refused.")
 	for dir, prefix := range map[string]string{"internal/confsync": "config.", "internal/peers": "peers."} {
-		for _, s := range named(c, dir) {
+		for _, s := range metricLiterals(c, dir) {
 			if s != prefix {
 				add(prefix + strings.TrimPrefix(s, prefix))
 			}
 		}
 	}
-	for _, s := range named(c, "internal/store") {
+	for _, s := range metricLiterals(c, "internal/store") {
 		switch {
-		case s == "store." || s == ".": // parts of the common form
+		case s == "store." || s == ".": // fragments from which all metric names of the package are built
 		case strings.HasPrefix(s, "store."):
 			add(s)
 		default:
@@ -85,7 +87,7 @@
 	return out
 }
 
-func TestPackageFigures(t *testing.T) {
+func TestPackageMetrics(t *testing.T) {
 	c := qt.New(t)
-	checkNames(c, "docs/operators.md", "package-figures", packageFigures(c))
+	checkFirstColumn(c, "docs/operators.md", "package-figures", packageMetrics(c))
 }
