--- a/internal/store/etcd.go
+++ b/internal/store/etcd.go
@@ -270,7 +270,7 @@
 	}
 	defer httpResp.Body.Close()
 	if err := decodeResponse(httpResp.Body, resp); err != nil {
-		e.incCounter(method, "failed")
+		e.count(method, "failed")
 		return fmt.Errorf("%w: answer: %w", ErrUnavailable, err)
 	}
 	e.recordLatency(method, time.Since(start))
@@ -301,20 +301,20 @@
 	// own first copy and be reported as a conflict with another operator.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
-	e.incCounter(method, "calls")
+	e.count(method, "calls")
 	resp, err := e.client.Do(req)
 	if err != nil {
-		e.incCounter(method, "failed")
+		e.count(method, "failed")
 		return nil, fmt.Errorf("%w: %w", classifySendError(err), err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		e.incCounter(method, "refused")
+		e.count(method, "refused")
 		return nil, responseError(resp)
 	}
 	return resp, nil
 }
 
-func (e *Etcd) incCounter(method, event string) {
+func (e *Etcd) count(method, event string) {
 	metrics.GetOrRegisterCounter("store."+event+"."+method, e.registry).Inc(1)
 }
