--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -21,7 +21,7 @@
 	upstream := httptest.NewServer(http.HandlerFunc(echo))
 	defer upstream.Close()
 	guard, _ := tb.guard(b, upstream.URL)
-	const window = wire.PingEvery
+	const window = wire.PingInterval
 	for b.Loop() {
 		time.Sleep(time.Second) // excludes the cost of the startup
 		entry0, guard0, calls0 := tb.entry.cpuTime(b), guard.cpuTime(b), tb.storeCalls.Load()
--- a/bench/memory_test.go
+++ b/bench/memory_test.go
@@ -29,7 +29,7 @@
 func BenchmarkJobRecord(b *testing.B) {
 	for b.Loop() {
 		before := liveHeapBytes()
-		r := jobs.New(jobs.Limits{Retention: time.Hour, Skew: time.Minute, Records: heldRecords, AnswerBytes: 1})
+		r := jobs.New(jobs.Limits{Retention: time.Hour, MaxClockSkew: time.Minute, MaxRecords: heldRecords, MaxAnswerBytes: 1})
 		for range heldRecords {
 			now := time.Now()
 			rec, _, err := r.Admit(now, benchMember, identity.NewTicket("entry-callao-a-0123456789ab", now), jobs.Fingerprint{})
@@ -51,13 +51,13 @@
 	for b.Loop() {
 		before := liveHeapBytes()
 		l := ledger.New(time.Now(), ledger.Options{Remembered: heldRecords, HeldBytes: 1})
-		l.Health(time.Now(), true)
+		l.SetHealthy(time.Now(), true)
 		l.LinkUp(time.Now(), home)
 		for range heldRecords {
 			now := time.Now()
 			ref := wire.Ref{Member: benchMember, Key: identity.NewTicket(home, now).Text}
 			l.Start(now, home, &wire.Start{Ref: ref, Of: 1, Home: home, LeftMs: 1000})
-			l.Finished(now, wire.Result{Ref: ref, Ran: errkind.RanYes, Status: 200, Body: make([]byte, 64)})
+			l.FinishTask(now, wire.Result{Ref: ref, Ran: errkind.RanYes, Status: 200, Body: make([]byte, 64)})
 			l.Actions()
 		}
 		b.ReportMetric((liveHeapBytes()-before)/heldRecords, "B/start")
--- a/cmd/wigeontray-guard/main_test.go
+++ b/cmd/wigeontray-guard/main_test.go
@@ -61,11 +61,11 @@
 	ref := wire.Ref{Member: "ayni", Key: identity.NewTicket(home, time.Now()).Text}
 	start := &wire.Start{Ref: ref, Home: home, LeftMs: 10_000, Body: []byte(`{"sleep_ms":500}`)}
 	qt.Assert(t, link.Send(&wire.Frame{Start: start}), qt.IsNil)
-	for len(sampleUpstream.Starts()) == 0 {
+	for len(sampleUpstream.StartCounts()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	qt.Assert(t, guard.Process.Signal(syscall.SIGTERM), qt.IsNil)
-	waitForFrame(t, frames, func(f *wire.Frame) bool { return f.Goodbye != nil })
+	waitForFrame(t, frames, func(f *wire.Frame) bool { return f.StopNotice != nil })
 	waitForFrame(t, frames, func(f *wire.Frame) bool { return f.Result != nil && f.Result.Status == http.StatusOK })
 	qt.Assert(t, guard.Wait(), qt.IsNil)
 }
--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -11,8 +11,8 @@
 // expectedRunTime returns the run time expected of a step's tasks: the caller's estimate,
 // corrected by the observed run times of the queue.
 func (m *Machine) expectedRunTime(q *Queue, s *Step) time.Duration {
-	if ratio := m.runTimeRatios[q.Name]; ratio != nil && !m.options.Off.Has(policy.LearnedTimes) {
-		return ratio.Expect(s.Estimate)
+	if ratio := m.runTimeRatios[q.Name]; ratio != nil && !m.options.Disabled.Has(policy.LearnedTimes) {
+		return ratio.ExpectedRunTime(s.Estimate)
 	}
 	return s.Estimate
 }
@@ -22,7 +22,7 @@
 	queue := j.spec.Queue.Name
 	ratio := m.runTimeRatios[queue]
 	if ratio == nil {
-		ratio = new(sched.Ratio)
+		ratio = new(sched.RunTimeEstimator)
 		m.runTimeRatios[queue] = ratio
 	}
 	ratio.Observe(s.spec.Estimate, runTime)
@@ -72,7 +72,7 @@
 		return err
 	}
 	minRunTime := time.Duration(minRunTimeShare * float64(criticalPath))
-	if m.options.Off.Has(policy.QuickShare) {
+	if m.options.Disabled.Has(policy.QuickShare) {
 		minRunTime = criticalPath
 	}
 	if end := now + expectedWait + minRunTime; end > spec.Deadline {
@@ -101,7 +101,7 @@
 func (m *Machine) maxWait(q *Queue, criticalPath time.Duration) time.Duration {
 	target := targetDuration(q, criticalPath)
 	slack := max(0, target-criticalPath)
-	if m.options.Off.Has(policy.BoundedWait) {
+	if m.options.Disabled.Has(policy.BoundedWait) {
 		return slack
 	}
 	return min(slack, time.Duration(maxWaitShare*float64(target)))
@@ -115,7 +115,7 @@
 		usable, suitable, present := m.countWorkers(&req)
 		switch {
 		case usable > 0:
-		case present == 0 && now-m.startedAt < startGracePeriod && !m.options.Off.Has(policy.StartGrace):
+		case present == 0 && now-m.startedAt < startGracePeriod && !m.options.Disabled.Has(policy.StartGrace):
 		case suitable > 0 || present == 0 || now-m.startedAt < neverFitsDelay:
 			return newRefusal(errkind.NoWorkers, m.addJitter(noWorkersRetryDelay), "no worker for step %d is ready; %d failure domains are drained", i, len(m.drains.Domains))
 		default:
@@ -128,7 +128,7 @@
 // countWorkers counts a service's workers: those that could run the task now, those that could
 // run it at the largest capacity they have reported, as a reduced capacity may be restored, and
 // all that are present.
-func (m *Machine) countWorkers(req *sched.Ask) (usable, suitable, present int) {
+func (m *Machine) countWorkers(req *sched.TaskRequest) (usable, suitable, present int) {
 	for i := range m.workers {
 		w := &m.workers[i]
 		if w.State == sched.Absent || w.Service != req.Service {
@@ -137,11 +137,11 @@
 		present++
 		atMaxCapacity := *w
 		atMaxCapacity.Capacity = m.guards[i].maxCapacity
-		if !atMaxCapacity.Suits(req) {
+		if !atMaxCapacity.CanRun(req) {
 			continue
 		}
 		suitable++
-		if w.State == sched.Usable && w.Suits(req) {
+		if w.State == sched.Usable && w.CanRun(req) {
 			usable++
 		}
 	}
@@ -203,7 +203,7 @@
 // addJitter returns a random duration between d and twice d, so that callers refused at the same
 // time do not retry at the same time.
 func (m *Machine) addJitter(d time.Duration) time.Duration {
-	if m.options.Off.Has(policy.RetrySpread) {
+	if m.options.Disabled.Has(policy.RetrySpread) {
 		return d
 	}
 	return d + time.Duration(m.rng.Int64N(int64(d)+1))
--- a/internal/batch/admit_test.go
+++ b/internal/batch/admit_test.go
@@ -14,10 +14,10 @@
 // newOneWorkerMachine returns the machine of an entry with one worker of 40 cores.
 func newOneWorkerMachine() *Machine {
 	m := New(0, Options{Seed: 1})
-	m.GuardUp(0, &wire.RunHello{
+	m.AddGuard(0, &wire.RunHello{
 		Incarnation: "g0",
-		Worker:      wire.RunWorker{ID: "w", Service: "s", Capacity: sched.Room{CPU: 40_000}, Usable: true},
-		Load:        wire.RunLoad{Free: sched.Room{CPU: 40_000}},
+		Worker:      wire.RunWorker{ID: "w", Service: "s", Capacity: sched.Resources{CPU: 40_000}, Usable: true},
+		Load:        wire.RunLoad{Free: sched.Resources{CPU: 40_000}},
 	})
 	return m
 }
@@ -26,7 +26,7 @@
 
 func testJob(id string, tasks int, cpu int64) *Job {
 	return &Job{ID: id, Queue: testQueue, Deadline: time.Hour, Steps: []Step{{
-		Count: tasks, Need: sched.Room{CPU: cpu}, Estimate: 200 * time.Millisecond,
+		Count: tasks, Need: sched.Resources{CPU: cpu}, Estimate: 200 * time.Millisecond,
 	}}}
 }
 
@@ -36,10 +36,10 @@
 	m := newOneWorkerMachine()
 	afterDelay := neverFitsDelay + time.Second
 	err := m.Submit(afterDelay, testJob("huge", 1, 41_000))
-	qt.Assert(t, HasFailed(err), qt.IsTrue)
-	m.Beat(afterDelay, "g0", &wire.GuardBeat{Worker: &wire.RunWorker{ID: "w", Service: "s", Capacity: sched.Room{CPU: 40_000}, Leaving: true}})
+	qt.Assert(t, IsFinalFailure(err), qt.IsTrue)
+	m.HandleBeat(afterDelay, "g0", &wire.GuardHeartbeat{Worker: &wire.RunWorker{ID: "w", Service: "s", Capacity: sched.Resources{CPU: 40_000}, Leaving: true}})
 	err = m.Submit(afterDelay, testJob("fits", 1, 4000))
-	qt.Assert(t, HasFailed(err), qt.IsFalse)
+	qt.Assert(t, IsFinalFailure(err), qt.IsFalse)
 	qt.Assert(t, err.After > 0, qt.IsTrue)
 }
 
@@ -62,9 +62,9 @@
 	qt.Assert(t, m.Submit(0, testJob("job", 1, 4000)) == nil, qt.IsTrue)
 	second := nextRun()
 	qt.Assert(t, second > first, qt.IsTrue)
-	m.Ended(0, "g0", &wire.RunsEnded{
+	m.HandleRunsEnded(0, "g0", &wire.RunsEnded{
 		Ends: []wire.RunEnd{{Job: "job", Run: first, Kind: errkind.Fenced, Ran: errkind.RanNo}},
-		Load: wire.RunLoad{Free: sched.Room{CPU: 36_000}, Seen: 2},
+		Load: wire.RunLoad{Free: sched.Resources{CPU: 36_000}, SeenSeq: 2},
 	})
 	qt.Assert(t, nextRun(), qt.Equals, int64(0))
 }
--- a/internal/batch/advertise.go
+++ b/internal/batch/advertise.go
@@ -41,9 +41,9 @@
 	case demand == m.advertised && (m.advertisedCount >= len(m.guardByID) || demand.CPU == 0):
 	case demand.CPU == 0:
 		m.withdrawDemand(now)
-	case m.advertised.CPU == 0 && m.options.Off.Has(policy.NearFirst):
+	case m.advertised.CPU == 0 && m.options.Disabled.Has(policy.NearFirst):
 		m.advertiseTo(now, demand, len(m.guardByID))
-	case m.advertised.CPU == 0, demand.Priority < m.advertised.Priority && !m.options.Off.Has(policy.UrgentOffers):
+	case m.advertised.CPU == 0, demand.Priority < m.advertised.Priority && !m.options.Disabled.Has(policy.UrgentOffers):
 		m.advertiseTo(now, demand, max(initialAdvertiseCount, m.advertisedCount))
 	case now-m.advertisedAt >= m.advertiseInterval():
 		m.advertiseTo(now, demand, min(2*m.advertisedCount, max(initialAdvertiseCount, len(m.guardByID))))
@@ -110,11 +110,11 @@
 			}
 			cpu := max(1, s.spec.Need.CPU)
 			total.CPU += int64(len(s.waiting)) * cpu
-			if total.LeastCPU == 0 || cpu < total.LeastCPU {
-				total.LeastCPU = cpu
+			if total.MinCPU == 0 || cpu < total.MinCPU {
+				total.MinCPU = cpu
 			}
-			if isMostUrgent && (total.UrgentCPU == 0 || cpu < total.UrgentCPU) {
-				total.UrgentCPU = cpu
+			if isMostUrgent && (total.MinUrgentCPU == 0 || cpu < total.MinUrgentCPU) {
+				total.MinUrgentCPU = cpu
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 // entries wait.
 func (m *Machine) declineOffer(now time.Duration, g *guard) {
 	w := &m.workers[g.position]
-	if m.guards[g.position] != g || w.State != sched.Usable || g.demand.CPU == 0 || w.Free.CPU < g.demand.LeastCPU || m.options.Off.Has(policy.UrgentOffers) {
+	if m.guards[g.position] != g || w.State != sched.Usable || g.demand.CPU == 0 || w.Free.CPU < g.demand.MinCPU || m.options.Disabled.Has(policy.UrgentOffers) {
 		return
 	}
 	if demand := m.demand(); demand != g.demand {
@@ -142,5 +142,5 @@
 // sendBeatWithDemand sends a guard a heartbeat with the given demand.
 func (m *Machine) sendBeatWithDemand(now time.Duration, g *guard, demand wire.RunDemand) {
 	g.demand = demand
-	m.sendFrame(now, g, &wire.Frame{EntryBeat: &wire.EntryBeat{ClockMs: g.estimatedClockMs(now), Demand: demand}})
+	m.sendFrame(now, g, &wire.Frame{EntryHeartbeat: &wire.EntryHeartbeat{ClockMs: g.estimatedClockMs(now), Demand: demand}})
 }
--- a/internal/batch/advertise_test.go
+++ b/internal/batch/advertise_test.go
@@ -17,10 +17,10 @@
 func newFullFleet(guards int) *Machine {
 	m := New(0, Options{Seed: 1, Domain: "d0"})
 	for i := range guards {
-		m.GuardUp(0, &wire.RunHello{
+		m.AddGuard(0, &wire.RunHello{
 			Incarnation: identity.Incarnation(fmt.Sprint("g", i)),
 			Worker: wire.RunWorker{
-				ID: fmt.Sprint("w", i), Service: "s", Domain: fmt.Sprint("d", i%5), Capacity: sched.Room{CPU: 64_000}, Usable: true,
+				ID: fmt.Sprint("w", i), Service: "s", Domain: fmt.Sprint("d", i%5), Capacity: sched.Resources{CPU: 64_000}, Usable: true,
 			},
 		})
 	}
@@ -32,8 +32,8 @@
 func sentBeats(actions []Action) map[identity.Incarnation]bool {
 	out := make(map[identity.Incarnation]bool)
 	for _, a := range actions {
-		if a.Frame != nil && a.Frame.EntryBeat != nil {
-			out[a.Guard] = a.Frame.EntryBeat.Demand.CPU > 0
+		if a.Frame != nil && a.Frame.EntryHeartbeat != nil {
+			out[a.Guard] = a.Frame.EntryHeartbeat.Demand.CPU > 0
 		}
 	}
 	return out
--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -40,7 +40,7 @@
 // Step is a set of identical tasks of a job.
 type Step struct {
 	Count     int
-	Need      sched.Room
+	Need      sched.Resources
 	Estimate  time.Duration // the caller's estimate of a task's run time; 0 for none
 	After     []int         // indexes of earlier steps that must be complete first
 	Label     string        // label that the worker must have; empty for none
@@ -64,19 +64,19 @@
 // Outcome is the single answer to a job, which is complete if Err is nil. An error
 // with RanNo means that no task of the job was started.
 type Outcome struct {
-	ID    string
-	Job   *Job
-	Err   *errkind.Error
-	Story []Event // decisions about the job, in order
+	ID     string
+	Job    *Job
+	Err    *errkind.Error
+	Events []Event // decisions about the job, in order
 }
 
 // Event is one decision about a job, with the data that it was based on.
 type Event struct {
-	At    time.Duration
-	What  What
-	Guard identity.Incarnation // guard concerned; empty for none
-	Tasks int                  // number of tasks concerned
-	Kind  errkind.Kind         // error kind of the ended run
+	At       time.Duration
+	Decision Decision
+	Guard    identity.Incarnation // guard concerned; empty for none
+	Tasks    int                  // number of tasks concerned
+	Kind     errkind.Kind         // error kind of the ended run
 	// Free is the estimate of the free CPU at the guard or, for an admission, in the
 	// whole service, in thousandths of a core. Age is the age of the guard's last report.
 	Free int64
@@ -86,20 +86,20 @@
 	Wait, Goal time.Duration
 }
 
-// What is the type of an Event.
-type What uint8
+// Decision is the type of an Event.
+type Decision uint8
 
 // Event types.
 const (
-	EventAdmitted  What = iota
-	EventTasksSent      // tasks were sent to a guard
-	EventRunEnded       // a run ended without success
-	EventGuardLost      // the guard's link was lost; its runs may continue for Timing.Loss
-	EventWithdrawn      // the job's active runs are stopped
+	EventAdmitted  Decision = iota
+	EventTasksSent          // tasks were sent to a guard
+	EventRunEnded           // a run ended without success
+	EventGuardLost          // the guard's link was lost; its runs may continue for Timing.Loss
+	EventWithdrawn          // the job's active runs are stopped
 )
 
 // String returns the message that logs use for the event.
-func (w What) String() string {
+func (w Decision) String() string {
 	return [...]string{"admitted", "tasks sent", "run ended", "guard lost", "withdrawn"}[w]
 }
 
@@ -109,18 +109,18 @@
 // Action is one operation that the owner of a Machine must carry out. Exactly one of
 // Frame, Drop and Finish is set.
 type Action struct {
-	Guard  identity.Incarnation // receiver of Frame, or guard whose link to close
-	Frame  *wire.Frame
-	Drop   bool     // close the link: the guard has stopped sending
-	Finish *Outcome // answer to pass to the job's callers
+	Guard     identity.Incarnation // receiver of Frame, or guard whose link to close
+	Frame     *wire.Frame
+	CloseLink bool     // close the link: the guard has stopped sending
+	Finish    *Outcome // answer to pass to the job's callers
 }
 
 // Options configures a Machine.
 type Options struct {
-	Domain string      // failure domain of the entry
-	Seed   uint64      // seed of all random choices
-	Timing runs.Timing // runs.Timing's default if zero
-	Off    policy.Set  // disabled mechanisms
+	Domain   string      // failure domain of the entry
+	Seed     uint64      // seed of all random choices
+	Timing   runs.Timing // runs.Timing's default if zero
+	Disabled policy.Set  // disabled mechanisms
 }
 
 // State is the state of a job. The numeric values are part of the inner protocol.
@@ -164,11 +164,11 @@
 
 // Timing after a process was suspended.
 const (
-	// WakePause is how long an entry that resumed from a suspension waits before it
+	// ResumeDelay is how long an entry that resumed from a suspension waits before it
 	// starts a job. The request may have been in the receive buffer for seconds, and
 	// the entry sees that its caller has left only after it has read the connection to
 	// its end.
-	WakePause = 50 * time.Millisecond
+	ResumeDelay = 50 * time.Millisecond
 )
 
 // Retry delays sent to refused callers; random jitter increases them to up to twice the value.
--- a/internal/batch/bench_test.go
+++ b/internal/batch/bench_test.go
@@ -25,12 +25,12 @@
 	hello := func(i int) *wire.RunHello {
 		return &wire.RunHello{
 			Incarnation: identity.Incarnation(fmt.Sprint("g", i)),
-			Worker:      wire.RunWorker{ID: fmt.Sprint("w", i), Service: "s", Domain: fmt.Sprint(i % 5), Capacity: sched.Room{CPU: 64_000}, Usable: true},
-			Load:        wire.RunLoad{Free: sched.Room{CPU: 2000}},
+			Worker:      wire.RunWorker{ID: fmt.Sprint("w", i), Service: "s", Domain: fmt.Sprint(i % 5), Capacity: sched.Resources{CPU: 64_000}, Usable: true},
+			Load:        wire.RunLoad{Free: sched.Resources{CPU: 2000}},
 		}
 	}
 	for i := range guards {
-		m.GuardUp(0, hello(i))
+		m.AddGuard(0, hello(i))
 	}
 	m.recordPriority(0, testQueue)
 	q := *testQueue
@@ -46,7 +46,7 @@
 	now := time.Millisecond
 	for i := 0; b.Loop(); i++ {
 		guard := identity.Incarnation(fmt.Sprint("g", i%guards))
-		m.Ended(now, guard, &wire.RunsEnded{Load: wire.RunLoad{ClockMs: 1, Free: sched.Room{CPU: 5000}}})
+		m.HandleRunsEnded(now, guard, &wire.RunsEnded{Load: wire.RunLoad{ClockMs: 1, Free: sched.Resources{CPU: 5000}}})
 		m.Actions(now)
 		m.NextTick()
 	}
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -56,9 +56,9 @@
 	return wire.TaskName{Job: k.Job, Step: k.Step, Index: k.Index}
 }
 
-// NoteCrash counts a worker crash for the tasks of other entries that were at the worker: their
+// HandleWorkerCrash counts a worker crash for the tasks of other entries that were at the worker: their
 // jobs may be submitted to this entry next.
-func (m *Machine) NoteCrash(c *wire.WorkerCrash) {
+func (m *Machine) HandleWorkerCrash(c *wire.WorkerCrash) {
 	for _, t := range c.Tasks {
 		m.crashes.add(t, crashCount{certain: 1})
 	}
@@ -70,7 +70,7 @@
 // recordCrash counts the worker crash that a run's end reports, if any.
 func (m *Machine) recordCrash(k runs.Key, e *wire.RunEnd) {
 	switch {
-	case m.options.Off.Has(policy.CrashLimit):
+	case m.options.Disabled.Has(policy.CrashLimit):
 	case e.Crashed:
 		m.crashes.add(taskNameOf(k), crashCount{certain: 1})
 	case e.Suspected:
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -64,14 +64,14 @@
 	now := time.Hour
 	m := batch.New(now, batch.Options{})
 	hello := newHello("g0", "d0")
-	m.GuardUp(now, hello)
+	m.AddGuard(now, hello)
 	submit := func(id string) *errkind.Error {
 		return m.Submit(now, &batch.Job{ID: id, Queue: simQueue, Deadline: now + time.Second, Steps: []batch.Step{{
-			Count: 2, Need: sched.Room{CPU: 1000}, Estimate: 100 * time.Millisecond,
+			Count: 2, Need: sched.Resources{CPU: 1000}, Estimate: 100 * time.Millisecond,
 		}}})
 	}
 	crash := &wire.WorkerCrash{Tasks: []wire.TaskName{{Job: "a", Index: 1}, {Job: "b"}}}
-	m.NoteCrash(crash)
+	m.HandleWorkerCrash(crash)
 	qt.Check(t, submit("a") == nil, qt.IsTrue)
 	for _, action := range m.Actions(now) {
 		if f := action.Frame; f != nil && f.RunTasks != nil {
@@ -80,14 +80,14 @@
 		}
 	}
 	// The second crash is reported to this entry. The job fails, and fails again if resubmitted.
-	m.Ended(now, "g0", &wire.RunsEnded{Load: hello.Load, Ends: []wire.RunEnd{
+	m.HandleRunsEnded(now, "g0", &wire.RunsEnded{Load: hello.Load, Ends: []wire.RunEnd{
 		{Job: "a", Index: 1, Run: 1, Kind: errkind.WorkerLost, Ran: errkind.RanYes, Crashed: true},
 	}})
 	qt.Check(t, m.State("a"), qt.Equals, batch.Failed)
-	m.NoteCrash(crash)
+	m.HandleWorkerCrash(crash)
 	err := submit("b")
 	qt.Assert(t, err != nil, qt.IsTrue)
-	qt.Check(t, batch.HasFailed(err), qt.IsTrue)
+	qt.Check(t, batch.IsFinalFailure(err), qt.IsTrue)
 }
 
 // Guards against a task that keeps crashing workers, and against other tasks that are blamed for
@@ -105,11 +105,11 @@
 	m := batch.New(now, batch.Options{})
 	job := func() *batch.Job {
 		return &batch.Job{ID: "a", Queue: simQueue, Deadline: now + time.Second, Steps: []batch.Step{{
-			Count: 1, Need: sched.Room{CPU: 1000}, Estimate: 100 * time.Millisecond,
+			Count: 1, Need: sched.Resources{CPU: 1000}, Estimate: 100 * time.Millisecond,
 		}}}
 	}
 	for i := range 3 {
-		m.GuardUp(now, newHello(identity.Incarnation(fmt.Sprintf("g%d", i)), "d0"))
+		m.AddGuard(now, newHello(identity.Incarnation(fmt.Sprintf("g%d", i)), "d0"))
 	}
 	qt.Assert(t, m.Submit(now, job()) == nil, qt.IsTrue)
 	var outcome *batch.Outcome
@@ -122,16 +122,16 @@
 				outcome = a.Finish
 			case a.Frame != nil && a.Frame.RunTasks != nil:
 				starts++
-				m.Ended(now, a.Guard, &wire.RunsEnded{Load: wire.RunLoad{Free: sched.Room{CPU: 10_000, MemoryMB: 1000}}, Ends: []wire.RunEnd{
+				m.HandleRunsEnded(now, a.Guard, &wire.RunsEnded{Load: wire.RunLoad{Free: sched.Resources{CPU: 10_000, MemoryMB: 1000}}, Ends: []wire.RunEnd{
 					{Job: "a", Run: starts, Kind: errkind.NotRun, Suspected: true},
 				}})
 			}
 		}
 	}
-	qt.Check(t, batch.HasFailed(outcome.Err), qt.IsFalse)
+	qt.Check(t, batch.IsFinalFailure(outcome.Err), qt.IsFalse)
 	qt.Check(t, outcome.Err.Ran, qt.Equals, errkind.RanUnknown)
 	resubmitErr := m.Submit(now, job())
 	qt.Assert(t, resubmitErr != nil, qt.IsTrue)
-	qt.Check(t, batch.HasFailed(resubmitErr), qt.IsFalse)
+	qt.Check(t, batch.IsFinalFailure(resubmitErr), qt.IsFalse)
 	qt.Check(t, resubmitErr.Ran, qt.Equals, errkind.RanUnknown)
 }
--- a/internal/batch/drain.go
+++ b/internal/batch/drain.go
@@ -13,7 +13,7 @@
 	previous := m.drains
 	m.drains = *d
 	for _, g := range m.guards {
-		if g == nil || d.Has(g.worker.Domain) == previous.Has(g.worker.Domain) {
+		if g == nil || d.Contains(g.worker.Domain) == previous.Contains(g.worker.Domain) {
 			continue
 		}
 		m.updateState(g)
@@ -24,13 +24,13 @@
 
 // limitColdWorker limits a worker that reports itself cold to one task at first.
 func (m *Machine) limitColdWorker(g *guard) {
-	if g.worker.Cold && g.worker.Usable && !m.drains.Has(g.worker.Domain) {
-		m.workers[g.position].Limit = 1
+	if g.worker.Cold && g.worker.Usable && !m.drains.Contains(g.worker.Domain) {
+		m.workers[g.position].MaxOwnTasks = 1
 	}
 }
 
-// WorkersIn returns the number of known workers in a failure domain.
-func (m *Machine) WorkersIn(domain string) int {
+// WorkersInDomain returns the number of known workers in a failure domain.
+func (m *Machine) WorkersInDomain(domain string) int {
 	n := 0
 	for _, g := range m.guards {
 		if g != nil && g.worker.ID != "" && g.worker.Domain == domain {
--- a/internal/batch/drain_test.go
+++ b/internal/batch/drain_test.go
@@ -35,7 +35,7 @@
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := simulate(40_000+seed, simJobs, runs.DefaultResend, f, injectDrainOrFault)
+			s := simulate(40_000+seed, simJobs, runs.DefaultResendDelay, f, injectDrainOrFault)
 			qt.Check(t, s.violations, qt.HasLen, 0)
 			qt.Check(t, s.counts.complete > s.counts.sent/4, qt.IsTrue, qt.Commentf("%+v", s.counts))
 		})
@@ -64,7 +64,7 @@
 
 // newHello returns the first frame of a guard whose worker is in the given failure domain.
 func newHello(name identity.Incarnation, domain string) *wire.RunHello {
-	room := sched.Room{CPU: 8000, MemoryMB: 1000}
+	room := sched.Resources{CPU: 8000, MemoryMB: 1000}
 	return &wire.RunHello{
 		Version: wire.Version, Incarnation: name,
 		Worker: wire.RunWorker{ID: "w-" + string(name), Service: "svc", Domain: domain, Capacity: room, Usable: true},
@@ -77,13 +77,13 @@
 	now := time.Hour
 	m := batch.New(now, batch.Options{Domain: "d0"})
 	m.SetDrains(now, &wire.Drains{Revision: 1, Domains: []string{"d1"}})
-	m.GuardUp(now, newHello("g0", "d0"))
-	m.GuardUp(now, newHello("g1", "d1")) // links during the drain of its domain
+	m.AddGuard(now, newHello("g0", "d0"))
+	m.AddGuard(now, newHello("g1", "d1")) // links during the drain of its domain
 	qt.Check(t, m.Workers(), qt.Equals, 1)
 	m.SetDrains(now, &wire.Drains{Revision: 2, Domains: []string{"d0", "d1"}})
 	qt.Check(t, m.Workers(), qt.Equals, 0)
 	err := m.Submit(now, &batch.Job{ID: "1", Queue: simQueue, Deadline: now + time.Second, Steps: []batch.Step{{
-		Count: 1, Need: sched.Room{CPU: 1000}, Estimate: 100 * time.Millisecond,
+		Count: 1, Need: sched.Resources{CPU: 1000}, Estimate: 100 * time.Millisecond,
 	}}})
 	qt.Assert(t, err, qt.IsNotNil)
 	qt.Check(t, err.Kind, qt.Equals, errkind.NoWorkers)
@@ -98,16 +98,16 @@
 	now := time.Hour
 	m := batch.New(now, batch.Options{Domain: "d0"})
 	hello := newHello("g0", "d0")
-	m.GuardUp(now, hello)
+	m.AddGuard(now, hello)
 	m.SetDrains(now, &wire.Drains{Revision: 1, Domains: []string{"d0"}})
 	hello.Worker.Cold, hello.Worker.Usable = true, false
-	m.Beat(now, "g0", &wire.GuardBeat{Load: hello.Load, Worker: &hello.Worker})
+	m.HandleBeat(now, "g0", &wire.GuardHeartbeat{Load: hello.Load, Worker: &hello.Worker})
 	m.SetDrains(now, &wire.Drains{Revision: 2})
 	hello.Worker.Usable = true
-	m.Beat(now, "g0", &wire.GuardBeat{Load: hello.Load, Worker: &hello.Worker})
+	m.HandleBeat(now, "g0", &wire.GuardHeartbeat{Load: hello.Load, Worker: &hello.Worker})
 	m.Actions(now)
 	err := m.Submit(now, &batch.Job{ID: "1", Queue: simQueue, Deadline: now + time.Second, Steps: []batch.Step{{
-		Count: 3, Need: sched.Room{CPU: 1000}, Estimate: 100 * time.Millisecond,
+		Count: 3, Need: sched.Resources{CPU: 1000}, Estimate: 100 * time.Millisecond,
 	}}})
 	qt.Assert(t, err == nil, qt.IsTrue, qt.Commentf("%v", err))
 	sent := 0
--- a/internal/batch/ends.go
+++ b/internal/batch/ends.go
@@ -11,8 +11,8 @@
 	"wigeontray/internal/wire"
 )
 
-// Ended handles a guard's report on runs that have ended.
-func (m *Machine) Ended(now time.Duration, id identity.Incarnation, e *wire.RunsEnded) {
+// HandleRunsEnded handles a guard's report on runs that have ended.
+func (m *Machine) HandleRunsEnded(now time.Duration, id identity.Incarnation, e *wire.RunsEnded) {
 	g := m.guardByID[id]
 	if g == nil {
 		return
@@ -52,7 +52,7 @@
 	m.deleteRun(r)
 	r.step.at[r.guard]--
 	if m.guards[r.guard.position] == r.guard {
-		m.workers[r.guard.position].Own--
+		m.workers[r.guard.position].OwnTasks--
 	}
 }
 
@@ -82,7 +82,7 @@
 // retryOrFail requeues a task whose run ended without success, or fails its job.
 func (m *Machine) retryOrFail(now time.Duration, r *activeRun, e *wire.RunEnd) {
 	j, t := r.job, &r.step.tasks[r.key.Index]
-	j.addEvent(Event{At: now, What: EventRunEnded, Guard: r.guard.id, Tasks: 1, Kind: e.Kind, Free: r.guard.free.CPU})
+	j.addEvent(Event{At: now, Decision: EventRunEnded, Guard: r.guard.id, Tasks: 1, Kind: e.Kind, Free: r.guard.free.CPU})
 	name := taskNameOf(r.key)
 	count := m.crashes.get(name)
 	t.crashes = count.total()
@@ -109,7 +109,7 @@
 	case e.Kind == errkind.Stalled:
 		t.wasMoved = true
 		m.avoid(r, t)
-	case e.NoText:
+	case e.TextUnavailable:
 		j.textSource = nil
 		j.requeueTask(r.step, r.key.Index)
 		m.enqueue(j)
@@ -144,7 +144,7 @@
 	req := taskRequirements(r.job.spec.Queue, r.step.spec)
 	for i := range m.workers {
 		w := &m.workers[i]
-		if w.State == sched.Usable && w.Suits(&req) && !slices.Contains(t.avoid, m.guards[i]) {
+		if w.State == sched.Usable && w.CanRun(&req) && !slices.Contains(t.avoid, m.guards[i]) {
 			return
 		}
 	}
@@ -154,7 +154,7 @@
 // failJob answers a job with an error and stops its active runs.
 func (m *Machine) failJob(now time.Duration, j *job, err *errkind.Error) {
 	if len(j.activeRuns) > 0 {
-		j.addEvent(Event{At: now, What: EventWithdrawn, Tasks: len(j.activeRuns)})
+		j.addEvent(Event{At: now, Decision: EventWithdrawn, Tasks: len(j.activeRuns)})
 	}
 	stopped := make(map[*guard]bool)
 	for _, r := range slices.Clone(j.activeRuns) {
@@ -183,7 +183,7 @@
 		err = err.WithRan(errkind.RanUnknown)
 	}
 	m.endedJobs.add(j.spec.ID, stateOf(err), j.maxRun())
-	m.actions = append(m.actions, Action{Finish: &Outcome{ID: j.spec.ID, Job: j.spec, Err: err, Story: j.events}})
+	m.actions = append(m.actions, Action{Finish: &Outcome{ID: j.spec.ID, Job: j.spec, Err: err, Events: j.events}})
 }
 
 // expireJob answers a job whose deadline has passed.
--- a/internal/batch/health.go
+++ b/internal/batch/health.go
@@ -16,23 +16,23 @@
 	switch {
 	case e.Kind == errkind.None:
 		isSlow := milliseconds(e.RunMs) > time.Duration(slowRunFactor*float64(m.expectedRunTime(r.job.spec.Queue, r.step.spec)))
-		g.health.Ran(isSlow)
-		if w.Limit > 0 && !g.isQuarantined {
-			w.Limit = int(g.health.Probed(int32(w.Limit), probationTaskLimit, isSlow))
+		g.health.RecordRun(isSlow)
+		if w.MaxOwnTasks > 0 && !g.isQuarantined {
+			w.MaxOwnTasks = int(g.health.RecordProbe(int32(w.MaxOwnTasks), probationTaskLimit, isSlow))
 		}
 	case e.Kind == errkind.UpstreamFailed || e.Kind == errkind.TimedOut || e.Kind == errkind.Stalled:
-		g.health.Failed(r.key.Job)
+		g.health.RecordFailure(r.key.Job)
 	default:
 		return
 	}
-	if g.health.Sick() {
+	if g.health.ShouldQuarantine() {
 		m.quarantine(now, g)
 	}
 }
 
 // quarantine excludes a worker from placement for a while, unless too few workers would be left.
 func (m *Machine) quarantine(now time.Duration, g *guard) {
-	if g.isQuarantined || !m.canQuarantine() || m.options.Off.Has(policy.Quarantine) {
+	if g.isQuarantined || !m.canQuarantine() || m.options.Disabled.Has(policy.Quarantine) {
 		return
 	}
 	g.isQuarantined = true
@@ -70,8 +70,8 @@
 // guard still reports as slow is quarantined again.
 func (m *Machine) endQuarantine(now time.Duration, g *guard) {
 	g.isQuarantined = false
-	if !m.options.Off.Has(policy.Probation) {
-		m.workers[g.position].Limit = 1
+	if !m.options.Disabled.Has(policy.Probation) {
+		m.workers[g.position].MaxOwnTasks = 1
 	}
 	m.updateState(g)
 	m.quarantineIfSlow(now, g)
--- a/internal/batch/ideal_test.go
+++ b/internal/batch/ideal_test.go
@@ -49,7 +49,7 @@
 
 // simulateCentralQueue runs a load on one central queue.
 func (l load) simulateCentralQueue(startsWhole bool) *loadResult {
-	c := &centralQueue{s: newSim(l.seed, 0, 0, runs.DefaultResend, 0), startsWhole: startsWhole}
+	c := &centralQueue{s: newSim(l.seed, 0, 0, runs.DefaultResendDelay, 0), startsWhole: startsWhole}
 	for range loadGuards {
 		c.free = append(c.free, loadWorkerCPU)
 	}
--- a/internal/batch/load_test.go
+++ b/internal/batch/load_test.go
@@ -129,10 +129,10 @@
 
 // simulate runs a load with its faults.
 func (l load) simulate() *loadResult {
-	s := newSim(l.seed, loadEntries, loadGuards, runs.DefaultResend, l.disabled)
+	s := newSim(l.seed, loadEntries, loadGuards, runs.DefaultResendDelay, l.disabled)
 	s.linkRate, s.answerDelay = l.linkRate, l.answerDelay
 	for _, w := range s.workers {
-		w.capacity = sched.Room{CPU: loadWorkerCPU, MemoryMB: 1 << 20}
+		w.capacity = sched.Resources{CPU: loadWorkerCPU, MemoryMB: 1 << 20}
 	}
 	start := s.now + 3*time.Second
 	s.run(start)
@@ -202,7 +202,7 @@
 			j := &simJob{id: fmt.Sprintf("c%015x", n), steps: []batch.Step{step}, submittedAt: s.now, queue: mix[n%len(mix)].queue, runTime: runTime, text: "x", crashes: true, crashedWorkers: make(map[string]int), startsAfterCrashes: make(map[string]int)}
 			s.jobs[j.id] = j
 			j.onAnswer = func(out *batch.Outcome) {
-				if out.Err != nil && batch.HasFailed(out.Err) {
+				if out.Err != nil && batch.IsFinalFailure(out.Err) {
 					r.crashersFailed++
 					r.meanAnswerTime += (s.now - j.submittedAt) / time.Duration(l.crashingJobs)
 				}
@@ -245,7 +245,7 @@
 	runTime = time.Duration(float64(k.medianRunTime) * logNormal(0.3))
 	return batch.Step{
 		Count:    max(1, int(math.Round(float64(k.tasks)*logNormal(0.4)))),
-		Need:     sched.Room{CPU: int64(float64(k.cpu) * (0.6 + 0.8*s.rng.Float64())), MemoryMB: 64},
+		Need:     sched.Resources{CPU: int64(float64(k.cpu) * (0.6 + 0.8*s.rng.Float64())), MemoryMB: 64},
 		Estimate: time.Duration(float64(runTime) * (0.7 + 0.8*s.rng.Float64()) / max(1, k.estimateDivisor)),
 	}, runTime
 }
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -42,14 +42,14 @@
 	startedAt  time.Duration
 	entryCount int // entries that share the workers
 
-	guards    []*guard     // by position, nil where free; parallel to workers
-	workers   []sched.Site // placement data of the guards' workers
+	guards    []*guard           // by position, nil where free; parallel to workers
+	workers   []sched.WorkerView // placement data of the guards' workers
 	guardByID map[identity.Incarnation]*guard
 
 	jobs             map[string]*job // unanswered jobs, by ID
 	queue            []*job          // jobs with waiting tasks, ordered by compareJobs
 	activeRuns       map[runs.Key]*activeRun
-	runTimeRatios    map[string]*sched.Ratio // by queue
+	runTimeRatios    map[string]*sched.RunTimeEstimator // by queue
 	endedJobs        *endedJobs
 	crashes          *crashCounts
 	seq              uint64
@@ -76,7 +76,7 @@
 		guardByID:        make(map[identity.Incarnation]*guard),
 		jobs:             make(map[string]*job),
 		activeRuns:       make(map[runs.Key]*activeRun),
-		runTimeRatios:    make(map[string]*sched.Ratio),
+		runTimeRatios:    make(map[string]*sched.RunTimeEstimator),
 		recentPriorities: make(map[string]recentPriority),
 		endedJobs:        newEndedJobs(historySize),
 		crashes:          newCrashCounts(historySize),
@@ -91,9 +91,9 @@
 	return pending
 }
 
-// Beside accounts for a frame that the owner sends to a guard in addition to the machine's
+// RecordExternalFrame accounts for a frame that the owner sends to a guard in addition to the machine's
 // actions.
-func (m *Machine) Beside(now time.Duration, f *wire.Frame) { m.uplink.recordSend(now, f) }
+func (m *Machine) RecordExternalFrame(now time.Duration, f *wire.Frame) { m.uplink.recordSend(now, f) }
 
 // SetEntries sets the number of entries that share the workers.
 func (m *Machine) SetEntries(n int) { m.entryCount = max(1, n) }
@@ -111,13 +111,13 @@
 
 // Snapshot is the data that admission decisions are based on, for logs.
 type Snapshot struct {
-	Waiting   int           // jobs with waiting tasks
-	Running   int           // runs that were sent and have not ended
-	Workers   int           // usable workers
-	Free      int64         // estimate of the free CPU of usable workers, in thousandths of a core
-	Entries   int           // entries that share the workers
-	LinkRate  int64         // see Machine.LinkRate
-	LinkAhead time.Duration // time that the sent frames still need to pass the link
+	Waiting     int           // jobs with waiting tasks
+	Running     int           // runs that were sent and have not ended
+	Workers     int           // usable workers
+	Free        int64         // estimate of the free CPU of usable workers, in thousandths of a core
+	Entries     int           // entries that share the workers
+	LinkRate    int64         // see Machine.LinkRate
+	LinkBacklog time.Duration // time that the sent frames still need to pass the link
 }
 
 // LinkRate returns the estimated bandwidth to the guards, in bytes a second; 0 if the link has
@@ -128,7 +128,7 @@
 func (m *Machine) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
 		Waiting: len(m.queue), Running: len(m.activeRuns), Workers: m.Workers(), Entries: m.entryCount,
-		LinkRate: m.LinkRate(), LinkAhead: max(0, m.uplink.idleAt-now),
+		LinkRate: m.LinkRate(), LinkBacklog: max(0, m.uplink.idleAt-now),
 	}
 	for i := range m.workers {
 		if w := &m.workers[i]; w.State == sched.Usable {
@@ -176,7 +176,7 @@
 	}
 	j := m.newJob(spec, now, criticalPath, m.endedJobs.maxRun(spec.ID))
 	_, freeCPU := m.serviceCPU(spec.Queue.Service)
-	j.addEvent(Event{At: now, What: EventAdmitted, Tasks: j.unfinished, Free: freeCPU, Wait: expectedWait, Goal: j.targetEnd - now})
+	j.addEvent(Event{At: now, Decision: EventAdmitted, Tasks: j.unfinished, Free: freeCPU, Wait: expectedWait, Goal: j.targetEnd - now})
 	m.jobs[spec.ID] = j
 	m.enqueue(j)
 	m.dispatchWaiting(now)
--- a/internal/batch/past.go
+++ b/internal/batch/past.go
@@ -45,7 +45,7 @@
 	switch {
 	case err == nil:
 		return Complete
-	case HasFailed(err):
+	case IsFinalFailure(err):
 		return Failed
 	case err.Kind == errkind.Cancelled:
 		return Cancelled
@@ -53,8 +53,8 @@
 	return Unknown
 }
 
-// HasFailed reports whether an error means that the job has failed for good: it would fail again
+// IsFinalFailure reports whether an error means that the job has failed for good: it would fail again
 // if it were resubmitted.
-func HasFailed(err *errkind.Error) bool {
+func IsFinalFailure(err *errkind.Error) bool {
 	return err.Kind == errkind.UpstreamFailed || err.Kind == errkind.NeverFits
 }
--- a/internal/batch/place.go
+++ b/internal/batch/place.go
@@ -67,7 +67,7 @@
 // event in a full fleet.
 func (m *Machine) canStart(j *job, maxFree int64) bool {
 	q := j.spec.Queue
-	if j.hasSentTasks || q.Priority <= m.recentPriorities[q.Service].priority || m.options.Off.Has(policy.WholeStarts) {
+	if j.hasSentTasks || q.Priority <= m.recentPriorities[q.Service].priority || m.options.Disabled.Has(policy.WholeStarts) {
 		return true
 	}
 	for i := range j.steps {
@@ -88,12 +88,12 @@
 		required = min(required, max(1, int(maxWholeStartShare*float64(capacity))/int(s.spec.Need.CPU)))
 	}
 	req := taskRequirements(q, s.spec)
-	return sched.Places(m.workers, &req, cmp.Or(s.spec.PerWorker, required), required) >= required
+	return sched.CountPlacements(m.workers, &req, cmp.Or(s.spec.PerWorker, required), required) >= required
 }
 
 // taskRequirements returns the placement requirements of a step's tasks.
-func taskRequirements(q *Queue, s *Step) sched.Ask {
-	return sched.Ask{Service: q.Service, Need: s.Need, Label: s.Label}
+func taskRequirements(q *Queue, s *Step) sched.TaskRequest {
+	return sched.TaskRequest{Service: q.Service, Need: s.Need, Label: s.Label}
 }
 
 // maxFreeCPU returns the largest free CPU of any usable worker, in thousandths of a core. No task
@@ -164,25 +164,25 @@
 	t := &s.tasks[index]
 	req := taskRequirements(j.spec.Queue, s.spec)
 	req.Rack = s.spec.Rack
-	if !m.options.Off.Has(policy.OwnDomain) {
+	if !m.options.Disabled.Has(policy.OwnDomain) {
 		req.Domain = m.options.Domain
 	}
 	if s.spec.PerWorker > 0 || len(t.avoid) > 0 || t.crashes > 0 {
-		req.Avoid = func(i int) bool {
+		req.IsExcluded = func(i int) bool {
 			at := m.guards[i]
 			return s.spec.PerWorker > 0 && s.at[at] >= s.spec.PerWorker || slices.Contains(t.avoid, at) ||
-				t.crashes > 0 && at.suspectRuns > 0 && !m.options.Off.Has(policy.SuspectsApart)
+				t.crashes > 0 && at.suspectRuns > 0 && !m.options.Disabled.Has(policy.SuspectsApart)
 		}
 	}
 	for _, b := range batches {
 		if m.uplink.rate == 0 {
 			break
 		}
-		if at := b.guard.position; m.workers[at].Open(&req) && (req.Avoid == nil || !req.Avoid(at)) {
+		if at := b.guard.position; m.workers[at].CanAccept(&req) && (req.IsExcluded == nil || !req.IsExcluded(at)) {
 			return b.guard
 		}
 	}
-	i := sched.BestSite(m.workers, &req)
+	i := sched.BestWorker(m.workers, &req)
 	if i == sched.NoWorker {
 		return nil
 	}
@@ -204,13 +204,13 @@
 	j.waiting--
 	j.hasSentTasks = true
 	w := &m.workers[at.position]
-	if w.Own++; w.Own == 1 {
+	if w.OwnTasks++; w.OwnTasks == 1 {
 		at.busySince = now
 	}
 	w.Free = w.Free.Minus(s.spec.Need)
 	return wire.RunTask{
 		Step: s.stepIndex, Index: index, Run: t.runNumber, Need: s.spec.Need,
-		ExpectMs: m.expectedRunTime(j.spec.Queue, s.spec).Milliseconds(), Moved: t.wasMoved,
+		ExpectMs: m.expectedRunTime(j.spec.Queue, s.spec).Milliseconds(), Relocated: t.wasMoved,
 		Crashes: t.crashes,
 	}
 }
@@ -219,13 +219,13 @@
 func (m *Machine) sendBatch(now time.Duration, j *job, b *guardBatch) {
 	g := b.guard
 	g.seq++
-	var needed sched.Room
+	var needed sched.Resources
 	for i := range b.tasks {
 		needed = needed.Plus(b.tasks[i].Need)
 	}
 	demand := m.demand()
 	g.demand = demand
-	j.addEvent(Event{At: now, What: EventTasksSent, Guard: g.id, Tasks: len(b.tasks), Free: m.workers[g.position].Free.CPU + needed.CPU, Age: now - g.lastHeardAt})
+	j.addEvent(Event{At: now, Decision: EventTasksSent, Guard: g.id, Tasks: len(b.tasks), Free: m.workers[g.position].Free.CPU + needed.CPU, Age: now - g.lastHeardAt})
 	runTasks := &wire.RunTasks{
 		Seq: g.seq, ClockMs: g.estimatedClockMs(now), Job: j.spec.ID,
 		LeftMs: (j.spec.Deadline - now).Milliseconds(), Tasks: b.tasks, Demand: demand, Request: j.spec.Request,
--- a/internal/batch/place_test.go
+++ b/internal/batch/place_test.go
@@ -61,11 +61,11 @@
 	small.Queue = &lowPriority
 	m.Cancel(0, "booking")
 	m.Actions(0)
-	free := sched.Room{CPU: 5000}
-	m.Beat(0, "g0", &wire.GuardBeat{Load: wire.RunLoad{Free: free, Seen: 9}})
+	free := sched.Resources{CPU: 5000}
+	m.HandleBeat(0, "g0", &wire.GuardHeartbeat{Load: wire.RunLoad{Free: free, SeenSeq: 9}})
 	qt.Assert(t, m.Submit(0, small) == nil, qt.IsTrue)
 	qt.Check(t, countSentTasks(m.Actions(0)), qt.Equals, 0)
-	m.Beat(0, "g0", &wire.GuardBeat{Load: wire.RunLoad{Free: sched.Room{CPU: 7000}, Seen: 9}})
+	m.HandleBeat(0, "g0", &wire.GuardHeartbeat{Load: wire.RunLoad{Free: sched.Resources{CPU: 7000}, SeenSeq: 9}})
 	qt.Check(t, countSentTasks(m.Actions(0)), qt.Equals, 2)
 }
 
--- a/internal/batch/random_test.go
+++ b/internal/batch/random_test.go
@@ -91,7 +91,7 @@
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := simulate(seed, simJobs, runs.DefaultResend, f, injectFault)
+			s := simulate(seed, simJobs, runs.DefaultResendDelay, f, injectFault)
 			qt.Check(t, s.violations, qt.HasLen, 0)
 			qt.Check(t, s.counts.complete > s.counts.sent/2, qt.IsTrue, qt.Commentf("%+v", s.counts))
 		})
@@ -105,7 +105,7 @@
 	fetched := 0
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := simulateOverLinks(30_000+seed, simJobs, runs.DefaultResend, f, injectFault, 62_500)
+			s := simulateOverLinks(30_000+seed, simJobs, runs.DefaultResendDelay, f, injectFault, 62_500)
 			qt.Check(t, s.violations, qt.HasLen, 0)
 			qt.Check(t, s.counts.complete > s.counts.sent/4, qt.IsTrue, qt.Commentf("%+v", s.counts))
 			fetched += s.counts.fetched
@@ -117,7 +117,7 @@
 // Guards against refusals and incomplete jobs at half of the workers' capacity without faults.
 func TestAllJobsCompleteWithoutFaults(t *testing.T) {
 	for seed := range uint64(5) {
-		s := simulate(seed, simJobs/2, runs.DefaultResend, simFaults{}, nil)
+		s := simulate(seed, simJobs/2, runs.DefaultResendDelay, simFaults{}, nil)
 		qt.Check(t, s.violations, qt.HasLen, 0)
 		qt.Check(t, s.counts.complete, qt.Equals, s.counts.sent, qt.Commentf("seed %d: %+v", seed, s.counts))
 	}
--- a/internal/batch/sim_test.go
+++ b/internal/batch/sim_test.go
@@ -122,7 +122,7 @@
 func (s *sim) newEntry(i, generation int) *simEntry {
 	id := identity.Incarnation(fmt.Sprintf("e%d-%d", i, generation))
 	return &simEntry{
-		s: s, id: id, m: batch.New(s.now, batch.Options{Domain: domainOf(i), Seed: s.rng.Uint64(), Timing: runs.TimingFor(s.resendInterval), Off: s.disabled}),
+		s: s, id: id, m: batch.New(s.now, batch.Options{Domain: domainOf(i), Seed: s.rng.Uint64(), Timing: runs.TimingFor(s.resendInterval), Disabled: s.disabled}),
 		waiters: make(map[string]func(*batch.Outcome)),
 	}
 }
@@ -161,7 +161,7 @@
 		generation++
 	}
 	g := &simGuard{
-		s: s, id: identity.Incarnation(fmt.Sprintf("g%d-%d", i, generation)), m: runs.New(runs.Options{Timing: runs.TimingFor(s.resendInterval), Off: s.disabled}),
+		s: s, id: identity.Incarnation(fmt.Sprintf("g%d-%d", i, generation)), m: runs.New(runs.Options{Timing: runs.TimingFor(s.resendInterval), Disabled: s.disabled}),
 		texts: make(map[string]string), worker: s.workers[i], links: make(map[identity.Incarnation]*simLink),
 	}
 	s.guards[i] = g
@@ -277,11 +277,11 @@
 		if !l.isUp || e.hasExited || g.hasExited {
 			return
 		}
-		e.handle(func() { e.step(func() { e.m.GuardUp(s.now, hello) }) })
+		e.handle(func() { e.step(func() { e.m.AddGuard(s.now, hello) }) })
 		g.handle(func() {
 			g.step(func() { g.m.LinkUp(s.now, e.id) })
 			w := g.m.Worker()
-			l.sendToEntry(&wire.Frame{GuardBeat: &wire.GuardBeat{Load: g.m.Load(s.now, e.id), Worker: &w}})
+			l.sendToEntry(&wire.Frame{GuardHeartbeat: &wire.GuardHeartbeat{Load: g.m.Load(s.now, e.id), Worker: &w}})
 		})
 	})
 }
@@ -295,7 +295,7 @@
 	e, g := l.entry, l.guard
 	s.after(simDelay, func() {
 		if !e.hasExited {
-			e.handle(func() { e.step(func() { e.m.GuardDown(s.now, g.id) }) })
+			e.handle(func() { e.step(func() { e.m.RemoveGuard(s.now, g.id) }) })
 		}
 		if !g.hasExited && g.links[e.id] == l {
 			delete(g.links, e.id)
--- a/internal/batch/simcaller_test.go
+++ b/internal/batch/simcaller_test.go
@@ -44,7 +44,7 @@
 		}
 		e.handle(func() {
 			// An entry that was suspended first lets callers that have left cancel their jobs.
-			s.at(e.resumedAt+batch.WakePause, func() {
+			s.at(e.resumedAt+batch.ResumeDelay, func() {
 				if !isDone && !e.hasExited {
 					e.handle(func() { e.submit(j, callerTimeout, answer) })
 				}
@@ -101,7 +101,7 @@
 	case out.Err == nil:
 		s.counts.complete++
 		j.hasEnded = true
-	case batch.HasFailed(out.Err):
+	case batch.IsFinalFailure(out.Err):
 		s.counts.failed++
 		j.hasEnded, j.failed = true, true
 		s.checkFailure(j, out.Err)
@@ -125,7 +125,7 @@
 	j := &simJob{id: fmt.Sprintf("%016x", n), submittedAt: s.now, text: randomText(simTextBytes)}
 	for i := range 1 + s.rng.IntN(2) {
 		step := batch.Step{
-			Count: 1 + s.rng.IntN(5), Need: sched.Room{CPU: 2000 + s.rng.Int64N(3000), MemoryMB: 64},
+			Count: 1 + s.rng.IntN(5), Need: sched.Resources{CPU: 2000 + s.rng.Int64N(3000), MemoryMB: 64},
 			Estimate: time.Duration(40+s.rng.IntN(400)) * time.Millisecond,
 		}
 		if i > 0 {
@@ -149,7 +149,7 @@
 			Capacity: w.capacity,
 		}
 		if !g.hasExited {
-			g.handle(func() { g.step(func() { g.m.Heard(s.now, rep) }) })
+			g.handle(func() { g.step(func() { g.m.HandleReport(s.now, rep) }) })
 		}
 	}
 	s.after(1500*time.Millisecond, func() { s.sendReport(i) })
--- a/internal/batch/simnode_test.go
+++ b/internal/batch/simnode_test.go
@@ -84,7 +84,7 @@
 func (e *simEntry) handle(do func()) {
 	handleOrDefer(e.s, &e.suspendedUntil, &e.deferred, do, func() {
 		e.resumedAt = e.s.now
-		e.step(func() { e.m.Woke(e.s.now) })
+		e.step(func() { e.m.HandleResume(e.s.now) })
 	})
 }
 
@@ -124,11 +124,11 @@
 	e.step(func() {
 		switch {
 		case f.RunsEnded != nil:
-			e.m.Ended(e.s.now, from, f.RunsEnded)
-		case f.GuardBeat != nil:
-			e.m.Beat(e.s.now, from, f.GuardBeat)
+			e.m.HandleRunsEnded(e.s.now, from, f.RunsEnded)
+		case f.GuardHeartbeat != nil:
+			e.m.HandleBeat(e.s.now, from, f.GuardHeartbeat)
 		case f.WorkerCrash != nil:
-			e.m.NoteCrash(f.WorkerCrash)
+			e.m.HandleWorkerCrash(f.WorkerCrash)
 		}
 	})
 }
@@ -144,7 +144,7 @@
 				delete(e.waiters, a.Finish.ID)
 				answer(a.Finish)
 			}
-		case a.Drop:
+		case a.CloseLink:
 			if l := e.linkTo(a.Guard); l != nil {
 				s.unlink(l)
 			}
@@ -184,8 +184,8 @@
 			g.m.Run(now, from, f.RunTasks)
 		case f.StopRuns != nil:
 			g.m.StopJob(now, from, f.StopRuns)
-		case f.EntryBeat != nil:
-			g.m.Beat(now, from, f.EntryBeat)
+		case f.EntryHeartbeat != nil:
+			g.m.Beat(now, from, f.EntryHeartbeat)
 		}
 	})
 }
@@ -203,20 +203,20 @@
 		case a.Fetch != nil:
 			g.fetch(a.Fetch)
 		case a.Start != nil:
-			g.sendOrder(a.Start.AnswerIn, func() any { return g.worker.start(a.Start) }, func(result any) {
+			g.sendOrder(a.Start.Timeout, func() any { return g.worker.start(a.Start) }, func(result any) {
 				answer, ok := result.(runs.StartAnswer)
 				if !ok {
 					answer = runs.StartAnswer{Verdict: runs.NoAnswer}
 				}
-				g.step(func() { g.m.Started(s.now, a.Start.Key, answer) })
+				g.step(func() { g.m.HandleStartAnswer(s.now, a.Start.Key, answer) })
 			})
 		case a.Stop != nil:
-			g.sendOrder(a.Stop.AnswerIn, func() any { return g.worker.stop(a.Stop) }, func(result any) {
+			g.sendOrder(a.Stop.Timeout, func() any { return g.worker.stop(a.Stop) }, func(result any) {
 				v, ok := result.(runs.Verdict)
 				if !ok {
 					v = runs.NoAnswer
 				}
-				g.step(func() { g.m.Stopped(s.now, a.Stop.Key, v, 0) })
+				g.step(func() { g.m.HandleStopAnswer(s.now, a.Stop.Key, v, 0) })
 			})
 		case a.Hold != nil:
 			g.worker.hold(g, a.Hold)
@@ -238,7 +238,7 @@
 	answer := func(text string, ok bool) func() {
 		return func() {
 			if !g.hasExited {
-				g.handle(func() { g.step(func() { g.m.Fetched(s.now, f.From, f.Job, text, ok) }) })
+				g.handle(func() { g.step(func() { g.m.HandleFetchAnswer(s.now, f.From, f.Job, text, ok) }) })
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 				return
 			}
 		}
-		s.after(f.AnswerIn, answer("", false))
+		s.after(f.Timeout, answer("", false))
 	})
 }
 
--- a/internal/batch/simworker_test.go
+++ b/internal/batch/simworker_test.go
@@ -21,7 +21,7 @@
 	isUp          bool
 	seq           int64
 	startedAt     time.Duration
-	capacity      sched.Room
+	capacity      sched.Resources
 	token         int64         // highest fencing token seen
 	leaseEnd      time.Duration // end of all leases, on its own clock
 	active        map[runs.Key]*simRun
@@ -36,7 +36,7 @@
 // simRun is an active run at a worker.
 type simRun struct {
 	key          runs.Key
-	room         sched.Room
+	room         sched.Resources
 	startedAt    time.Duration
 	duration     time.Duration // time that the run needs
 	stalledFor   time.Duration // total duration of past stalls
@@ -61,7 +61,7 @@
 func (w *simWorker) reset() {
 	w.generation++
 	w.id, w.isUp, w.startedAt = fmt.Sprintf("%s-%d", w.name, w.generation), true, w.s.now-time.Duration(w.number)*time.Second
-	w.capacity = sched.Room{CPU: 16000, MemoryMB: 4096}
+	w.capacity = sched.Resources{CPU: 16000, MemoryMB: 4096}
 	w.token, w.leaseEnd, w.seq = 0, 0, 0
 	w.active, w.highestRun = make(map[runs.Key]*simRun), make(map[string]int64)
 	w.ended, w.lastEndNumber = nil, 0
@@ -99,7 +99,7 @@
 	case !w.isUp:
 		return runs.NoAnswer
 	case l.Worker != w.id:
-		return runs.OtherWorker
+		return runs.WrongInstance
 	case l.Token < w.token:
 		return runs.FencedOff
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	for _, r := range w.runsInOrder() {
-		w.endRun(r, runs.EndLapsed)
+		w.endRun(r, runs.EndLeaseExpired)
 	}
 }
 
@@ -155,7 +155,7 @@
 		return answer(runs.Outdated)
 	}
 	if w.clock() >= time.Duration(o.UntilMs)*time.Millisecond {
-		return answer(runs.LeaseOver)
+		return answer(runs.LeaseExpired)
 	}
 	w.extendLease(o.UntilMs)
 	return answer(w.startRun(o.Key, task))
@@ -166,11 +166,11 @@
 	s := w.s
 	job := s.jobs[k.Job]
 	step := job.steps[k.Step]
-	inUse := sched.Room{}
+	inUse := sched.Resources{}
 	for _, r := range w.active {
 		inUse = inUse.Plus(r.room)
 	}
-	if !w.capacity.Minus(inUse).Holds(step.Need) {
+	if !w.capacity.Minus(inUse).CanFit(step.Need) {
 		s.addViolation("worker %s received a task for which it has no room", w.id)
 		return runs.NoRoom
 	}
@@ -241,7 +241,7 @@
 }
 
 // endAfter ends a run after the delay, or later if it was stalled.
-func (w *simWorker) endAfter(r *simRun, delay time.Duration, result runs.How) {
+func (w *simWorker) endAfter(r *simRun, delay time.Duration, result runs.Outcome) {
 	generation := w.generation
 	w.s.after(delay, func() {
 		if !w.isUp || w.generation != generation || w.active[r.key] != r {
@@ -280,14 +280,14 @@
 }
 
 // endRun ends a run and answers a pending Hold.
-func (w *simWorker) endRun(r *simRun, result runs.How) {
+func (w *simWorker) endRun(r *simRun, result runs.Outcome) {
 	delete(w.active, r.key)
 	delete(w.s.running, taskID(r.key))
 	work := float64(r.room.CPU) / 1000 * (w.s.now - r.startedAt).Seconds()
 	w.s.workDone += work
 	w.s.jobs[r.key.Job].workDone += work
 	w.lastEndNumber++
-	w.ended = append(w.ended, runs.Ended{Number: w.lastEndNumber, Key: r.key, How: result})
+	w.ended = append(w.ended, runs.Ended{Number: w.lastEndNumber, Key: r.key, Outcome: result})
 	if h := w.pendingHold; h != nil {
 		w.pendingHold = nil
 		h.answer(w.holdAnswer())
@@ -337,12 +337,12 @@
 		pending.isAnswered = true
 		s.after(after, func() {
 			if !g.hasExited {
-				g.handle(func() { g.step(func() { g.m.Held(s.now, h.Worker, a) }) })
+				g.handle(func() { g.step(func() { g.m.HandleHoldAnswer(s.now, h.Worker, a) }) })
 			}
 		})
 	}
 	pending.answer = func(a *runs.HoldAnswer) { reply(simDelay/2+s.answerDelay, a) }
-	s.after(h.Wait+h.AnswerIn, func() { reply(0, &runs.HoldAnswer{Verdict: runs.NoAnswer}) })
+	s.after(h.Wait+h.Timeout, func() { reply(0, &runs.HoldAnswer{Verdict: runs.NoAnswer}) })
 	if s.rng.Float64() < s.faults.lateOrder {
 		return // the answer is lost
 	}
@@ -353,7 +353,7 @@
 func (w *simWorker) handle(h *runs.Hold, pending *simHold) {
 	v := w.checkLease(&h.Lease)
 	if v == runs.NoAnswer {
-		pending.answer(&runs.HoldAnswer{Verdict: v, Gone: true})
+		pending.answer(&runs.HoldAnswer{Verdict: v, IsConnRefused: true})
 		return
 	}
 	if v != runs.Done {
--- a/internal/batch/site.go
+++ b/internal/batch/site.go
@@ -15,18 +15,18 @@
 	id               identity.Incarnation
 	position         int // index into Machine.guards and Machine.workers
 	worker           wire.RunWorker
-	maxCapacity      sched.Room     // largest capacity reported by this incarnation of the worker
-	seq              uint64         // sequence number of the last RunTasks
-	pendingTasks     []pendingTasks // RunTasks that the guard's latest load does not include
-	free             sched.Room     // free room in the guard's latest load
-	clockOffset      time.Duration  // lower bound of the guard's clock minus this entry's clock
-	readsPackedTexts bool           // its protocol version supports compressed texts
-	textsAddress     string         // address from which other guards fetch texts; empty for none
-	minTaskAge       time.Duration  // smallest age of this entry's tasks on arrival, an estimate of the idle latency
-	lastHeardAt      time.Duration  // time of its latest load
-	lastSentAt       time.Duration  // time of the last frame sent to it
-	busySince        time.Duration  // time at which the first of its current runs was sent
-	demand           wire.RunDemand // last demand sent to it
+	maxCapacity      sched.Resources // largest capacity reported by this incarnation of the worker
+	seq              uint64          // sequence number of the last RunTasks
+	pendingTasks     []pendingTasks  // RunTasks that the guard's latest load does not include
+	free             sched.Resources // free room in the guard's latest load
+	clockOffset      time.Duration   // lower bound of the guard's clock minus this entry's clock
+	readsPackedTexts bool            // its protocol version supports compressed texts
+	textsAddress     string          // address from which other guards fetch texts; empty for none
+	minTaskAge       time.Duration   // smallest age of this entry's tasks on arrival, an estimate of the idle latency
+	lastHeardAt      time.Duration   // time of its latest load
+	lastSentAt       time.Duration   // time of the last frame sent to it
+	busySince        time.Duration   // time at which the first of its current runs was sent
+	demand           wire.RunDemand  // last demand sent to it
 	// suspectRuns is the number of this entry's runs there with isSuspect set.
 	suspectRuns      int
 	health           sched.Health
@@ -37,7 +37,7 @@
 // pendingTasks is a sent RunTasks frame that the guard's load does not include yet.
 type pendingTasks struct {
 	seq  uint64
-	room sched.Room // total need of its tasks
+	room sched.Resources // total need of its tasks
 	sent sendRecord
 }
 
@@ -47,42 +47,42 @@
 	return (now + g.clockOffset).Milliseconds()
 }
 
-// GuardUp adds a guard and its worker once the link is established.
-func (m *Machine) GuardUp(now time.Duration, hello *wire.RunHello) {
+// AddGuard adds a guard and its worker once the link is established.
+func (m *Machine) AddGuard(now time.Duration, hello *wire.RunHello) {
 	if m.guardByID[hello.Incarnation] != nil {
-		m.GuardDown(now, hello.Incarnation)
+		m.RemoveGuard(now, hello.Incarnation)
 	}
 	g := &guard{id: hello.Incarnation, position: slices.Index(m.guards, nil)}
 	if g.position < 0 {
 		g.position = len(m.guards)
 		m.guards = append(m.guards, nil)
-		m.workers = append(m.workers, sched.Site{})
+		m.workers = append(m.workers, sched.WorkerView{})
 	}
 	m.guards[g.position] = g
 	m.guardByID[g.id] = g
-	g.readsPackedTexts, g.textsAddress = hello.Version >= wire.PackedSince, hello.Texts
+	g.readsPackedTexts, g.textsAddress = hello.Version >= wire.PackedTextVersion, hello.Texts
 	g.clockOffset, g.minTaskAge = milliseconds(hello.Load.ClockMs)-now, m.nearestTaskAge()+maxExtraLatency
 	m.setWorker(g, &hello.Worker)
 	m.updateLoad(now, g, &hello.Load)
 	m.dispatchWaiting(now)
 }
 
-// GuardDown handles the loss of a guard's link. Its runs may continue for Timing.Loss, and are
+// RemoveGuard handles the loss of a guard's link. Its runs may continue for Timing.Loss, and are
 // started elsewhere only after that. A job whose deadline does not allow for this delay is
 // answered at once.
-func (m *Machine) GuardDown(now time.Duration, id identity.Incarnation) {
+func (m *Machine) RemoveGuard(now time.Duration, id identity.Incarnation) {
 	g := m.guardByID[id]
 	if g == nil {
 		return
 	}
 	delete(m.guardByID, id)
 	m.guards[g.position] = nil
-	m.workers[g.position] = sched.Site{}
-	latestEnd := now + m.options.Timing.Loss()
+	m.workers[g.position] = sched.WorkerView{}
+	latestEnd := now + m.options.Timing.MaxOrphanAge()
 	m.hasLostRuns = true
 	for _, r := range m.activeRunsInOrder() {
 		if r.guard == g && r.endedBy == 0 {
-			r.job.addEvent(Event{At: now, What: EventGuardLost, Guard: id, Tasks: 1, Age: now - g.lastHeardAt})
+			r.job.addEvent(Event{At: now, Decision: EventGuardLost, Guard: id, Tasks: 1, Age: now - g.lastHeardAt})
 		}
 		switch {
 		case r.guard != g || r.endedBy > 0:
@@ -98,9 +98,9 @@
 	m.dispatchWaiting(now)
 }
 
-// Beat handles a guard's heartbeat, which contains its load and, after a change, the state of its
+// HandleBeat handles a guard's heartbeat, which contains its load and, after a change, the state of its
 // worker.
-func (m *Machine) Beat(now time.Duration, id identity.Incarnation, beat *wire.GuardBeat) {
+func (m *Machine) HandleBeat(now time.Duration, id identity.Incarnation, beat *wire.GuardHeartbeat) {
 	g := m.guardByID[id]
 	if g == nil {
 		return
@@ -120,11 +120,11 @@
 	previous := g.worker
 	if w.ID != previous.ID {
 		g.health, g.isQuarantined = sched.Health{}, false
-		m.workers[g.position].Limit = 0
-		g.maxCapacity = sched.Room{}
+		m.workers[g.position].MaxOwnTasks = 0
+		g.maxCapacity = sched.Resources{}
 	}
 	g.worker = *w
-	g.maxCapacity = g.maxCapacity.Most(w.Capacity)
+	g.maxCapacity = g.maxCapacity.Max(w.Capacity)
 	if w.ID != previous.ID || !previous.Usable || !previous.Cold {
 		m.limitColdWorker(g)
 	}
@@ -140,8 +140,8 @@
 	switch {
 	case g.worker.ID == "":
 		w.State = sched.Absent
-	case !g.worker.Usable, m.drains.Has(g.worker.Domain):
-		w.State = sched.Leaving
+	case !g.worker.Usable, m.drains.Contains(g.worker.Domain):
+		w.State = sched.Unavailable
 	case g.isQuarantined:
 		w.State = sched.Quarantined
 	default:
@@ -156,7 +156,7 @@
 	g.clockOffset = max(g.clockOffset, milliseconds(load.ClockMs)-now)
 	m.recordTaskAge(now, g, load)
 	g.free = load.Free
-	g.pendingTasks = slices.DeleteFunc(g.pendingTasks, func(p pendingTasks) bool { return p.seq <= load.Seen })
+	g.pendingTasks = slices.DeleteFunc(g.pendingTasks, func(p pendingTasks) bool { return p.seq <= load.SeenSeq })
 	free := g.free
 	for _, p := range g.pendingTasks {
 		free = free.Minus(p.room)
@@ -182,7 +182,7 @@
 // recordTaskAge records the age on arrival of the latest tasks that a guard has received.
 func (m *Machine) recordTaskAge(now time.Duration, g *guard, load *wire.RunLoad) {
 	for _, p := range g.pendingTasks {
-		if p.seq == load.Seen {
+		if p.seq == load.SeenSeq {
 			age := milliseconds(load.AgeMs)
 			g.minTaskAge = min(g.minTaskAge, age)
 			m.uplink.recordArrival(now, p.sent, age-g.minTaskAge)
--- a/internal/batch/slow_test.go
+++ b/internal/batch/slow_test.go
@@ -16,16 +16,16 @@
 func newFleet(workers int) *Machine {
 	m := New(0, Options{Seed: 1})
 	for i := range workers {
-		m.GuardUp(0, &wire.RunHello{
+		m.AddGuard(0, &wire.RunHello{
 			Incarnation: identity.Incarnation(fmt.Sprint("g", i)), Worker: testWorker(i, false),
-			Load: wire.RunLoad{Free: sched.Room{CPU: 40_000}},
+			Load: wire.RunLoad{Free: sched.Resources{CPU: 40_000}},
 		})
 	}
 	return m
 }
 
 func testWorker(i int, isSlow bool) wire.RunWorker {
-	return wire.RunWorker{ID: fmt.Sprint("w", i), Service: "s", Capacity: sched.Room{CPU: 40_000}, Usable: true, Slow: isSlow}
+	return wire.RunWorker{ID: fmt.Sprint("w", i), Service: "s", Capacity: sched.Resources{CPU: 40_000}, Usable: true, Slow: isSlow}
 }
 
 // Guards against tasks sent to a worker that its guard reports as slow. The worker is
@@ -33,19 +33,19 @@
 func TestWorkerReportedSlowGetsNoTasks(t *testing.T) {
 	m := newFleet(3)
 	w := testWorker(0, true)
-	m.Beat(0, "g0", &wire.GuardBeat{Worker: &w})
+	m.HandleBeat(0, "g0", &wire.GuardHeartbeat{Worker: &w})
 	qt.Check(t, m.Workers(), qt.Equals, 2)
 	firstEnd := m.NextTick()
 	qt.Assert(t, firstEnd > 0, qt.IsTrue)
 	m.Tick(firstEnd)
 	qt.Check(t, m.Workers(), qt.Equals, 2) // quarantined again, as it is still slow
 	w.Slow = false
-	m.Beat(firstEnd, "g0", &wire.GuardBeat{Worker: &w})
+	m.HandleBeat(firstEnd, "g0", &wire.GuardHeartbeat{Worker: &w})
 	secondEnd := m.NextTick()
 	qt.Check(t, secondEnd > firstEnd+time.Second, qt.IsTrue, qt.Commentf("%v after %v", secondEnd, firstEnd))
 	m.Tick(secondEnd)
 	qt.Check(t, m.Workers(), qt.Equals, 3)
-	qt.Check(t, m.workers[0].Limit, qt.Equals, 1)
+	qt.Check(t, m.workers[0].MaxOwnTasks, qt.Equals, 1)
 }
 
 // Guards against a service without usable workers when all of them seem slow, because the
@@ -54,7 +54,7 @@
 	m := newFleet(6)
 	for i := range 6 {
 		w := testWorker(i, true)
-		m.Beat(0, identity.Incarnation(fmt.Sprint("g", i)), &wire.GuardBeat{Worker: &w})
+		m.HandleBeat(0, identity.Incarnation(fmt.Sprint("g", i)), &wire.GuardHeartbeat{Worker: &w})
 	}
 	qt.Check(t, m.Workers(), qt.Equals, 3)
 }
--- a/internal/batch/thin_test.go
+++ b/internal/batch/thin_test.go
@@ -53,7 +53,7 @@
 // simulateLinks runs a load on workers with unlimited room. Only the requests and the texts of
 // their jobs pass the entries' links, the most urgent first.
 func (l load) simulateLinks() *loadResult {
-	s := newSim(l.seed, 0, 0, runs.DefaultResend, 0)
+	s := newSim(l.seed, 0, 0, runs.DefaultResendDelay, 0)
 	s.linkRate = l.linkRate
 	mix := ticketMix()
 	r := &loadResult{kinds: make([]tally, len(mix))}
--- a/internal/batch/tick.go
+++ b/internal/batch/tick.go
@@ -19,10 +19,10 @@
 	m.dispatchWaiting(now)
 }
 
-// Woke answers every job after the entry was suspended. Meanwhile, callers may have left and
+// HandleResume answers every job after the entry was suspended. Meanwhile, callers may have left and
 // resubmitted their jobs to other entries, which this entry detects only once it has read their
 // connections. If it continued such a job, the job would run twice at the same time.
-func (m *Machine) Woke(now time.Duration) { m.AnswerAll(now, "this entry was frozen") }
+func (m *Machine) HandleResume(now time.Duration) { m.AnswerAll(now, "this entry was frozen") }
 
 // AnswerAll answers every job with WorkerLost. The outcome of a job is unknown unless none of its
 // tasks has run.
@@ -88,10 +88,10 @@
 		}
 		switch {
 		case !busy[g]:
-		case now-max(g.lastHeardAt, g.busySince) > m.options.Timing.Permit:
-			m.actions = append(m.actions, Action{Guard: g.id, Drop: true})
-			m.GuardDown(now, g.id)
-		case now-g.lastSentAt >= m.options.Timing.Beat:
+		case now-max(g.lastHeardAt, g.busySince) > m.options.Timing.PeerTimeout:
+			m.actions = append(m.actions, Action{Guard: g.id, CloseLink: true})
+			m.RemoveGuard(now, g.id)
+		case now-g.lastSentAt >= m.options.Timing.BeatInterval:
 			m.sendBeat(now, g)
 		}
 	}
@@ -125,8 +125,8 @@
 			consider(r.endedBy)
 			continue
 		}
-		consider(r.guard.lastSentAt + m.options.Timing.Beat)
-		consider(max(r.guard.lastHeardAt, r.guard.busySince) + m.options.Timing.Permit + time.Millisecond)
+		consider(r.guard.lastSentAt + m.options.Timing.BeatInterval)
+		consider(max(r.guard.lastHeardAt, r.guard.busySince) + m.options.Timing.PeerTimeout + time.Millisecond)
 	}
 	for _, g := range m.guards {
 		if g != nil && g.isQuarantined {
--- a/internal/batch/uplink.go
+++ b/internal/batch/uplink.go
@@ -92,8 +92,8 @@
 	switch {
 	case f.RunTasks != nil:
 		return float64(tasksFrameBytes + textBytes(f.RunTasks) + bytesPerTask*len(f.RunTasks.Tasks))
-	case f.Desired != nil:
-		return float64(smallFrameBytes + len(f.Desired.Document))
+	case f.DesiredConfig != nil:
+		return float64(smallFrameBytes + len(f.DesiredConfig.Document))
 	}
 	return smallFrameBytes
 }
--- a/internal/batch/uplink_test.go
+++ b/internal/batch/uplink_test.go
@@ -99,10 +99,10 @@
 func newThinLinkEntry(guards int) *Machine {
 	m := New(0, Options{Seed: 1})
 	for i := range guards {
-		m.GuardUp(0, &wire.RunHello{
+		m.AddGuard(0, &wire.RunHello{
 			Version: wire.Version, Incarnation: guardID(i), Texts: "texts of " + string(guardID(i)),
-			Worker: wire.RunWorker{ID: "w", Service: testQueue.Service, Capacity: sched.Room{CPU: 8000}, Usable: true},
-			Load:   wire.RunLoad{Free: sched.Room{CPU: 8000}},
+			Worker: wire.RunWorker{ID: "w", Service: testQueue.Service, Capacity: sched.Resources{CPU: 8000}, Usable: true},
+			Load:   wire.RunLoad{Free: sched.Resources{CPU: 8000}},
 		})
 	}
 	m.uplink.rate = thinRate
@@ -150,8 +150,8 @@
 	qt.Assert(t, m.Submit(0, longJob("j", 4)) == nil, qt.IsTrue)
 	list, guards := sentRunTasks(m.Actions(0))
 	qt.Assert(t, list, qt.HasLen, 2)
-	end := wire.RunEnd{Job: "j", Index: list[1].Tasks[0].Index, Run: 1, Kind: errkind.Busy, Ran: errkind.RanNo, NoText: true}
-	m.Ended(time.Millisecond, guards[1], &wire.RunsEnded{Ends: []wire.RunEnd{end}, Load: wire.RunLoad{ClockMs: 1, Seen: 1, Free: sched.Room{CPU: 4000}}})
+	end := wire.RunEnd{Job: "j", Index: list[1].Tasks[0].Index, Run: 1, Kind: errkind.Busy, Ran: errkind.RanNo, TextUnavailable: true}
+	m.HandleRunsEnded(time.Millisecond, guards[1], &wire.RunsEnded{Ends: []wire.RunEnd{end}, Load: wire.RunLoad{ClockMs: 1, SeenSeq: 1, Free: sched.Resources{CPU: 4000}}})
 	again, _ := sentRunTasks(m.Actions(time.Millisecond))
 	qt.Assert(t, again, qt.HasLen, 1)
 	qt.Check(t, again[0].Source, qt.Equals, "")
@@ -161,10 +161,10 @@
 // Guards against a packed text sent to a guard that cannot read it.
 func TestGuardOfAnEarlierReleaseGetsPlainTexts(t *testing.T) {
 	m := New(0, Options{Seed: 1})
-	m.GuardUp(0, &wire.RunHello{
-		Version: wire.PackedSince - 1, Incarnation: "old",
-		Worker: wire.RunWorker{ID: "w", Service: testQueue.Service, Capacity: sched.Room{CPU: 8000}, Usable: true},
-		Load:   wire.RunLoad{Free: sched.Room{CPU: 8000}},
+	m.AddGuard(0, &wire.RunHello{
+		Version: wire.PackedTextVersion - 1, Incarnation: "old",
+		Worker: wire.RunWorker{ID: "w", Service: testQueue.Service, Capacity: sched.Resources{CPU: 8000}, Usable: true},
+		Load:   wire.RunLoad{Free: sched.Resources{CPU: 8000}},
 	})
 	j := longJob("j", 1)
 	qt.Assert(t, m.Submit(0, j) == nil, qt.IsTrue)
--- a/internal/batchnode/config_test.go
+++ b/internal/batchnode/config_test.go
@@ -45,7 +45,7 @@
 }
 
 func (d *documentCounter) count(counts map[string]int, address string, f *wire.Frame) {
-	if f.Desired != nil && len(f.Desired.Document) > 0 && f.Desired.Offset == 0 {
+	if f.DesiredConfig != nil && len(f.DesiredConfig.Document) > 0 && f.DesiredConfig.Offset == 0 {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		counts[address]++
@@ -53,11 +53,11 @@
 }
 
 func (d *documentCounter) addBytes(address string, f *wire.Frame) {
-	if f.Desired != nil {
+	if f.DesiredConfig != nil {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.sentBytes[address] += len(f.Desired.Document)
-		d.largestBytes = max(d.largestBytes, len(f.Desired.Document))
+		d.sentBytes[address] += len(f.DesiredConfig.Document)
+		d.largestBytes = max(d.largestBytes, len(f.DesiredConfig.Document))
 	}
 }
 
@@ -197,13 +197,13 @@
 		defer f.stop()
 		e := f.entry("a")
 		f.Assert(e.OfferConfig(5, make([]byte, largeConfig)), qt.IsNil)
-		guard := f.linkAsGuard(e, "g", wire.PiecesSince-1)
-		f.Assert(guard.Send(&wire.Frame{Desired: &wire.Desired{}}), qt.IsNil)
+		guard := f.linkAsGuard(e, "g", wire.ConfigPiecesVersion-1)
+		f.Assert(guard.Send(&wire.Frame{DesiredConfig: &wire.DesiredConfig{}}), qt.IsNil)
 		for {
 			got, err := guard.Recv(f.ctx)
 			f.Assert(err, qt.IsNil)
-			if got.Desired != nil {
-				f.Check(got.Desired.Document, qt.HasLen, largeConfig)
+			if got.DesiredConfig != nil {
+				f.Check(got.DesiredConfig.Document, qt.HasLen, largeConfig)
 				return
 			}
 		}
@@ -217,7 +217,7 @@
 		defer f.stop()
 		e := f.entry("a")
 		guard := f.linkAsGuard(e, "slow", wire.Version)
-		f.Assert(guard.Send(&wire.Frame{Desired: &wire.Desired{Version: 5}}), qt.IsNil)
+		f.Assert(guard.Send(&wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: 5}}), qt.IsNil)
 		ctx, cancel := context.WithTimeout(f.ctx, 3*time.Second)
 		defer cancel()
 		requests := 0
@@ -226,7 +226,7 @@
 			if err != nil {
 				break
 			}
-			if got.Desired != nil && got.Desired.Ask {
+			if got.DesiredConfig != nil && got.DesiredConfig.Ask {
 				requests++
 			}
 		}
@@ -263,7 +263,7 @@
 		defer f.stop()
 		e := f.entry("a")
 		silent := f.linkAsGuard(e, "silent", wire.Version)
-		f.Assert(silent.Send(&wire.Frame{Desired: &wire.Desired{Version: 5}}), qt.IsNil)
+		f.Assert(silent.Send(&wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: 5}}), qt.IsNil)
 		time.Sleep(50 * time.Millisecond)
 		f.entry("b")
 		f.Assert(f.entries["b"].OfferConfig(5, []byte("five")), qt.IsNil)
@@ -305,9 +305,9 @@
 		}
 		switch {
 		case f.RunHello != nil:
-			_ = l.Send(&wire.Frame{RunWelcome: &wire.RunWelcome{Version: wire.AsksSince - 1, Incarnation: "old"}})
-		case f.Desired != nil && len(f.Desired.Document) > 0:
-			versions <- f.Desired.Version
+			_ = l.Send(&wire.Frame{RunWelcome: &wire.RunWelcome{Version: wire.ConfigRequestVersion - 1, Incarnation: "old"}})
+		case f.DesiredConfig != nil && len(f.DesiredConfig.Document) > 0:
+			versions <- f.DesiredConfig.Version
 		}
 	}
 }
--- a/internal/batchnode/copies.go
+++ b/internal/batchnode/copies.go
@@ -67,8 +67,8 @@
 
 // sendCopy sends the current configuration to a guard, unless a copy is already being sent
 // on its link. Above the rate limit it sends nothing, and the guard requests the copy again
-// later. Guards with a protocol version below wire.AsksSince request it only once and always
-// get it; those below wire.PiecesSince get it in a single frame.
+// later. Guards with a protocol version below wire.ConfigRequestVersion request it only once and always
+// get it; those below wire.ConfigPiecesVersion get it in a single frame.
 func (e *Entry) sendCopy(link wire.Link, protocolVersion int) {
 	version, document := e.Config()
 	e.mu.Lock()
@@ -76,13 +76,13 @@
 	if e.outgoingCopies.inProgress[link] != nil {
 		return
 	}
-	if !e.outgoingCopies.tryBegin(e.opt.Clock(), len(document), e.machine.LinkRate()) && protocolVersion >= wire.AsksSince {
-		e.opt.Metrics.Inc(telemetry.CopiesDelayed)
+	if !e.outgoingCopies.tryBegin(e.opt.Clock(), len(document), e.machine.LinkRate()) && protocolVersion >= wire.ConfigRequestVersion {
+		e.opt.Metrics.Inc(telemetry.ConfigCopiesDelayed)
 		return
 	}
-	e.opt.Metrics.Inc(telemetry.CopiesSent)
-	if protocolVersion < wire.PiecesSince || len(document) <= chunkBytes {
-		e.sendDirect(link, &wire.Frame{Desired: &wire.Desired{Version: version, Document: document}})
+	e.opt.Metrics.Inc(telemetry.ConfigCopiesSent)
+	if protocolVersion < wire.ConfigPiecesVersion || len(document) <= chunkBytes {
+		e.sendDirect(link, &wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: version, Document: document}})
 		return
 	}
 	e.outgoingCopies.inProgress[link] = &outgoingCopy{version: version, document: document}
@@ -97,7 +97,7 @@
 		return // the link was closed
 	}
 	n := min(chunkBytes, len(c.document)-c.sentBytes)
-	e.sendDirect(link, &wire.Frame{Desired: &wire.Desired{
+	e.sendDirect(link, &wire.Frame{DesiredConfig: &wire.DesiredConfig{
 		Version: c.version, Document: c.document[c.sentBytes : c.sentBytes+n], Offset: int64(c.sentBytes), Size: int64(len(c.document)),
 	}})
 	c.sentBytes += n
@@ -125,7 +125,7 @@
 // addChunk appends a chunk. It returns the complete configuration after the last chunk, and
 // nil before. A chunk that is out of order or too large discards the copy; the guard
 // requests it again.
-func (c *incomingCopy) addChunk(now time.Duration, chunk *wire.Desired) *wire.Desired {
+func (c *incomingCopy) addChunk(now time.Duration, chunk *wire.DesiredConfig) *wire.DesiredConfig {
 	if chunk.Size > maxDocumentBytes || int64(len(chunk.Document)) > chunk.Size-chunk.Offset {
 		*c = incomingCopy{}
 		return nil
@@ -142,7 +142,7 @@
 	if int64(len(c.document)) < chunk.Size {
 		return nil
 	}
-	complete := &wire.Desired{Version: c.version, Document: c.document}
+	complete := &wire.DesiredConfig{Version: c.version, Document: c.document}
 	*c = incomingCopy{}
 	return complete
 }
--- a/internal/batchnode/drains_test.go
+++ b/internal/batchnode/drains_test.go
@@ -105,7 +105,7 @@
 		recorder, metrics := s.follow(ctx)
 		qt.Check(t, recorder.drains.Domains, qt.DeepEquals, []string{"b"})
 		qt.Check(t, recorder.unknown, qt.DeepEquals, []string{"op/upgrade/1"})
-		qt.Check(t, metrics.Count(telemetry.ForeignItems), qt.Equals, int64(3))
+		qt.Check(t, metrics.Count(telemetry.MalformedItems), qt.Equals, int64(3))
 		qt.Check(t, recorder.version, qt.Equals, int64(7))
 	})
 }
@@ -142,7 +142,7 @@
 		for _, domain := range []string{"z1", "z2"} {
 			w := newWorker(f, 50*time.Millisecond)
 			workers[domain] = w
-			f.guard(w, nil, "a", "b").Heard(w.reportIn(domain))
+			f.guard(w, nil, "a", "b").HandleReport(w.reportIn(domain))
 		}
 		time.Sleep(time.Second)
 		f.Assert(b.OfferConfig(5, []byte("five")), qt.IsNil)
@@ -185,7 +185,7 @@
 		defer f.stop()
 		a := f.entry("a")
 		w := newWorker(f, 50*time.Millisecond)
-		f.guard(w, nil, "a").Heard(w.reportIn("z1"))
+		f.guard(w, nil, "a").HandleReport(w.reportIn("z1"))
 		time.Sleep(time.Second)
 		// The guard receives the drain before the entry, as if from another entry.
 		g := f.guards[0]
@@ -211,7 +211,7 @@
 		defer f.stop()
 		e := f.entryWithoutStore("a")
 		w := newWorker(f, 50*time.Millisecond)
-		f.guard(w, nil, "a").Heard(w.reportIn("z1"))
+		f.guard(w, nil, "a").HandleReport(w.reportIn("z1"))
 		time.Sleep(5 * time.Second)
 		f.Assert(e.OfferConfig(5, []byte("five")), qt.IsNil)
 		f.Check(f.configVersion("a"), qt.Equals, int64(0))
--- a/internal/batchnode/entry.go
+++ b/internal/batchnode/entry.go
@@ -18,15 +18,15 @@
 
 // EntryOptions configures an Entry.
 type EntryOptions struct {
-	Name    string // process name, part of the incarnation
-	Domain  string // failure domain of this VM
-	Address string // host and port at which guards connect
-	Seed    uint64
-	Timing  runs.Timing // the default if zero
-	Clock   Clock
-	Metrics *telemetry.Registry
-	Log     *log.Logger
-	Routine *log.Logger // for lines about normal operation; Log if nil
+	Name       string // process name, part of the incarnation
+	Domain     string // failure domain of this VM
+	Address    string // host and port at which guards connect
+	Seed       uint64
+	Timing     runs.Timing // the default if zero
+	Clock      Clock
+	Metrics    *telemetry.Registry
+	Log        *log.Logger
+	RoutineLog *log.Logger // for lines about normal operation; Log if nil
 	// Apply validates and activates a configuration document; an error leaves the previous
 	// one active. Calls are serialized and versions increase.
 	Apply func(version int64, document []byte) error
@@ -47,7 +47,7 @@
 	queries        queries
 	outgoingCopies outgoingCopies
 	deadlineTimer  *deadlineTimer
-	lastHeartbeat  time.Duration // last time recorded by KeepBeat; 0 if it does not run
+	lastHeartbeat  time.Duration // last time recorded by RunHeartbeat; 0 if it does not run
 	resumedAt      time.Duration // when the end of a freeze was last detected; 0 if never
 
 	configMu        sync.Mutex
@@ -67,14 +67,14 @@
 
 // NewEntry returns an entry without links to guards and without a configuration.
 func NewEntry(opt EntryOptions) *Entry {
-	if opt.Routine == nil {
-		opt.Routine = opt.Log
+	if opt.RoutineLog == nil {
+		opt.RoutineLog = opt.Log
 	}
 	opt.Timing = opt.Timing.OrDefault()
 	e := &Entry{
 		opt:            opt,
 		id:             identity.NewIncarnation(opt.Name),
-		machine:        batch.New(opt.Clock(), batch.Options{Domain: opt.Domain, Seed: opt.Seed, Timing: opt.Timing, Off: policy.Linked()}),
+		machine:        batch.New(opt.Clock(), batch.Options{Domain: opt.Domain, Seed: opt.Seed, Timing: opt.Timing, Disabled: policy.Linked()}),
 		links:          make(map[identity.Incarnation]wire.Link),
 		waiters:        make(map[string][]*waiter),
 		known:          []string{opt.Address},
@@ -114,7 +114,7 @@
 // reportLinkRate publishes the measured bandwidth of the uplink, and logs when a limit is newly
 // detected.
 func (e *Entry) reportLinkRate(before, rate int64) {
-	e.opt.Metrics.Set(telemetry.LinkRate, rate)
+	e.opt.Metrics.Set(telemetry.LinkBandwidth, rate)
 	if before == 0 {
 		e.opt.Log.Info("uplink bandwidth is limited", "link_rate", rate)
 	}
@@ -124,7 +124,7 @@
 	switch {
 	case action.Finish != nil:
 		e.finishJob(now, action.Finish)
-	case action.Drop:
+	case action.CloseLink:
 		e.opt.Log.Warn("guard timed out", "guard", action.Guard)
 		e.opt.Metrics.Inc(telemetry.GuardsLost)
 		e.closeLink(action.Guard, "silent")
@@ -151,7 +151,7 @@
 // sendDirect sends a frame that the machine did not produce, and has the machine account for
 // its bytes on the uplink. mu must be held.
 func (e *Entry) sendDirect(link wire.Link, f *wire.Frame) {
-	e.machine.Beside(e.opt.Clock(), f)
+	e.machine.RecordExternalFrame(e.opt.Clock(), f)
 	_ = link.Send(f) // the reader of the link detects its loss
 }
 
@@ -180,15 +180,15 @@
 // running the jobs.
 func (e *Entry) logOutcome(now time.Duration, out *batch.Outcome) {
 	if out.Err == nil {
-		e.opt.Routine.Info("job ended", "job", out.ID, "request", out.Job.Request, "outcome", "complete", "took", now-out.Story[0].At, "events", len(out.Story))
+		e.opt.RoutineLog.Info("job ended", "job", out.ID, "request", out.Job.Request, "outcome", "complete", "took", now-out.Events[0].At, "events", len(out.Events))
 		return
 	}
-	for i := range out.Story {
-		event := &out.Story[i]
-		e.opt.Log.Info(event.What.String(), "job", out.ID, "ago", now-event.At, "guard", event.Guard, "tasks", event.Tasks,
+	for i := range out.Events {
+		event := &out.Events[i]
+		e.opt.Log.Info(event.Decision.String(), "job", out.ID, "ago", now-event.At, "guard", event.Guard, "tasks", event.Tasks,
 			"outcome", event.Kind, "free", event.Free, "age", event.Age, "wait", event.Wait, "goal", event.Goal)
 	}
-	e.opt.Log.Info("job ended", "job", out.ID, "request", out.Job.Request, "queue", out.Job.Queue.Name, "outcome", out.Err.Kind, "ran", out.Err.Ran, "cause", out.Err.Detail, "took", now-out.Story[0].At)
+	e.opt.Log.Info("job ended", "job", out.ID, "request", out.Job.Request, "queue", out.Job.Queue.Name, "outcome", out.Err.Kind, "ran", out.Err.Ran, "cause", out.Err.Detail, "took", now-out.Events[0].At)
 }
 
 func (e *Entry) countOutcome(out *batch.Outcome) {
@@ -233,7 +233,7 @@
 // CallerLeft logs and counts a request that is not started because its caller disconnected
 // before the request was read.
 func (e *Entry) CallerLeft(job *batch.Job) {
-	e.opt.Metrics.Inc(telemetry.CallersGone)
+	e.opt.Metrics.Inc(telemetry.CallersDisconnected)
 	e.logNotStarted(job, "its caller has left")
 }
 
@@ -265,10 +265,10 @@
 	})
 	if refused != nil {
 		delete(e.waiters, job.ID)
-		e.opt.Metrics.Refused(refused.Kind)
+		e.opt.Metrics.CountRefusal(refused.Kind)
 		s := e.machine.Snapshot(w.startedAt)
 		e.opt.Log.Info("job refused", "job", job.ID, "request", job.Request, "queue", job.Queue.Name, "reason", refused.Kind, "cause", refused.Detail, "after", refused.After,
-			"waiting", s.Waiting, "running", s.Running, "workers", s.Workers, "free", s.Free, "entries", s.Entries, "link_rate", s.LinkRate, "link_ahead", s.LinkAhead)
+			"waiting", s.Waiting, "running", s.Running, "workers", s.Workers, "free", s.Free, "entries", s.Entries, "link_rate", s.LinkRate, "link_ahead", s.LinkBacklog)
 		return nil, &batch.Outcome{ID: job.ID, Err: refused}
 	}
 	e.opt.Metrics.Inc(telemetry.JobsAccepted)
@@ -314,8 +314,8 @@
 	return pending
 }
 
-// Open returns the number of jobs without an outcome.
-func (e *Entry) Open() int {
+// OpenJobs returns the number of jobs without an outcome.
+func (e *Entry) OpenJobs() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	open, _ := e.machine.Jobs("")
--- a/internal/batchnode/entryconfig.go
+++ b/internal/batchnode/entryconfig.go
@@ -54,7 +54,7 @@
 	}
 	if e.drains.known.Revision == 0 {
 		if configVersion > e.drains.pendingConfig.Version {
-			e.drains.pendingConfig = wire.Desired{Version: configVersion, Document: configDocument}
+			e.drains.pendingConfig = wire.DesiredConfig{Version: configVersion, Document: configDocument}
 		}
 		return nil
 	}
@@ -69,7 +69,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id := range e.links {
-		e.sendToGuard(id, &wire.Frame{Desired: &wire.Desired{Version: configVersion}}) // guards that need the document request it
+		e.sendToGuard(id, &wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: configVersion}}) // guards that need the document request it
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 // handleGuardConfig handles a configuration or a version announced by a guard: it offers a
 // document to this entry, sends a copy to a guard with an older version, and requests a newer
 // version.
-func (e *Entry) handleGuardConfig(hello *wire.RunHello, link wire.Link, d *wire.Desired) {
+func (e *Entry) handleGuardConfig(hello *wire.RunHello, link wire.Link, d *wire.DesiredConfig) {
 	if len(d.Document) > 0 {
 		if err := e.OfferConfig(d.Version, d.Document); err != nil {
 			e.opt.Log.Error("configuration from a guard rejected", "err", err)
@@ -123,5 +123,5 @@
 	newer.retryDelay = min(max(minHolderRetryDelay, 2*newer.retryDelay), maxHolderRetryDelay)
 	index := newer.requestCount % len(newer.holders)
 	newer.requestCount++
-	_ = newer.holders[index].Send(&wire.Frame{Desired: &wire.Desired{Version: e.configVersion, Ask: true}}) // after retryDelay the next holder is asked
+	_ = newer.holders[index].Send(&wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: e.configVersion, Ask: true}}) // after retryDelay the next holder is asked
 }
--- a/internal/batchnode/entrydrains.go
+++ b/internal/batchnode/entrydrains.go
@@ -16,7 +16,7 @@
 	knownSince map[string]time.Duration // by failure domain: when this entry first received its drain
 	// pendingConfig is a configuration that arrived before the first drains. If the entry
 	// activated it, it might send tasks to a drained failure domain.
-	pendingConfig wire.Desired
+	pendingConfig wire.DesiredConfig
 }
 
 // OfferDrains activates the drained failure domains if they are of a newer revision of the
@@ -31,7 +31,7 @@
 	e.drains.known = *d
 	if before.Revision == 0 {
 		e.applyPendingConfig()
-	} else if d.Same(&before) {
+	} else if d.SameDomains(&before) {
 		return
 	}
 	e.mu.Lock()
@@ -47,7 +47,7 @@
 // be held.
 func (e *Entry) applyPendingConfig() {
 	pending := e.drains.pendingConfig
-	e.drains.pendingConfig = wire.Desired{}
+	e.drains.pendingConfig = wire.DesiredConfig{}
 	if err := e.offerConfigLocked(pending.Version, pending.Document); err != nil {
 		e.opt.Log.Error("configuration rejected", "err", err)
 	}
@@ -57,12 +57,12 @@
 // and mu must be held.
 func (e *Entry) recordDrainChanges(before, after *wire.Drains) {
 	for _, domain := range after.Domains {
-		if !before.Has(domain) {
-			e.opt.Log.Info("failure domain is drained", "domain", domain, "revision", after.Revision, "workers", e.machine.WorkersIn(domain))
+		if !before.Contains(domain) {
+			e.opt.Log.Info("failure domain is drained", "domain", domain, "revision", after.Revision, "workers", e.machine.WorkersInDomain(domain))
 		}
 	}
 	for _, domain := range before.Domains {
-		if !after.Has(domain) {
+		if !after.Contains(domain) {
 			e.opt.Log.Info("failure domain is taken back", "domain", domain, "revision", after.Revision, "after", e.opt.Clock()-e.drains.knownSince[domain])
 		}
 	}
@@ -76,7 +76,7 @@
 	e.OfferDrains(d)
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
-	if known := e.drains.known; d.Revision < known.Revision && (d.Revision == 0 || !d.Same(&known)) {
+	if known := e.drains.known; d.Revision < known.Revision && (d.Revision == 0 || !d.SameDomains(&known)) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.sendDirect(link, &wire.Frame{Drains: &known})
@@ -89,7 +89,7 @@
 
 // NoteUnknownOrder counts and logs an order of the operators that this version does not support.
 func (e *Entry) NoteUnknownOrder(key string) {
-	e.opt.Metrics.Inc(telemetry.OrdersUnknown)
+	e.opt.Metrics.Inc(telemetry.UnknownOrders)
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
 	if slices.Contains(e.unknownOrders, key) || len(e.unknownOrders) == maxUnknownOrders {
--- a/internal/batchnode/entrylink.go
+++ b/internal/batchnode/entrylink.go
@@ -82,7 +82,7 @@
 	}})
 	drains := e.drains.known
 	e.sendToGuard(hello.Incarnation, &wire.Frame{Drains: &drains}) // must precede the first task
-	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.GuardUp(now, hello) })
+	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.AddGuard(now, hello) })
 }
 
 // removeLink removes a closed link and notifies the machine, unless a newer link of the same
@@ -99,12 +99,12 @@
 	e.opt.Metrics.Inc(telemetry.LinksLost)
 	e.opt.Metrics.Set(telemetry.Guards, int64(len(e.links)))
 	e.opt.Log.Info("guard link ended", "guard", hello.Incarnation)
-	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.GuardDown(now, hello.Incarnation) })
+	e.stepLocked(func(now time.Duration, m *batch.Machine) { m.RemoveGuard(now, hello.Incarnation) })
 }
 
 func (e *Entry) handleFrame(hello *wire.RunHello, link wire.Link, f *wire.Frame) {
-	if f.Desired != nil {
-		e.handleGuardConfig(hello, link, f.Desired)
+	if f.DesiredConfig != nil {
+		e.handleGuardConfig(hello, link, f.DesiredConfig)
 		return
 	}
 	if f.Drains != nil {
@@ -119,14 +119,14 @@
 	switch {
 	case f.RunsEnded != nil:
 		e.countRunEnds(f.RunsEnded)
-		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Ended(now, hello.Incarnation, f.RunsEnded) })
-	case f.GuardBeat != nil:
-		if w := f.GuardBeat.Worker; w != nil {
+		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.HandleRunsEnded(now, hello.Incarnation, f.RunsEnded) })
+	case f.GuardHeartbeat != nil:
+		if w := f.GuardHeartbeat.Worker; w != nil {
 			e.opt.Log.Info("worker changed", "guard", hello.Incarnation, "worker", w.ID, "usable", w.Usable, "leaving", w.Leaving)
 		}
-		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.Beat(now, hello.Incarnation, f.GuardBeat) })
+		e.stepLocked(func(now time.Duration, m *batch.Machine) { m.HandleBeat(now, hello.Incarnation, f.GuardHeartbeat) })
 	case f.WorkerCrash != nil:
-		e.machine.NoteCrash(f.WorkerCrash)
+		e.machine.HandleWorkerCrash(f.WorkerCrash)
 	case f.JobQuery != nil:
 		e.answerQuery(hello.Incarnation, f.JobQuery)
 	case f.JobReport != nil:
@@ -146,7 +146,7 @@
 		case end.Ran == errkind.RanNo:
 			e.opt.Metrics.Inc(telemetry.TasksNotStarted)
 		default:
-			e.opt.Metrics.Failed(end.Kind)
+			e.opt.Metrics.CountFailure(end.Kind)
 		}
 	}
 }
--- a/internal/batchnode/fleet_test.go
+++ b/internal/batchnode/fleet_test.go
@@ -79,7 +79,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries[address] = e
-	go e.KeepBeat(f.ctx)
+	go e.RunHeartbeat(f.ctx)
 	return e
 }
 
@@ -172,7 +172,7 @@
 func (w *worker) clockMs() int64 { return w.f.clock().Milliseconds() }
 
 func (w *worker) report() *runs.Report {
-	return &runs.Report{ID: "worker-1", Seq: 1, ClockMs: w.clockMs(), Service: "svc", Capacity: sched.Room{CPU: 8000}}
+	return &runs.Report{ID: "worker-1", Seq: 1, ClockMs: w.clockMs(), Service: "svc", Capacity: sched.Resources{CPU: 8000}}
 }
 
 func (w *worker) Start(_ context.Context, s *runs.Start) runs.StartAnswer {
@@ -184,7 +184,7 @@
 	return runs.StartAnswer{ClockMs: w.clockMs()}
 }
 
-func (w *worker) finish(k runs.Key, how runs.How) {
+func (w *worker) finish(k runs.Key, how runs.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.active[k] == nil {
@@ -192,7 +192,7 @@
 	}
 	delete(w.active, k)
 	w.lastNumber++
-	w.ended = append(w.ended, runs.Ended{Number: w.lastNumber, Key: k, How: how})
+	w.ended = append(w.ended, runs.Ended{Number: w.lastNumber, Key: k, Outcome: how})
 	select {
 	case w.changed <- struct{}{}:
 	default:
@@ -242,6 +242,6 @@
 
 func testJob(id string, tasks int) *batch.Job {
 	return &batch.Job{ID: id, Queue: testQueue, Steps: []batch.Step{{
-		Count: tasks, Need: sched.Room{CPU: 2000}, Estimate: 100 * time.Millisecond,
+		Count: tasks, Need: sched.Resources{CPU: 2000}, Estimate: 100 * time.Millisecond,
 	}}}
 }
--- a/internal/batchnode/foreign_test.go
+++ b/internal/batchnode/foreign_test.go
@@ -16,7 +16,7 @@
 		switch {
 		case err == nil && rep.Check() != nil:
 			t.Errorf("accepted %+v", rep)
-		case err != nil && !errors.Is(err, ErrForeign):
+		case err != nil && !errors.Is(err, ErrUnexpectedForm):
 			t.Errorf("%v", err)
 		}
 	})
--- a/internal/batchnode/guard.go
+++ b/internal/batchnode/guard.go
@@ -26,16 +26,16 @@
 
 // GuardOptions configures a Guard.
 type GuardOptions struct {
-	Name    string   // process name, part of the incarnation
-	Entries []string // initial addresses of entries
-	Worker  Worker
-	Timing  runs.Timing // the default if zero
-	Clock   Clock
-	Metrics *telemetry.Registry
-	Log     *log.Logger
-	Routine *log.Logger // for lines about normal operation; Log if nil
+	Name       string   // process name, part of the incarnation
+	Entries    []string // initial addresses of entries
+	Worker     Worker
+	Timing     runs.Timing // the default if zero
+	Clock      Clock
+	Metrics    *telemetry.Registry
+	Log        *log.Logger
+	RoutineLog *log.Logger // for lines about normal operation; Log if nil
 	// Dial opens a link to the address of an entry. Its context carries the timeout for the
-	// TCP connection, see wire.ConnectWithin.
+	// TCP connection, see wire.WithConnectTimeout.
 	Dial func(ctx context.Context, address string) (wire.Link, error)
 	// Lookup lists the addresses of registered entries. It is called while the guard has no
 	// link, and after the guard stopped dialing an address.
@@ -85,13 +85,13 @@
 
 // NewGuard returns a guard whose worker has not sent a report yet.
 func NewGuard(opt GuardOptions) *Guard {
-	if opt.Routine == nil {
-		opt.Routine = opt.Log
+	if opt.RoutineLog == nil {
+		opt.RoutineLog = opt.Log
 	}
 	g := &Guard{
 		opt:           opt,
 		id:            identity.NewIncarnation(opt.Name),
-		machine:       runs.New(runs.Options{Timing: opt.Timing, Off: policy.Linked()}),
+		machine:       runs.New(runs.Options{Timing: opt.Timing, Disabled: policy.Linked()}),
 		links:         make(map[identity.Incarnation]*guardLink),
 		dialing:       make(map[string]bool),
 		changed:       make(chan struct{}, 1),
@@ -177,7 +177,7 @@
 		}
 		logger := g.opt.Log
 		if end.Kind == errkind.Busy {
-			logger = g.opt.Routine
+			logger = g.opt.RoutineLog
 		}
 		logger.Info("run ended", "job", end.Job, "step", end.Step, "task", end.Index, "run", end.Run, "entry", entry,
 			"outcome", end.Kind, "ran", end.Ran, "took", time.Duration(end.RunMs)*time.Millisecond, "free", r.Load.Free.CPU)
@@ -186,57 +186,57 @@
 
 // fetchText fetches the text of a job from another guard.
 func (g *Guard) fetchText(f *runs.Fetch) {
-	ctx, cancel := context.WithTimeout(context.Background(), f.AnswerIn)
+	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 	defer cancel()
 	text, err := g.opt.FetchText(ctx, f)
 	if err != nil {
-		g.opt.Metrics.Inc(telemetry.TextsMissed)
+		g.opt.Metrics.Inc(telemetry.TextFetchesFailed)
 		g.opt.Log.Info("text not fetched", "job", f.Job, "entry", f.From, "source", f.Source, "err", err)
 	} else {
 		g.opt.Metrics.Inc(telemetry.TextsFetched)
 	}
-	g.step(func(now time.Duration, m *runs.Machine) { m.Fetched(now, f.From, f.Job, text, err == nil) })
+	g.step(func(now time.Duration, m *runs.Machine) { m.HandleFetchAnswer(now, f.From, f.Job, text, err == nil) })
 }
 
 func (g *Guard) startRun(s *runs.Start) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.AnswerIn)
+	ctx, cancel := context.WithTimeout(context.Background(), s.Timeout)
 	defer cancel()
 	answer := g.opt.Worker.Start(ctx, s)
 	if answer.Verdict != runs.Done {
 		g.opt.Log.Info("start not taken", "job", s.Key.Job, "step", s.Key.Step, "task", s.Key.Index, "run", s.Key.Run, "verdict", answer.Verdict)
 	}
-	g.step(func(now time.Duration, m *runs.Machine) { m.Started(now, s.Key, answer) })
+	g.step(func(now time.Duration, m *runs.Machine) { m.HandleStartAnswer(now, s.Key, answer) })
 }
 
 func (g *Guard) stopRun(s *runs.Stop) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.AnswerIn)
+	ctx, cancel := context.WithTimeout(context.Background(), s.Timeout)
 	defer cancel()
 	v, clockMs := g.opt.Worker.Stop(ctx, s)
-	g.step(func(now time.Duration, m *runs.Machine) { m.Stopped(now, s.Key, v, clockMs) })
+	g.step(func(now time.Duration, m *runs.Machine) { m.HandleStopAnswer(now, s.Key, v, clockMs) })
 }
 
 func (g *Guard) renewLease(h *runs.Hold) {
-	ctx, cancel := context.WithTimeout(context.Background(), h.Wait+h.AnswerIn)
+	ctx, cancel := context.WithTimeout(context.Background(), h.Wait+h.Timeout)
 	defer cancel()
 	answer := g.opt.Worker.Hold(ctx, h)
 	if answer.Verdict != runs.Done {
 		g.opt.Log.Info("worker lease not renewed", "worker", h.Worker, "verdict", answer.Verdict)
 	}
-	g.step(func(now time.Duration, m *runs.Machine) { m.Held(now, h.Worker, answer) })
+	g.step(func(now time.Duration, m *runs.Machine) { m.HandleHoldAnswer(now, h.Worker, answer) })
 }
 
-// Heard handles a report of the worker, and stores it if its content has changed.
-func (g *Guard) Heard(rep *runs.Report) {
+// HandleReport handles a report of the worker, and stores it if its content has changed.
+func (g *Guard) HandleReport(rep *runs.Report) {
 	g.step(func(now time.Duration, m *runs.Machine) {
 		g.hasReport = true
-		m.Heard(now, rep)
+		m.HandleReport(now, rep)
 	})
 	g.queueReport(rep)
 }
 
-// Left handles the announcement of a worker that it terminates.
-func (g *Guard) Left(id string) {
-	g.step(func(now time.Duration, m *runs.Machine) { m.Left(now, id) })
+// HandleTermination handles the announcement of a worker that it terminates.
+func (g *Guard) HandleTermination(id string) {
+	g.step(func(now time.Duration, m *runs.Machine) { m.HandleTermination(now, id) })
 }
 
 // Drain begins a planned stop. It waits until nothing runs and every run end was acknowledged
@@ -255,7 +255,7 @@
 func (g *Guard) isSettled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.machine.Settled()
+	return g.machine.IsSettled()
 }
 
 // jitter returns a random duration between d/2 and d, so that processes do not act at the same
--- a/internal/batchnode/guardconfig.go
+++ b/internal/batchnode/guardconfig.go
@@ -28,7 +28,7 @@
 // handleConfig handles a Desired frame of an entry: a request for the configuration, the
 // announcement of a version, or a document. It stores the newest document and relays it to
 // entries with an older one, which may be unable to reach the store.
-func (g *Guard) handleConfig(from *guardLink, d *wire.Desired) {
+func (g *Guard) handleConfig(from *guardLink, d *wire.DesiredConfig) {
 	from.configVersion = max(from.configVersion, d.Version)
 	if d.Size > 0 {
 		d = from.copy.addChunk(g.opt.Clock(), d)
@@ -52,7 +52,7 @@
 // sendConfig sends the configuration to an entry if its version is older.
 func (g *Guard) sendConfig(to *guardLink, entryVersion int64) {
 	if g.configVersion > entryVersion {
-		_ = to.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.configVersion, Document: g.configDocument}}) // see execute
+		_ = to.link.Send(&wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: g.configVersion, Document: g.configDocument}}) // see execute
 	}
 }
 
@@ -81,7 +81,7 @@
 		retryDelay = minFetchRetryDelay
 	default:
 		l := sources[rand.IntN(len(sources))]
-		_ = l.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.configVersion}}) // see execute
+		_ = l.link.Send(&wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: g.configVersion}}) // see execute
 	}
 	time.AfterFunc(jitter(retryDelay), func() { g.fetchConfig(min(2*retryDelay, maxFetchRetryDelay)) })
 }
@@ -116,7 +116,7 @@
 		g.scheduleConfigFetch(l.configVersion)
 	case g.configVersion == l.configVersion || policy.Linked().Has(policy.ConfigRelay):
 	case l.requestsConfig:
-		_ = l.link.Send(&wire.Frame{Desired: &wire.Desired{Version: g.configVersion}}) // see execute
+		_ = l.link.Send(&wire.Frame{DesiredConfig: &wire.DesiredConfig{Version: g.configVersion}}) // see execute
 	default:
 		g.sendConfig(l, l.configVersion)
 		l.configVersion = g.configVersion
--- a/internal/batchnode/guarddrains.go
+++ b/internal/batchnode/guarddrains.go
@@ -16,7 +16,7 @@
 	switch current := g.drains; {
 	case d.Revision > current.Revision:
 		g.drains = *d
-		if current.Revision > 0 && d.Same(&current) {
+		if current.Revision > 0 && d.SameDomains(&current) {
 			return
 		}
 		g.drainedSince = knownSince(g.drainedSince, d.Domains, g.opt.Clock())
@@ -39,7 +39,7 @@
 
 // sendDrains sends the drains to an entry, unless it has the same ones or newer ones.
 func (g *Guard) sendDrains(l *guardLink) {
-	if l.drains.Revision >= g.drains.Revision || l.drains.Revision > 0 && l.drains.Same(&g.drains) {
+	if l.drains.Revision >= g.drains.Revision || l.drains.Revision > 0 && l.drains.SameDomains(&g.drains) {
 		return
 	}
 	l.drains = g.drains
--- a/internal/batchnode/guardlink.go
+++ b/internal/batchnode/guardlink.go
@@ -128,7 +128,7 @@
 func (g *Guard) connect(ctx context.Context, address string, connectTimeout time.Duration) (*guardLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	link, err := g.opt.Dial(wire.ConnectWithin(ctx, connectTimeout), address)
+	link, err := g.opt.Dial(wire.WithConnectTimeout(ctx, connectTimeout), address)
 	if err != nil {
 		return nil, fmt.Errorf("dial entry %s: %w", address, err)
 	}
@@ -161,7 +161,7 @@
 	if f.RunWelcome == nil || f.RunWelcome.Incarnation == "" {
 		return nil, errors.New("first frame is not a welcome")
 	}
-	l := &guardLink{link: link, entry: f.RunWelcome.Incarnation, configVersion: f.RunWelcome.Revision, requestsConfig: f.RunWelcome.Version >= wire.AsksSince}
+	l := &guardLink{link: link, entry: f.RunWelcome.Incarnation, configVersion: f.RunWelcome.Revision, requestsConfig: f.RunWelcome.Version >= wire.ConfigRequestVersion}
 	g.addLink(l)
 	g.AddEntries(f.RunWelcome.Entries)
 	return l, nil
@@ -181,7 +181,7 @@
 	g.stepLocked(func(now time.Duration, m *runs.Machine) {
 		m.LinkUp(now, l.entry)
 		w := m.Worker()
-		_ = l.link.Send(&wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, l.entry), Worker: &w}}) // see execute
+		_ = l.link.Send(&wire.Frame{GuardHeartbeat: &wire.GuardHeartbeat{Load: m.Load(now, l.entry), Worker: &w}}) // see execute
 	})
 	g.syncConfig(l)
 }
@@ -219,7 +219,7 @@
 	}
 	switch {
 	case f.RunTasks != nil:
-		g.opt.Routine.Info("tasks taken", "job", f.RunTasks.Job, "request", f.RunTasks.Request, "entry", l.entry, "tasks", len(f.RunTasks.Tasks),
+		g.opt.RoutineLog.Info("tasks taken", "job", f.RunTasks.Job, "request", f.RunTasks.Request, "entry", l.entry, "tasks", len(f.RunTasks.Tasks),
 			"age", g.opt.Clock()-time.Duration(f.RunTasks.ClockMs)*time.Millisecond, "left", time.Duration(f.RunTasks.LeftMs)*time.Millisecond)
 		if f.RunTasks.Keep && g.opt.Texts != nil {
 			g.opt.Texts.add(textKey{entry: l.entry, job: f.RunTasks.Job}, f.RunTasks.Text)
@@ -227,10 +227,10 @@
 		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.Run(now, l.entry, f.RunTasks) })
 	case f.StopRuns != nil:
 		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.StopJob(now, l.entry, f.StopRuns) })
-	case f.EntryBeat != nil:
-		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.Beat(now, l.entry, f.EntryBeat) })
-	case f.Desired != nil:
-		g.handleConfig(l, f.Desired)
+	case f.EntryHeartbeat != nil:
+		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.Beat(now, l.entry, f.EntryHeartbeat) })
+	case f.DesiredConfig != nil:
+		g.handleConfig(l, f.DesiredConfig)
 	case f.Drains != nil:
 		g.handleDrains(l, f.Drains)
 	case f.JobQuery != nil:
--- a/internal/batchnode/guardlink_test.go
+++ b/internal/batchnode/guardlink_test.go
@@ -29,7 +29,7 @@
 				totalDelay.Add(int64(f.clock()) - since)
 				return f.dial(ctx, address)
 			}
-			connectTimeout, bounded := wire.ConnectTime(ctx)
+			connectTimeout, bounded := wire.ConnectTimeout(ctx)
 			if !bounded {
 				connectTimeout = time.Hour
 			}
@@ -67,7 +67,7 @@
 		defer f.stop()
 		e := f.entry("other")
 		w := newWorker(f, time.Second)
-		f.guard(w, []string{"seed", "other"}, "seed").Heard(w.report())
+		f.guard(w, []string{"seed", "other"}, "seed").HandleReport(w.report())
 		time.Sleep(20 * time.Millisecond)
 		f.Assert(e.Workers(), qt.Equals, 1)
 	})
--- a/internal/batchnode/memory.go
+++ b/internal/batchnode/memory.go
@@ -49,8 +49,8 @@
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	rep, err := g.opt.Memory.Load(ctx)
-	if errors.Is(err, ErrForeign) {
-		g.opt.Metrics.Inc(telemetry.ForeignItems)
+	if errors.Is(err, ErrUnexpectedForm) {
+		g.opt.Metrics.Inc(telemetry.MalformedItems)
 	}
 	if err != nil {
 		g.opt.Log.Warn("stored report of the worker not read, waiting for the next report", "err", err)
@@ -64,8 +64,8 @@
 			return // a report of the worker is newer
 		}
 		g.opt.Log.Info("starting with the stored report of the worker", "worker", rep.ID)
-		rep.Seq, rep.Recalled = 0, true
-		m.Heard(now, rep)
+		rep.Seq, rep.IsRecalled = 0, true
+		m.HandleReport(now, rep)
 	})
 }
 
@@ -103,8 +103,8 @@
 	}
 }
 
-// ErrForeign marks an item of the store that is not in the form in which this program writes it.
-var ErrForeign = errors.New("unexpected form")
+// ErrUnexpectedForm marks an item of the store that is not in the form in which this program writes it.
+var ErrUnexpectedForm = errors.New("unexpected form")
 
 // StoredReport implements Memory with one key of the platform's store.
 type StoredReport struct {
@@ -129,7 +129,7 @@
 	return nil, nil
 }
 
-// decodeStored decodes and validates a stored report. The error is ErrForeign if the report
+// decodeStored decodes and validates a stored report. The error is ErrUnexpectedForm if the report
 // does not describe a usable worker.
 func decodeStored(value []byte) (*runs.Report, error) {
 	rep := new(runs.Report)
@@ -141,7 +141,7 @@
 		err = errors.New("report has no capacity")
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: stored report: %w", ErrForeign, err)
+		return nil, fmt.Errorf("%w: stored report: %w", ErrUnexpectedForm, err)
 	}
 	return rep, nil
 }
--- a/internal/batchnode/query.go
+++ b/internal/batchnode/query.go
@@ -55,8 +55,8 @@
 	switch {
 	case pendingQuery == nil:
 		return // the query has timed out or is complete
-	case r.Asked != nil:
-		pendingQuery.relayedTo = *r.Asked
+	case r.QueriedEntries != nil:
+		pendingQuery.relayedTo = *r.QueriedEntries
 	default:
 		pendingQuery.receivedReports++
 		if s := batch.State(r.State); s != batch.Unknown {
@@ -165,7 +165,7 @@
 			relayed++
 		}
 	}
-	g.relayReport(&wire.JobReport{Seq: q.Seq, To: q.From, Asked: &relayed})
+	g.relayReport(&wire.JobReport{Seq: q.Seq, To: q.From, QueriedEntries: &relayed})
 }
 
 // relayReport relays a report to the entry that sent the query. mu must be held.
--- a/internal/batchnode/query_test.go
+++ b/internal/batchnode/query_test.go
@@ -72,7 +72,7 @@
 	f = newFleet(t)
 	a, b = f.entry("a"), f.entry("b")
 	w = newWorker(f, time.Minute)
-	f.guard(w, nil, "a", "b").Heard(w.report())
+	f.guard(w, nil, "a", "b").HandleReport(w.report())
 	time.Sleep(time.Second)
 	f.setEntries("a", "b")
 	return f, a, b, w
--- a/internal/batchnode/returns.go
+++ b/internal/batchnode/returns.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// StoreReturns wakes goroutines that wait before they retry a call to the store, as soon as the
+// StoreRecovery wakes goroutines that wait before they retry a call to the store, as soon as the
 // store is reachable again. Source.Follow retries all the time and detects that first. All
 // methods work on a nil pointer, which never wakes anyone.
-type StoreReturns struct {
+type StoreRecovery struct {
 	mu        sync.Mutex
 	recovered chan struct{} // closed when the store is reachable again; nil if no goroutine waits
 }
 
 // announce wakes all waiting goroutines.
-func (r *StoreReturns) announce() {
+func (r *StoreRecovery) announce() {
 	if r == nil {
 		return
 	}
@@ -28,7 +28,7 @@
 }
 
 // wait returns after d, when the store is reachable again, or when ctx ends.
-func (r *StoreReturns) wait(ctx context.Context, d time.Duration) {
+func (r *StoreRecovery) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -39,7 +39,7 @@
 }
 
 // nextRecovery returns a channel that the next announce closes.
-func (r *StoreReturns) nextRecovery() <-chan struct{} {
+func (r *StoreRecovery) nextRecovery() <-chan struct{} {
 	if r == nil {
 		return nil
 	}
--- a/internal/batchnode/returns_test.go
+++ b/internal/batchnode/returns_test.go
@@ -54,10 +54,10 @@
 // a list of the given length was first received, relative to the start.
 func followEntryList(ctx context.Context, s *listStore) (knownAt func(entries int) time.Duration) {
 	began, knownTimes := time.Now(), make(map[int]time.Duration)
-	recovery := new(StoreReturns)
-	source := Source{Store: s, Prefix: "op/", Key: "op/config", Drains: "op/drain/", Log: discardLogger(), Metrics: telemetry.New(), Returns: recovery}
+	recovery := new(StoreRecovery)
+	source := Source{Store: s, Prefix: "op/", Key: "op/config", Drains: "op/drain/", Log: discardLogger(), Metrics: telemetry.New(), Recovery: recovery}
 	go source.Follow(ctx, new(orderRecorder))
-	list := Listing{Store: s, Prefix: "e/", Log: discardLogger(), Metrics: telemetry.New(), Returns: recovery}
+	list := Listing{Store: s, Prefix: "e/", Log: discardLogger(), Metrics: telemetry.New(), Recovery: recovery}
 	go list.Keep(ctx, func(addresses []string) {
 		if _, ok := knownTimes[len(addresses)]; !ok {
 			knownTimes[len(addresses)] = time.Since(began)
@@ -131,7 +131,7 @@
 		defer f.stop()
 		f.entry("a")
 		w := newWorker(f, time.Second)
-		f.guard(w, []string{"a", "b"}, "a", "b").Heard(w.report())
+		f.guard(w, []string{"a", "b"}, "a", "b").HandleReport(w.report())
 		time.Sleep(dialGiveUpTimeout + 10*time.Second) // no entry at "b" yet
 		b := f.entry("b")
 		time.Sleep(2 * lookupInterval)
--- a/internal/batchnode/source.go
+++ b/internal/batchnode/source.go
@@ -34,10 +34,10 @@
 	Key    string // key of the configuration document
 	Drains string // prefix of the drain keys; the rest of a key is the failure domain
 	// Version extracts the version of a document.
-	Version func(document []byte) (int64, error)
-	Log     *log.Logger
-	Metrics *telemetry.Registry
-	Returns *StoreReturns // notified when the store is reachable again; may be nil
+	Version  func(document []byte) (int64, error)
+	Log      *log.Logger
+	Metrics  *telemetry.Registry
+	Recovery *StoreRecovery // notified when the store is reachable again; may be nil
 }
 
 // Follow reads the orders and watches them for changes until ctx ends, and passes them to
@@ -46,7 +46,7 @@
 	isReachable := true
 	onAnswer := func() {
 		if !isReachable {
-			s.Returns.announce()
+			s.Recovery.announce()
 		}
 		s.logReachability(&isReachable, true, nil)
 	}
@@ -108,7 +108,7 @@
 		case !isDrain:
 			others = append(others, e)
 		case err != nil:
-			s.Metrics.Inc(telemetry.ForeignItems)
+			s.Metrics.Inc(telemetry.MalformedItems)
 			s.Log.Warn("invalid drain key ignored", "key", e.KV.Key, "err", err)
 		case e.Deleted:
 			delete(drainedDomains, domain)
@@ -130,7 +130,7 @@
 // validateDomain returns an error if name is not a valid name of a failure domain.
 func validateDomain(name string) error {
 	if name == "" || len(name) > maxDomainNameBytes || strings.ContainsFunc(name, isInvalidInName) {
-		return fmt.Errorf("%w: %q is not a valid failure domain name", ErrForeign, name)
+		return fmt.Errorf("%w: %q is not a valid failure domain name", ErrUnexpectedForm, name)
 	}
 	return nil
 }
--- a/internal/batchnode/stall.go
+++ b/internal/batchnode/stall.go
@@ -11,11 +11,11 @@
 // heartbeatInterval is the interval at which a process records its own heartbeat.
 const heartbeatInterval = 200 * time.Millisecond
 
-// KeepBeat records a heartbeat of this process at each heartbeatInterval until ctx ends, and
+// RunHeartbeat records a heartbeat of this process at each heartbeatInterval until ctx ends, and
 // repeats the request for a newer configuration that did not arrive. A long gap since the last
 // heartbeat means that the process was frozen, for whatever reason. Any goroutine may be the
 // first one to run afterwards, so every event checks for the gap.
-func (e *Entry) KeepBeat(ctx context.Context) {
+func (e *Entry) RunHeartbeat(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.step(func(now time.Duration, _ *batch.Machine) { e.lastHeartbeat = now })
 		e.configMu.Lock()
@@ -30,12 +30,12 @@
 
 // detectStall fails all jobs if this process was frozen since the last heartbeat. mu must be held.
 func (e *Entry) detectStall(now time.Duration) {
-	if e.lastHeartbeat == 0 || now-e.lastHeartbeat < e.opt.Timing.Stall() {
+	if e.lastHeartbeat == 0 || now-e.lastHeartbeat < e.opt.Timing.FreezeThreshold() {
 		return
 	}
 	e.opt.Log.Warn("this process was frozen", "for", now-e.lastHeartbeat)
 	e.lastHeartbeat, e.resumedAt = now, now
-	e.machine.Woke(now)
+	e.machine.HandleResume(now)
 }
 
 // waitAfterResume delays a request that may have been received but not read while this process
@@ -46,7 +46,7 @@
 	e.detectStall(now)
 	remaining := time.Duration(0)
 	if e.resumedAt > 0 {
-		remaining = e.resumedAt + batch.WakePause - now
+		remaining = e.resumedAt + batch.ResumeDelay - now
 	}
 	e.mu.Unlock()
 	if remaining > 0 {
--- a/internal/batchnode/status.go
+++ b/internal/batchnode/status.go
@@ -68,7 +68,7 @@
 	}
 	for i := range s.Drains.Domains {
 		d := &s.Drains.Domains[i]
-		d.Workers = e.machine.WorkersIn(d.Domain)
+		d.Workers = e.machine.WorkersInDomain(d.Domain)
 	}
 	return s
 }
--- a/internal/batchnode/upkeep.go
+++ b/internal/batchnode/upkeep.go
@@ -28,11 +28,11 @@
 
 // Registration keeps the address of an entry registered in the store, under a lease.
 type Registration struct {
-	Store   store.Store
-	Key     string // used only by this process
-	Address string
-	Log     *log.Logger
-	Returns *StoreReturns // cuts waits short; may be nil
+	Store    store.Store
+	Key      string // used only by this process
+	Address  string
+	Log      *log.Logger
+	Recovery *StoreRecovery // cuts waits short; may be nil
 }
 
 // Keep maintains the registration until ctx ends, and then revokes it.
@@ -44,7 +44,7 @@
 			r.Log.Warn("registration in the store failed", "err", err)
 			delay = jitter(storeRetryDelay)
 		}
-		r.Returns.wait(ctx, delay)
+		r.Recovery.wait(ctx, delay)
 	}
 	if lease != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), storeRetryDelay)
@@ -59,7 +59,7 @@
 func (r *Registration) renew(ctx context.Context, lease *store.LeaseID) error {
 	if *lease != 0 {
 		err := r.Store.KeepAlive(ctx, *lease)
-		if !errors.Is(err, store.ErrLeaseGone) {
+		if !errors.Is(err, store.ErrLeaseNotFound) {
 			return err
 		}
 		*lease = 0
@@ -88,11 +88,11 @@
 
 // Listing reads the addresses of registered entries from the store.
 type Listing struct {
-	Store   store.Store
-	Prefix  string // prefix of the keys of registrations
-	Log     *log.Logger
-	Metrics *telemetry.Registry
-	Returns *StoreReturns // cuts waits short; may be nil
+	Store    store.Store
+	Prefix   string // prefix of the keys of registrations
+	Log      *log.Logger
+	Metrics  *telemetry.Registry
+	Recovery *StoreRecovery // cuts waits short; may be nil
 
 	mu          sync.Mutex
 	skippedKeys map[string]bool // keys with invalid values, each of which is logged once
@@ -122,10 +122,10 @@
 func validateAddress(value []byte) error {
 	a, err := netip.ParseAddrPort(string(value))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrForeign, err)
+		return fmt.Errorf("%w: %w", ErrUnexpectedForm, err)
 	}
 	if a.Port() == 0 || a.Addr().IsUnspecified() {
-		return fmt.Errorf("%w: %s is not a dialable address", ErrForeign, a)
+		return fmt.Errorf("%w: %s is not a dialable address", ErrUnexpectedForm, a)
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 		l.skippedKeys = make(map[string]bool)
 	}
 	l.skippedKeys[key] = true
-	l.Metrics.Inc(telemetry.ForeignItems)
+	l.Metrics.Inc(telemetry.MalformedItems)
 	l.Log.Warn("listed entry passed over", "key", key, "err", err)
 }
 
@@ -165,6 +165,6 @@
 			delay = 2 * listInterval
 		}
 		previous = addresses
-		l.Returns.wait(ctx, jitter(delay))
+		l.Recovery.wait(ctx, jitter(delay))
 	}
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -35,7 +35,7 @@
 	Service  string // a service of the member that no other guards serve
 	FleetKey string
 	// Shared is set if the entry runs in this process.
-	Shared bool
+	InProcess bool
 }
 
 // Options configures Run. Fields that are zero get default values.
@@ -58,7 +58,7 @@
 // end of each link sends exactly one ping, whenever the link was opened. A shorter
 // window would include the pings of some links only.
 const (
-	DefaultIdle    = wire.PingEvery
+	DefaultIdle    = wire.PingInterval
 	DefaultLoad    = 1500 * time.Millisecond
 	DefaultCallers = 32
 	MaxGuards      = 1000 // a link uses two file descriptors and about 50 KB in this process
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -88,7 +88,7 @@
 	e.mu.Unlock()
 	for {
 		f, err := l.Recv(r.Context())
-		if err != nil || f.Goodbye != nil {
+		if err != nil || f.StopNotice != nil {
 			break
 		}
 		if f.Result != nil {
@@ -124,7 +124,7 @@
 	defer server.Close()
 	var out bytes.Buffer
 	o := Options{
-		Target: Target{Inner: server.Listener.Addr().String(), Callers: server.URL, Admin: server.URL, Member: "m", Service: "s", Shared: true},
+		Target: Target{Inner: server.Listener.Addr().String(), Callers: server.URL, Admin: server.URL, Member: "m", Service: "s", InProcess: true},
 		Guards: []int{5, 2}, Jobs: []int{1}, Idle: 10 * time.Millisecond, Load: 50 * time.Millisecond, Callers: 2, JSON: true, settleDelay: time.Millisecond,
 	}
 	c.Assert(Run(context.Background(), o, &out), qt.IsNil)
--- a/internal/capacity/guard.go
+++ b/internal/capacity/guard.go
@@ -40,7 +40,7 @@
 	now := time.Now()
 	g := &guard{link: link, done: make(chan struct{})}
 	g.ledger = ledger.New(now, ledger.Options{Slots: slotsPerWorker, Remembered: maxRememberedStarts, HeldBytes: maxHeldBytes})
-	g.ledger.Health(now, true)
+	g.ledger.SetHealthy(now, true)
 	return g
 }
 
@@ -113,7 +113,7 @@
 		g.send(a.Send.Frame)
 		return
 	}
-	g.ledger.Finished(now, wire.Result{Ref: a.Run.Ref, Ran: errkind.RanYes, Status: http.StatusOK, Body: resultBody})
+	g.ledger.FinishTask(now, wire.Result{Ref: a.Run.Ref, Ran: errkind.RanYes, Status: http.StatusOK, Body: resultBody})
 }
 
 // send queues a frame. It ignores an error, as the link is then closed, which the
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -18,9 +18,9 @@
 	Cores    int    `json:"cores"`
 	// Shared is set if the entry runs in the same process as the guards and callers,
 	// so that its CPU time and memory include theirs.
-	Shared bool   `json:"shared"`
-	Sizes  []Size `json:"sizes"`
-	Slopes Slopes `json:"slopes"`
+	InProcess bool   `json:"shared"`
+	Sizes     []Size `json:"sizes"`
+	Slopes    Slopes `json:"slopes"`
 }
 
 // Size contains the measurements for one fleet size.
@@ -72,7 +72,7 @@
 }
 
 func newReport(o *Options) *Report {
-	return &Report{Software: telemetry.Version, Cores: runtime.NumCPU(), Shared: o.Target.Shared}
+	return &Report{Software: telemetry.Version, Cores: runtime.NumCPU(), InProcess: o.Target.InProcess}
 }
 
 // newIdle computes the idle cost from the samples around an idle window.
@@ -159,7 +159,7 @@
 func (r *Report) writeTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\n", args...) } // Flush returns write errors
-	printf("wigeontray %s, %d cores, entry in this process: %v\n", r.Software, r.Cores, r.Shared)
+	printf("wigeontray %s, %d cores, entry in this process: %v\n", r.Software, r.Cores, r.InProcess)
 	printf("idle, per guard\tframes/s\tsegments/s\tsocket B/s\twire B/s\tentry core %%\tentry RSS MB\theap MB\tstacks MB\t")
 	for _, s := range r.Sizes {
 		i := s.Idle
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -84,7 +84,7 @@
 	callers, inner, admin := s.Addrs()
 	opts.Target = capacity.Target{
 		Inner: inner, Callers: "http://" + callers, Admin: "http://" + admin,
-		Token: node.SampleMembers()[0].Token, Member: c.Member, Service: c.Service, Shared: true,
+		Token: node.SampleMembers()[0].Token, Member: c.Member, Service: c.Service, InProcess: true,
 	}
 	if err := capacity.Run(ctx, opts, e.stdout); err != nil {
 		return err
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	if jobID := explain.JobOf(lines, c.ID); jobID != c.ID {
+	if jobID := explain.FindJob(lines, c.ID); jobID != c.ID {
 		if lines, err = c.readLogs(e, jobID); err != nil {
 			return err
 		}
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -20,7 +20,7 @@
 // outcome was not met.
 func (c *replayCmd) Run(e *commandEnv) error {
 	defer e.startProgress("replaying")()
-	err := replay.Main(e.stdout, c.Trace, c.Seed, c.JSON)
+	err := replay.RunFiles(e.stdout, c.Trace, c.Seed, c.JSON)
 	if errors.Is(err, replay.ErrUnmet) {
 		return fmt.Errorf("%w: %w", errFailed, err)
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -82,7 +82,7 @@
 	callers, _, _ := s.Addrs()
 	for _, member := range node.SampleMembers() {
 		cl := &client.Client{Entries: []string{"http://" + callers}, Token: member.Token, HTTP: http.DefaultClient}
-		key, err := cl.Key(ctx)
+		key, err := cl.NewIdentity(ctx)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -41,7 +41,7 @@
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	if ca != "" {
-		conf, err := tlsconf.OutsideClient(tlsconf.Files{CA: ca})
+		conf, err := tlsconf.ExternalClient(tlsconf.Files{CA: ca})
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", errUsage, err)
 		}
@@ -78,7 +78,7 @@
 	defer e.startProgress("waiting for the answer")()
 	key := c.Key
 	if key == "" {
-		if key, err = cl.Ticket(ctx); err != nil {
+		if key, err = cl.FetchTicket(ctx); err != nil {
 			return fmt.Errorf("fetch a ticket: %w", err)
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // outcomeError returns the error that determines the exit code for an answer.
-func outcomeError(a *client.Answer) error {
+func outcomeError(a *client.Response) error {
 	switch e := a.Parsed.Error; {
 	case e == nil:
 		return nil
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -46,12 +46,12 @@
 	Tasks      []json.RawMessage `json:"tasks"`
 }
 
-// Answer is the response of an entry. Status is the HTTP status.
-type Answer struct {
-	Status int
-	Body   json.RawMessage
-	After  time.Duration
-	Parsed Body
+// Response is the response of an entry. Status is the HTTP status.
+type Response struct {
+	Status     int
+	Body       json.RawMessage
+	RetryAfter time.Duration
+	Parsed     Body
 }
 
 // Body holds the fields of a response that callers act on.
@@ -80,18 +80,18 @@
 const adviceSameIdentity = "same"
 
 // isFinal reports whether resubmitting under the same identity is pointless.
-func (a *Answer) isFinal() bool {
+func (a *Response) isFinal() bool {
 	return a.Parsed.Error == nil || a.Parsed.Error.Advice != adviceSameIdentity
 }
 
-// Key returns a new identity whose home is the entry that answered last. Behind
+// NewIdentity returns a new identity whose home is the entry that answered last. Behind
 // a load balancer with connection affinity the next submission reaches that
 // entry, which then need not forward it. Forwarding costs two messages for each
 // job. Before the first response Key fetches a ticket instead.
-func (c *Client) Key(ctx context.Context) (string, error) {
+func (c *Client) NewIdentity(ctx context.Context) (string, error) {
 	homeEntry := c.homeEntry.Load()
 	if homeEntry == nil {
-		return c.Ticket(ctx)
+		return c.FetchTicket(ctx)
 	}
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -100,9 +100,9 @@
 	return *homeEntry + "." + id.String(), nil
 }
 
-// Ticket fetches a new identity whose creation time is taken from the clock of
+// FetchTicket fetches a new identity whose creation time is taken from the clock of
 // the responding entry.
-func (c *Client) Ticket(ctx context.Context) (string, error) {
+func (c *Client) FetchTicket(ctx context.Context) (string, error) {
 	a, err := c.sendUntilFinal(ctx, func(base string) (*http.Request, error) {
 		return http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/ticket", nil)
 	})
@@ -117,7 +117,7 @@
 
 // Submit sends job under key until it gets a final response or ctx ends. The
 // job runs at most once, however often it is sent.
-func (c *Client) Submit(ctx context.Context, key string, job *Job) (*Answer, error) {
+func (c *Client) Submit(ctx context.Context, key string, job *Job) (*Response, error) {
 	body, err := json.Marshal(job)
 	if err != nil {
 		return nil, fmt.Errorf("encode job: %w", err)
@@ -135,7 +135,7 @@
 
 // sendUntilFinal sends a request to the entries in turn until one of them
 // returns a final response. It waits with exponential backoff between attempts.
-func (c *Client) sendUntilFinal(ctx context.Context, newRequest func(base string) (*http.Request, error)) (*Answer, error) {
+func (c *Client) sendUntilFinal(ctx context.Context, newRequest func(base string) (*http.Request, error)) (*Response, error) {
 	if len(c.Entries) == 0 {
 		return nil, errors.New("no entry is configured")
 	}
@@ -147,7 +147,7 @@
 		}
 		delay := backoff
 		if err == nil {
-			delay = max(delay, a.After)
+			delay = max(delay, a.RetryAfter)
 		}
 		select {
 		case <-ctx.Done():
@@ -160,7 +160,7 @@
 
 // send makes one attempt at one entry.
 
-func (c *Client) send(newRequest func(base string) (*http.Request, error), base string) (*Answer, error) {
+func (c *Client) send(newRequest func(base string) (*http.Request, error), base string) (*Response, error) {
 	req, err := newRequest(base)
 	if err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 	if homeEntry := resp.Header.Get(homeHeader); homeEntry != "" {
 		c.homeEntry.Store(&homeEntry)
 	}
-	a := &Answer{Status: resp.StatusCode, Body: body, After: retryAfter(resp)}
+	a := &Response{Status: resp.StatusCode, Body: body, RetryAfter: retryAfter(resp)}
 	if err := json.Unmarshal(body, &a.Parsed); err != nil {
 		return nil, fmt.Errorf("status %d: response is not JSON: %w", resp.StatusCode, err)
 	}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -86,10 +86,10 @@
 
 func TestKeyNamesTheLastRespondingEntry(t *testing.T) {
 	c, _ := newClient(t, completed)
-	key, err := c.Key(context.Background())
+	key, err := c.NewIdentity(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, key, qt.Equals, "entry-a-1.first")
-	key, err = c.Key(context.Background())
+	key, err = c.NewIdentity(context.Background())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, strings.HasPrefix(key, "entry-a-1."), qt.IsTrue)
 	qt.Assert(t, key, qt.Not(qt.Equals), "entry-a-1.first")
--- a/internal/confsync/amend_test.go
+++ b/internal/confsync/amend_test.go
@@ -38,7 +38,7 @@
 }
 
 func (f *fixture) assertConflict(err error, current int64) {
-	f.Assert(errkind.Of(err), qt.Equals, errkind.RecordConflict)
+	f.Assert(errkind.KindOf(err), qt.Equals, errkind.RecordConflict)
 	c, ok := errors.AsType[*ConflictError](err)
 	f.Assert(ok, qt.IsTrue)
 	f.Assert(c.Current, qt.Equals, current)
@@ -80,7 +80,7 @@
 func TestLostResponseIsResolvedByReadingBack(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		for _, expectedRevision := range []int64{0, 2} {
-			f.server.LoseAnswers(1)
+			f.server.DropResponses(1)
 			revision, err := f.putMember("lima", expectedRevision)
 			f.Assert(err, qt.IsNil)
 			_, stored := f.stored()
@@ -96,7 +96,7 @@
 func TestLostResponseThenOverwrittenByAnother(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
-		f.server.LoseAnswers(1)
+		f.server.DropResponses(1)
 		c := f.sendWithLostResponse(&change{kind: record.KindMember, name: "ayni", expectedRevision: base}, "cusco")
 		f.writeMember("tacna", c.revision)
 		o, revision, current := f.writer.resolveOutcome(f.t.Context(), c.change)
@@ -126,7 +126,7 @@
 // that was confirmed to the other operator.
 func TestLostResponseThenDeletedByAnother(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
-		f.server.LoseAnswers(1)
+		f.server.DropResponses(1)
 		c := f.sendWithLostResponse(&change{kind: record.KindMember, name: "ayni"}, "cusco")
 		_, err := f.newStoreClient().Delete(f.t.Context(), c.change.key(), c.revision)
 		f.Assert(err, qt.IsNil)
@@ -161,7 +161,7 @@
 				if !create {
 					expectedRevision = f.writeMember("lima", 0)
 				}
-				f.server.LoseAnswers(1)
+				f.server.DropResponses(1)
 				c := f.sendWithLostResponse(&change{kind: record.KindMember, name: "ayni", expectedRevision: expectedRevision}, "cusco")
 				_, err := f.newStoreClient().Delete(f.t.Context(), c.change.key(), c.revision)
 				f.Assert(err, qt.IsNil)
@@ -229,7 +229,7 @@
 // with advice on how to proceed.
 func TestUnresolvableOutcomeIsReportedAsUnknown(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
-		f.server.LoseAnswers(1)
+		f.server.DropResponses(1)
 		f.server.SetDelay(10 * time.Millisecond)
 		result := make(chan error, 1)
 		go func() { _, err := f.putMember("lima", 0); result <- err }()
@@ -239,7 +239,7 @@
 		f.server.SetDown(true)
 		start := time.Now()
 		err := <-result
-		f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
+		f.Assert(errkind.KindOf(err), qt.Equals, errkind.StoreUnavailable)
 		f.Assert(errkind.From(err).Ran, qt.Equals, errkind.RanUnknown)
 		f.Assert(err, qt.ErrorMatches, `.*not known; read the record.*`)
 		f.Assert(time.Since(start) <= DefaultResolveTimeout, qt.IsTrue)
@@ -254,7 +254,7 @@
 		runWithStore(t, func(f *fixture) {
 			base := f.writeMember("lima", 0)
 			other := New(Options{Store: f.newStoreClient()})
-			f.server.LoseAnswers(1 + seed%3)
+			f.server.DropResponses(1 + seed%3)
 			f.server.SetDelay(time.Duration(seed) * 150 * time.Millisecond)
 			time.AfterFunc(time.Duration(seed)*time.Second/3, func() { f.server.SetDelay(0) })
 			errs := make([]error, 2)
@@ -268,13 +268,13 @@
 			stored, _ := f.stored()
 			for i, err := range errs {
 				isStored := stored == fmt.Sprintf("region-%d", i)
-				switch errkind.Of(err) {
+				switch errkind.KindOf(err) {
 				case errkind.None:
 					f.Assert(isStored, qt.IsTrue, qt.Commentf("seed %d", seed))
 				case errkind.RecordConflict:
 					f.Assert(isStored, qt.IsFalse, qt.Commentf("seed %d", seed))
 				default:
-					f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable, qt.Commentf("seed %d", seed))
+					f.Assert(errkind.KindOf(err), qt.Equals, errkind.StoreUnavailable, qt.Commentf("seed %d", seed))
 				}
 			}
 		})
@@ -298,7 +298,7 @@
 func TestLostResponseOfADeletion(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		base := f.writeMember("lima", 0)
-		f.server.LoseAnswers(1)
+		f.server.DropResponses(1)
 		revision, err := f.writer.Delete(f.t.Context(), record.KindMember, "ayni", base)
 		f.Assert(err, qt.IsNil)
 		f.Assert(revision, qt.Equals, base+1)
@@ -322,7 +322,7 @@
 			`[]`: `.*want a JSON object.*`,
 		} {
 			_, err := f.writer.Put(f.t.Context(), record.KindMember, "ayni", []byte(value), 0)
-			f.Check(errkind.Of(err), qt.Equals, errkind.RecordInvalid)
+			f.Check(errkind.KindOf(err), qt.Equals, errkind.RecordInvalid)
 			f.Check(err, qt.ErrorMatches, want)
 		}
 		f.Assert(f.server.Revision(), qt.Equals, int64(1))
@@ -357,7 +357,7 @@
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Second)
 		defer cancel()
 		_, err := f.writer.Put(ctx, record.KindMember, "ayni", memberJSON("lima"), 0)
-		f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
+		f.Assert(errkind.KindOf(err), qt.Equals, errkind.StoreUnavailable)
 	})
 }
 
@@ -372,7 +372,7 @@
 	s := New(Options{Store: store.NewEtcd(store.Options{Endpoints: []string{"http://" + closed.Addr().String()}})})
 	start := time.Now()
 	_, err = s.Put(t.Context(), record.KindMember, "ayni", memberJSON("lima"), 0)
-	c.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
+	c.Assert(errkind.KindOf(err), qt.Equals, errkind.StoreUnavailable)
 	c.Assert(errkind.From(err).Ran, qt.Equals, errkind.RanNo)
 	c.Assert(time.Since(start) < time.Second, qt.IsTrue)
 }
@@ -388,7 +388,7 @@
 		start := time.Now()
 		_, err := f.sync.Put(f.t.Context(), record.KindMember, "ayni", memberJSON("cusco"), revision)
 		f.Assert(time.Since(start), qt.Equals, time.Duration(0))
-		f.Assert(errkind.Of(err), qt.Equals, errkind.StoreUnavailable)
+		f.Assert(errkind.KindOf(err), qt.Equals, errkind.StoreUnavailable)
 		f.Assert(errkind.From(err).Ran, qt.Equals, errkind.RanNo)
 		f.Assert(errkind.From(err).After, qt.Equals, DefaultMaxBackoff)
 		region, _ := f.stored()
--- a/internal/confsync/follow.go
+++ b/internal/confsync/follow.go
@@ -156,12 +156,12 @@
 	}
 }
 
-func (s *Sync) latest(ctx context.Context) (store.Latest, error) {
+func (s *Sync) latest(ctx context.Context) (store.PrefixState, error) {
 	if p, ok := s.opts.Store.(latestReader); ok {
-		return p.Latest(ctx, store.RecordPrefix)
+		return p.PrefixState(ctx, store.RecordPrefix)
 	}
 	kvs, revision, err := s.opts.Store.Range(ctx, store.RecordPrefix)
-	l := store.Latest{Count: int64(len(kvs)), Revision: revision}
+	l := store.PrefixState{Count: int64(len(kvs)), Revision: revision}
 	for _, kv := range kvs {
 		l.ModRevision = max(l.ModRevision, kv.ModRevision)
 	}
--- a/internal/confsync/share.go
+++ b/internal/confsync/share.go
@@ -27,9 +27,9 @@
 	return enc.forPeers, enc.snapshot.Revision, nil
 }
 
-// EncodedFor returns the configuration for a guard of a service, and its revision.
+// EncodedForGuard returns the configuration for a guard of a service, and its revision.
 // It returns nil until Ready.
-func (s *Sync) EncodedFor(service string) (b []byte, revision int64, err error) {
+func (s *Sync) EncodedForGuard(service string) (b []byte, revision int64, err error) {
 	enc, err := s.encodeCurrent()
 	if enc == nil {
 		return nil, 0, err
@@ -79,7 +79,7 @@
 }
 
 // OfferFromGuard is like Offer for a configuration from a guard, as returned by
-// EncodedFor. Without a Sealer it is rejected, since guards are not trusted.
+// EncodedForGuard. Without a Sealer it is rejected, since guards are not trusted.
 func (s *Sync) OfferFromGuard(b []byte) (bool, error) {
 	g, err := record.DecodeForGuard(b)
 	if err != nil {
--- a/internal/confsync/share_test.go
+++ b/internal/confsync/share_test.go
@@ -32,7 +32,7 @@
 		_, err = old.installEncoded(b)
 		f.Assert(err, qt.IsNil)
 
-		held, encodedRevision, err := old.EncodedFor("ayni/reserva")
+		held, encodedRevision, err := old.EncodedForGuard("ayni/reserva")
 		f.Assert(err, qt.IsNil)
 		f.Assert(encodedRevision, qt.Equals, revision)
 		f.Assert(bytes.Contains(held, []byte("secret-region")), qt.IsFalse)
@@ -61,7 +61,7 @@
 		other := f.newSealedSync("a key that the member chose")
 		_, err = other.installEncoded(plain)
 		f.Assert(err, qt.IsNil)
-		sealedByOther, _, _ := other.EncodedFor("ayni/reserva")
+		sealedByOther, _, _ := other.EncodedForGuard("ayni/reserva")
 		unsealed, err := forged.EncodeForGuard("ayni/reserva", plain)
 		f.Assert(err, qt.IsNil)
 
--- a/internal/confsync/sync.go
+++ b/internal/confsync/sync.go
@@ -56,7 +56,7 @@
 
 // latestReader is a store that can report cheaply whether a prefix has changed.
 type latestReader interface {
-	Latest(ctx context.Context, prefix string) (store.Latest, error)
+	PrefixState(ctx context.Context, prefix string) (store.PrefixState, error)
 }
 
 // endpointSwitcher is a store with several endpoints.
--- a/internal/dispatch/admit.go
+++ b/internal/dispatch/admit.go
@@ -18,7 +18,7 @@
 
 // admit returns an error if the job cannot be served. The statements of the
 // error remain true afterwards.
-func (c *Core) admit(now time.Time, s *Spec) *errkind.Error {
+func (c *Dispatcher) admit(now time.Time, s *Spec) *errkind.Error {
 	n := len(s.Tasks)
 	stats := &c.pool.FleetStats
 	switch {
@@ -51,9 +51,9 @@
 
 // checkDeadline refuses a job that is not expected to finish before its
 // deadline.
-func (c *Core) checkDeadline(now time.Time, s *Spec, stats *sched.FleetStats) *errkind.Error {
+func (c *Dispatcher) checkDeadline(now time.Time, s *Spec, stats *sched.FleetStats) *errkind.Error {
 	n, timeLeft := len(s.Tasks), s.Deadline.Sub(now)
-	lastDue := now.Add(time.Duration(n-1) * sched.Spacing(timeLeft, n))
+	lastDue := now.Add(time.Duration(n-1) * sched.TaskSpacing(timeLeft, n))
 	queued, share := c.queue.FlowStatus(s.Team, c.policy.Teams[s.Team].Weight)
 	// A team below its share does not wait for the backlog of other teams.
 	queued = min(c.queue.CountDueBy(lastDue.UnixNano()), int(float64(queued)/share))
@@ -75,14 +75,14 @@
 
 // nominalRate returns this entry's equal share of the tasks that the fleet can
 // start per second; 0 if run times are unknown.
-func (c *Core) nominalRate(stats *sched.FleetStats) float64 {
+func (c *Dispatcher) nominalRate(stats *sched.FleetStats) float64 {
 	if !c.runTimes.HasEstimate() {
 		return 0
 	}
 	return float64(stats.Slots) / c.runTimes.Mean.Seconds() / float64(max(1, c.policy.Entries))
 }
 
-func (c *Core) checkQuota(now time.Time, team string, tasks int) *errkind.Error {
+func (c *Dispatcher) checkQuota(now time.Time, team string, tasks int) *errkind.Error {
 	quota := c.policy.Teams[team]
 	if quota.StartsPerSecond <= 0 {
 		return nil
@@ -104,7 +104,7 @@
 // anyGuardInGrace reports whether a guard is disconnected but may still
 // reconnect within its grace period. If jobs were refused meanwhile, every
 // short interruption of the only worker's link would cause refusals.
-func (c *Core) anyGuardInGrace() bool {
+func (c *Dispatcher) anyGuardInGrace() bool {
 	for _, g := range c.guards {
 		if g != nil && !g.isConnected && !g.isDraining {
 			return true
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -59,7 +59,7 @@
 	Err      *errkind.Error
 	Failures []TaskFailure
 	// Slowest is the longest run time of a task on its upstream.
-	Slowest time.Duration
+	LongestRunTime time.Duration
 }
 
 // Action is one operation that the caller of a Machine must carry out, in the
@@ -76,15 +76,15 @@
 // Machine is driven by an entry or by package replay. The now parameters must
 // never decrease. Every method may produce actions, which Actions returns.
 type Machine interface {
-	// GuardUp adds a guard or reconnects one whose link was lost. Tasks that
+	// GuardConnected adds a guard or reconnects one whose link was lost. Tasks that
 	// were sent to the same incarnation are sent again, which is safe because a
 	// guard starts a Ref at most once.
-	GuardUp(now time.Time, h *wire.Hello)
-	// GuardDown records a lost link. The outcome of tasks in flight is open for
+	GuardConnected(now time.Time, h *wire.Hello)
+	// GuardDisconnected records a lost link. The outcome of tasks in flight is open for
 	// a grace period, after which they fail as WorkerLost.
-	GuardDown(now time.Time, g identity.Incarnation)
-	// GuardLeaving records a planned stop: the guard is sent no more tasks.
-	GuardLeaving(now time.Time, g identity.Incarnation)
+	GuardDisconnected(now time.Time, g identity.Incarnation)
+	// GuardDraining records a planned stop: the guard is sent no more tasks.
+	GuardDraining(now time.Time, g identity.Incarnation)
 	// Submit admits a job, or refuses it with an error whose statements remain
 	// true afterwards.
 	Submit(now time.Time, s *Spec) *errkind.Error
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -11,10 +11,10 @@
 
 // newLoadedCore returns a dispatcher with n workers, four fifths of whose slots
 // are in use, and a queue of ten thousand tasks of 81 teams.
-func newLoadedCore(n int) *Core {
+func newLoadedCore(n int) *Dispatcher {
 	c := New("ayni/reserva", DefaultPolicy(), testSeed)
 	for i := range n {
-		c.GuardUp(epoch, &wire.Hello{
+		c.GuardConnected(epoch, &wire.Hello{
 			Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: 8, Domain: fmt.Sprintf("d%d", i%6),
 			Load: wire.Load{Seq: 1, Running: 4 + i%5, Slots: 8, Healthy: true},
 		})
@@ -94,7 +94,7 @@
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			c := New("ayni/reserva", DefaultPolicy(), testSeed)
 			for i := range 820 {
-				c.GuardUp(epoch, &wire.Hello{
+				c.GuardConnected(epoch, &wire.Hello{
 					Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: 8, Accelerator: i / 819,
 					Load: wire.Load{Seq: 1, Slots: 8, Healthy: true},
 				})
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -10,11 +10,11 @@
 	"wigeontray/internal/wire"
 )
 
-// Core implements Machine for one service at one entry.
+// Dispatcher implements Machine for one service at one entry.
 //
 // It leaves the Home field of a wire.Start empty: the entry fills in its own
 // incarnation when it carries out the action.
-type Core struct {
+type Dispatcher struct {
 	service string
 	policy  Policy
 	rng     *rand.Rand
@@ -45,12 +45,12 @@
 	actions, spareActions []Action
 }
 
-var _ Machine = (*Core)(nil)
+var _ Machine = (*Dispatcher)(nil)
 
 // New returns the dispatcher of a service with the given policy. seed determines
 // all random choices.
-func New(service string, p Policy, seed uint64) *Core {
-	return &Core{
+func New(service string, p Policy, seed uint64) *Dispatcher {
+	return &Dispatcher{
 		service:       service,
 		policy:        p,
 		rng:           rand.New(rand.NewPCG(seed, 0)),
@@ -64,23 +64,23 @@
 }
 
 // Actions implements Machine.
-func (c *Core) Actions() []Action {
+func (c *Dispatcher) Actions() []Action {
 	out := c.actions
 	c.actions, c.spareActions = c.spareActions[:0], out
 	return out
 }
 
 // Jobs implements Machine.
-func (c *Core) Jobs() int { return len(c.jobs) }
+func (c *Dispatcher) Jobs() int { return len(c.jobs) }
 
 // Configure implements Machine.
-func (c *Core) Configure(now time.Time, p Policy) {
+func (c *Dispatcher) Configure(now time.Time, p Policy) {
 	c.policy = p
 	c.dispatchWaiting(now)
 }
 
 // Submit implements Machine.
-func (c *Core) Submit(now time.Time, s *Spec) *errkind.Error {
+func (c *Dispatcher) Submit(now time.Time, s *Spec) *errkind.Error {
 	if err := c.admit(now, s); err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 }
 
 // Cancel implements Machine.
-func (c *Core) Cancel(now time.Time, id JobID) {
+func (c *Dispatcher) Cancel(now time.Time, id JobID) {
 	if j := c.jobs[id]; j != nil {
 		c.failJob(now, j, failure{kind: errkind.Cancelled, detail: "the caller cancelled the job"})
 		c.dispatchWaiting(now)
@@ -104,7 +104,7 @@
 }
 
 // Tick implements Machine.
-func (c *Core) Tick(now time.Time) {
+func (c *Dispatcher) Tick(now time.Time) {
 	for {
 		t, ok := c.timers.popDue(now)
 		if !ok {
@@ -116,9 +116,9 @@
 }
 
 // NextTick implements Machine.
-func (c *Core) NextTick() time.Time { return c.timers.nextDue() }
+func (c *Dispatcher) NextTick() time.Time { return c.timers.nextDue() }
 
-func (c *Core) runTimer(now time.Time, t *timer) {
+func (c *Dispatcher) runTimer(now time.Time, t *timer) {
 	switch {
 	case t.maintainQueue:
 		c.maintainQueue(now)
@@ -136,10 +136,10 @@
 }
 
 // emit appends an action to those returned by Actions.
-func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
+func (c *Dispatcher) emit(a Action) { c.actions = append(c.actions, a) }
 
 // enqueue adds a task that has provably not started to the fair queue.
-func (c *Core) enqueue(t *task) {
+func (c *Dispatcher) enqueue(t *task) {
 	t.state = waiting
 	s := t.job.spec
 	c.queue.Push(s.Team, c.policy.Teams[s.Team].Weight, sched.Item[*task]{Value: t, Due: t.due})
@@ -147,7 +147,7 @@
 
 // dispatchWaiting sends waiting tasks while workers are estimated to have free
 // slots, and reserves slots for the remaining tasks.
-func (c *Core) dispatchWaiting(now time.Time) {
+func (c *Dispatcher) dispatchWaiting(now time.Time) {
 	c.dispatchParked(now)
 	for c.queue.Len() > 0 && c.canPlace() {
 		t, ok := c.nextTask(now)
@@ -180,7 +180,7 @@
 }
 
 // nextTask removes the next runnable task from the queue.
-func (c *Core) nextTask(now time.Time) (*task, bool) {
+func (c *Dispatcher) nextTask(now time.Time) (*task, bool) {
 	for {
 		t, ok := c.queue.Pop()
 		if !ok {
@@ -195,7 +195,7 @@
 // checkRunnable reports whether a waiting task should still be run. If the time
 // left is too short even for a quick run, it fails the job: starting the task
 // would only use a slot that others need.
-func (c *Core) checkRunnable(now time.Time, t *task) bool {
+func (c *Dispatcher) checkRunnable(now time.Time, t *task) bool {
 	if t.state != waiting || t.job.tasks == nil {
 		return false // the job finished while the task was waiting
 	}
@@ -208,18 +208,18 @@
 
 // canPlace reports whether chooseWorker can succeed for a task without
 // refusals.
-func (c *Core) canPlace() bool {
+func (c *Dispatcher) canPlace() bool {
 	switch c.policy.Placement {
 	case LateBinding:
 		return false
-	case Chosen, LeastKnown:
+	case DefaultPlacement, LeastKnownLoad:
 		return c.pool.FleetStats.WithFreeSlot > 0
 	}
 	return c.pool.FleetStats.Usable > 0
 }
 
 // chooseWorker returns the index of a worker for t, or sched.NoWorker.
-func (c *Core) chooseWorker(t *task) int {
+func (c *Dispatcher) chooseWorker(t *task) int {
 	req := sched.PlacementRequest{Domain: c.domainIDs.id(c.policy.Domain), Excluded: t.refusedBy, JobLocations: t.job.locations, Need: t.job.spec.Need}
 	switch c.policy.Placement {
 	case Random:
@@ -246,7 +246,7 @@
 
 // needsOffer reports whether t may only be sent in response to an offer. The
 // last candidates for a task need none, because they are asked to queue it.
-func (c *Core) needsOffer(t *task) bool {
+func (c *Dispatcher) needsOffer(t *task) bool {
 	refusals := len(t.refusedBy)
 	if refusals == 0 || !c.usesReservations() || c.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
 		return false
@@ -268,7 +268,7 @@
 // A worker sends no reports to an entry that has no task on it. Without
 // lowering old reports, a single report that all slots are in use would block
 // the entry's queue forever.
-func (c *Core) maintainQueue(now time.Time) {
+func (c *Dispatcher) maintainQueue(now time.Time) {
 	c.isMaintenanceScheduled = false
 	c.expireReservations(now)
 	c.startRate.EndInterval(now, c.queue.Len() > 0, c.nominalRate(&c.pool.FleetStats))
@@ -282,11 +282,11 @@
 
 // sendTask sends t to a worker. From then on the task counts as possibly
 // started, until the guard's final result states that it was not.
-func (c *Core) sendTask(now time.Time, t *task, workerIndex int, offerID uint64) {
+func (c *Dispatcher) sendTask(now time.Time, t *task, workerIndex int, offerID uint64) {
 	g := c.guards[workerIndex]
 	t.state = sent
 	startMessage := c.startMessage(now, t)
-	startMessage.Offered = offerID
+	startMessage.OfferID = offerID
 	c.attempts[startMessage.Ref] = &attempt{ref: startMessage.Ref, task: t, guard: g, sent: now, canBeQueued: startMessage.WaitMs > 0, accelerators: t.job.spec.Need.Accelerators}
 	c.addOwnTasks(workerIndex, 1, t.job.spec.Need.Accelerators)
 	t.job.locations.Add(&c.pool.Workers[workerIndex])
@@ -302,7 +302,7 @@
 }
 
 // startMessage returns the message that asks a guard to start t.
-func (c *Core) startMessage(now time.Time, t *task) *wire.Start {
+func (c *Dispatcher) startMessage(now time.Time, t *task) *wire.Start {
 	s := t.job.spec
 	leftMs := max(1, s.Deadline.Sub(now).Milliseconds())
 	return &wire.Start{Ref: t.ref(), Of: len(t.job.tasks), LeftMs: leftMs, WaitMs: c.maxWaitMs(t, leftMs), Body: s.Tasks[t.index]}
@@ -311,13 +311,13 @@
 // maxWaitMs returns how long the guard may queue the task until a slot is free.
 // A refusal is final for that guard, so the last candidates are asked to queue
 // the task; otherwise a task that every guard refused as Busy could never run.
-func (c *Core) maxWaitMs(t *task, leftMs int64) int64 {
+func (c *Dispatcher) maxWaitMs(t *task, leftMs int64) int64 {
 	switch c.policy.Placement {
 	case Random, TwoChoices, TwoChoicesLoad:
 		return leftMs
 	}
 	refusals := len(t.refusedBy)
-	if c.policy.Weighting == WeighMessages || c.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
+	if c.policy.Weighting == PreferFewMessages || c.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
 		return leftMs
 	}
 	return 0
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -18,13 +18,13 @@
 
 // harness is a dispatcher with guards g0, g1, ... and a simulated clock.
 type harness struct {
-	*Core
+	*Dispatcher
 	c   *qt.C
 	now time.Time
 }
 
 func newHarness(t *testing.T, guards, slots int) *harness {
-	h := &harness{Core: New("ayni/reserva", DefaultPolicy(), testSeed), c: qt.New(t), now: epoch}
+	h := &harness{Dispatcher: New("ayni/reserva", DefaultPolicy(), testSeed), c: qt.New(t), now: epoch}
 	for i := range guards {
 		h.connectGuard(i, slots)
 	}
@@ -34,7 +34,7 @@
 func guardID(i int) identity.Incarnation { return identity.Incarnation(fmt.Sprintf("g%d-1", i)) }
 
 func (h *harness) connectGuard(i, slots int) {
-	h.GuardUp(h.now, &wire.Hello{Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: slots, Load: wire.Load{Slots: slots, Healthy: true}})
+	h.GuardConnected(h.now, &wire.Hello{Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: slots, Load: wire.Load{Slots: slots, Healthy: true}})
 }
 
 // submitJob submits a job of n tasks whose deadline is one second away.
@@ -190,11 +190,11 @@
 	h.submitJob("k", 1)
 	starts, _, _ := h.takeActions()
 	first := starts[0]
-	h.GuardDown(h.now, first.Guard)
+	h.GuardDisconnected(h.now, first.Guard)
 	h.advance(500 * time.Millisecond)
 	starts, finished, _ := h.takeActions()
 	h.c.Assert(len(starts)+len(finished), qt.Equals, 0)
-	h.GuardUp(h.now, &wire.Hello{Incarnation: first.Guard, Slots: 1})
+	h.GuardConnected(h.now, &wire.Hello{Incarnation: first.Guard, Slots: 1})
 	starts, _, _ = h.takeActions()
 	h.c.Assert(starts, qt.HasLen, 1)
 	h.c.Assert(starts[0].Guard, qt.Equals, first.Guard)
@@ -208,8 +208,8 @@
 	h := newHarness(t, 1, 1)
 	h.submitJob("k", 1)
 	h.takeActions()
-	h.GuardDown(h.now, guardID(0))
-	h.GuardUp(h.now, &wire.Hello{Incarnation: "g0-2", Worker: "w0", Slots: 1})
+	h.GuardDisconnected(h.now, guardID(0))
+	h.GuardConnected(h.now, &wire.Hello{Incarnation: "g0-2", Worker: "w0", Slots: 1})
 	starts, finished, _ := h.takeActions()
 	h.c.Assert(starts, qt.HasLen, 0)
 	h.c.Assert(finished, qt.HasLen, 1)
@@ -223,7 +223,7 @@
 func TestStaleLoadReportsDecay(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	p := DefaultPolicy()
-	p.Weighting = WeighMessages // uses no reservations, which would lead to offers
+	p.Weighting = PreferFewMessages // uses no reservations, which would lead to offers
 	h.Configure(h.now, p)
 	for i := range 2 {
 		h.connectGuard(i, 2)
@@ -254,7 +254,7 @@
 	starts, _, _ := h.takeActions()
 	h.c.Assert(starts, qt.HasLen, 1)
 	h.c.Assert(starts[0].Guard, qt.Equals, guardID(1))
-	h.c.Assert(starts[0].Start.Offered, qt.Equals, uint64(9))
+	h.c.Assert(starts[0].Start.OfferID, qt.Equals, uint64(9))
 	h.Offer(h.now, guardID(0), &wire.Offer{ID: 4, HoldMs: 25, Load: full})
 	actions := h.Actions()
 	h.c.Assert(actions, qt.HasLen, 1)
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -114,12 +114,12 @@
 func TestLossOfLastWorkerFailsJobs(t *testing.T) {
 	h := newHarness(t, 1, 1)
 	p := DefaultPolicy()
-	p.Grace = 100 * time.Millisecond
+	p.GracePeriod = 100 * time.Millisecond
 	h.Configure(h.now, p)
 	h.submitJob("sent", 1)
 	h.submitJob("waits", 1)
 	h.takeActions()
-	h.GuardDown(h.now, guardID(0))
+	h.GuardDisconnected(h.now, guardID(0))
 	h.c.Assert(h.submitJob("in doubt", 1) == nil, qt.IsTrue)
 	h.advance(100 * time.Millisecond)
 	_, finished, _ := h.takeActions()
@@ -211,7 +211,7 @@
 	h := newHarness(t, 2, 8)
 	h.runJobs(200, map[identity.Incarnation]bool{guardID(0): true})
 	h.c.Assert(h.pool.FleetStats.Excluded, qt.Equals, 1)
-	h.GuardLeaving(h.now, guardID(1))
+	h.GuardDraining(h.now, guardID(1))
 	h.c.Assert(h.submitJob("after the stop", 1) == nil, qt.IsTrue)
 	starts, _, _ := h.takeActions()
 	h.c.Assert(starts, qt.HasLen, 1)
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -54,8 +54,8 @@
 	accelerators int
 }
 
-// GuardUp implements Machine.
-func (c *Core) GuardUp(now time.Time, h *wire.Hello) {
+// GuardConnected implements Machine.
+func (c *Dispatcher) GuardConnected(now time.Time, h *wire.Hello) {
 	g := c.findGuard(h.Incarnation)
 	isReconnect := g != nil
 	if !isReconnect {
@@ -79,7 +79,7 @@
 	c.dispatchWaiting(now)
 }
 
-func (c *Core) addGuard(h *wire.Hello) *guard {
+func (c *Dispatcher) addGuard(h *wire.Hello) *guard {
 	workerIndex := slices.Index(c.guards, nil)
 	if workerIndex < 0 {
 		workerIndex = c.pool.AddWorker()
@@ -95,7 +95,7 @@
 // removePredecessors removes disconnected earlier incarnations of a restarted
 // guard. Their state was lost with the process, so no result can arrive.
 // Otherwise every job on a killed guard would wait for the whole grace period.
-func (c *Core) removePredecessors(now time.Time, h *wire.Hello) {
+func (c *Dispatcher) removePredecessors(now time.Time, h *wire.Hello) {
 	for _, g := range c.guards {
 		if g != nil && g.worker == h.Worker && !g.isConnected {
 			c.removeGuard(now, g)
@@ -107,7 +107,7 @@
 // may have been lost with the link, and the jobs would wait for results that
 // never arrive. The guard starts a Ref at most once, so a start that did arrive
 // has no second effect. Withdrawn tasks are cancelled instead.
-func (c *Core) resendStarts(now time.Time, g *guard) {
+func (c *Dispatcher) resendStarts(now time.Time, g *guard) {
 	for _, a := range c.attemptsAt(g) {
 		if a.task == nil {
 			c.emit(Action{Guard: g.incarnation, Cancel: &wire.Cancel{Ref: a.ref}})
@@ -120,7 +120,7 @@
 
 // attemptsAt returns a guard's attempts in a fixed order. Map iteration order
 // would make replays nondeterministic.
-func (c *Core) attemptsAt(g *guard) []*attempt {
+func (c *Dispatcher) attemptsAt(g *guard) []*attempt {
 	var out []*attempt
 	for _, att := range c.attempts {
 		if att.guard == g {
@@ -134,8 +134,8 @@
 	return out
 }
 
-// GuardDown implements Machine.
-func (c *Core) GuardDown(now time.Time, inc identity.Incarnation) {
+// GuardDisconnected implements Machine.
+func (c *Dispatcher) GuardDisconnected(now time.Time, inc identity.Incarnation) {
 	g := c.findGuard(inc)
 	if g == nil || !g.isConnected {
 		return
@@ -143,11 +143,11 @@
 	g.isConnected = false
 	g.disconnects++
 	c.updateState(g)
-	c.timers.add(now.Add(c.policy.Grace), timer{guard: g, disconnects: g.disconnects})
+	c.timers.add(now.Add(c.policy.GracePeriod), timer{guard: g, disconnects: g.disconnects})
 }
 
 // expireGrace removes a guard that did not reconnect within its grace period.
-func (c *Core) expireGrace(now time.Time, g *guard, disconnects int) {
+func (c *Dispatcher) expireGrace(now time.Time, g *guard, disconnects int) {
 	if !g.isConnected && g.disconnects == disconnects && c.guards[g.workerIndex] == g {
 		c.removeGuard(now, g)
 		c.failUnplaceableJobs(now)
@@ -155,7 +155,7 @@
 }
 
 // removeGuard fails the jobs with a task at g and frees its worker index.
-func (c *Core) removeGuard(now time.Time, g *guard) {
+func (c *Dispatcher) removeGuard(now time.Time, g *guard) {
 	for _, a := range c.attemptsAt(g) {
 		t := a.task
 		c.removeAttempt(a)
@@ -173,7 +173,7 @@
 
 // failUnplaceableJobs fails every job for which no fitting worker is left.
 // Otherwise such a job would wait until its deadline.
-func (c *Core) failUnplaceableJobs(now time.Time) {
+func (c *Dispatcher) failUnplaceableJobs(now time.Time) {
 	ids := make([]JobID, 0, len(c.jobs))
 	for id, j := range c.jobs {
 		if c.noWorkerFits(j.spec.Need) {
@@ -189,7 +189,7 @@
 }
 
 // noWorkerFits reports whether no remaining worker fits the need.
-func (c *Core) noWorkerFits(need Need) bool {
+func (c *Dispatcher) noWorkerFits(need Need) bool {
 	if need == (Need{}) {
 		return len(c.workerIndexes) == 0
 	}
@@ -198,7 +198,7 @@
 
 // clearRefusals removes a worker index from all lists of refusals. Another
 // guard may reuse the index and must not be skipped for these tasks.
-func (c *Core) clearRefusals(workerIndex int32) {
+func (c *Dispatcher) clearRefusals(workerIndex int32) {
 	for _, j := range c.jobs {
 		for i := range j.tasks {
 			t := &j.tasks[i]
@@ -207,8 +207,8 @@
 	}
 }
 
-// GuardLeaving implements Machine.
-func (c *Core) GuardLeaving(_ time.Time, inc identity.Incarnation) {
+// GuardDraining implements Machine.
+func (c *Dispatcher) GuardDraining(_ time.Time, inc identity.Incarnation) {
 	if g := c.findGuard(inc); g != nil {
 		g.isDraining = true
 		c.updateState(g)
@@ -216,7 +216,7 @@
 }
 
 // Load implements Machine.
-func (c *Core) Load(now time.Time, inc identity.Incarnation, l *wire.Load) {
+func (c *Dispatcher) Load(now time.Time, inc identity.Incarnation, l *wire.Load) {
 	if g := c.findGuard(inc); g != nil {
 		c.applyLoad(now, g, l)
 		c.dispatchWaiting(now)
@@ -226,7 +226,7 @@
 // applyLoad records a guard's load report unless a newer one was received
 // before: an outdated report would show slots as free that have since been
 // taken. A guard that accepts no new tasks reports no slots.
-func (c *Core) applyLoad(now time.Time, g *guard, l *wire.Load) {
+func (c *Dispatcher) applyLoad(now time.Time, g *guard, l *wire.Load) {
 	if l.Seq == 0 || l.Seq <= g.loadSeq {
 		return
 	}
@@ -243,11 +243,11 @@
 }
 
 // updateState derives the state used by placement from the guard's flags.
-func (c *Core) updateState(g *guard) {
+func (c *Dispatcher) updateState(g *guard) {
 	w := c.pool.Workers[g.workerIndex]
 	switch {
 	case g.isDraining || !g.isConnected || g.isUnhealthy:
-		w.State = sched.Leaving
+		w.State = sched.Unavailable
 	case g.isQuarantined:
 		w.State = sched.Quarantined
 	case g.isUnresponsive:
@@ -269,7 +269,7 @@
 // excluded ones are all that remains, and a slow worker is better than none.
 // Otherwise every job would be refused until the next probe, as if the service
 // had no worker.
-func (c *Core) restoreExcluded() {
+func (c *Dispatcher) restoreExcluded() {
 	for _, g := range c.guards {
 		if g != nil && (g.isQuarantined || g.isUnresponsive) {
 			g.isQuarantined, g.isUnresponsive = false, false
@@ -279,14 +279,14 @@
 }
 
 // addOwnTasks adds n tasks, which may be negative, to a worker's load.
-func (c *Core) addOwnTasks(workerIndex int, n int32, accelerators int) {
+func (c *Dispatcher) addOwnTasks(workerIndex int, n int32, accelerators int) {
 	w := c.pool.Workers[workerIndex]
 	w.OwnTasks += n
 	w.UsedAccelerators += int16(n) * int16(accelerators)
 	c.pool.Set(workerIndex, w)
 }
 
-func (c *Core) findGuard(inc identity.Incarnation) *guard {
+func (c *Dispatcher) findGuard(inc identity.Incarnation) *guard {
 	if workerIndex, ok := c.workerIndexes[inc]; ok {
 		return c.guards[workerIndex]
 	}
@@ -294,7 +294,7 @@
 }
 
 // removeAttempt deletes an attempt and releases its slot and accelerators.
-func (c *Core) removeAttempt(a *attempt) {
+func (c *Dispatcher) removeAttempt(a *attempt) {
 	delete(c.attempts, a.ref)
 	c.addOwnTasks(a.guard.workerIndex, -1, a.accelerators)
 }
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -9,17 +9,17 @@
 
 // recordHealth updates a worker's health from a task's result and quarantines
 // the worker if necessary.
-func (c *Core) recordHealth(now time.Time, a *attempt, r *wire.Result) {
+func (c *Dispatcher) recordHealth(now time.Time, a *attempt, r *wire.Result) {
 	g := a.guard
 	switch {
 	case r.Kind == errkind.None:
 		c.recordRun(g, time.Duration(r.RunMs)*time.Millisecond)
 	case mayBeWorkerFault(r.Kind):
-		g.health.Failed(a.ref.Key)
+		g.health.RecordFailure(a.ref.Key)
 	default:
 		return
 	}
-	if !g.isQuarantined && g.health.Sick() && c.pool.FleetStats.CanExclude() {
+	if !g.isQuarantined && g.health.ShouldQuarantine() && c.pool.FleetStats.CanExclude() {
 		c.quarantine(now, g)
 	}
 }
@@ -29,17 +29,17 @@
 	return k == errkind.UpstreamFailed || k == errkind.UpstreamPartial || k == errkind.TimedOut
 }
 
-func (c *Core) recordRun(g *guard, runTime time.Duration) {
+func (c *Dispatcher) recordRun(g *guard, runTime time.Duration) {
 	isSlow := c.runTimes.HasEstimate() && runTime > c.runTimes.P90
-	g.health.Ran(isSlow)
+	g.health.RecordRun(isSlow)
 	c.runTimes.Observe(runTime)
 	if w := c.pool.Workers[g.workerIndex]; w.MaxOwnTasks > 0 && !g.isQuarantined {
-		w.MaxOwnTasks = g.health.Probed(w.MaxOwnTasks, w.Slots, isSlow)
+		w.MaxOwnTasks = g.health.RecordProbe(w.MaxOwnTasks, w.Slots, isSlow)
 		c.pool.Set(g.workerIndex, w)
 	}
 }
 
-func (c *Core) quarantine(now time.Time, g *guard) {
+func (c *Dispatcher) quarantine(now time.Time, g *guard) {
 	g.isQuarantined = true
 	c.updateState(g)
 	c.timers.add(g.health.Quarantine(now), timer{guard: g, startProbation: true})
@@ -47,7 +47,7 @@
 
 // startProbation ends a quarantine. The worker gets one task at a time at
 // first, and more as they succeed.
-func (c *Core) startProbation(g *guard) {
+func (c *Dispatcher) startProbation(g *guard) {
 	if !g.isQuarantined {
 		return // restoreExcluded ended the quarantine early
 	}
@@ -70,7 +70,7 @@
 // and have sent nothing for too long. A frozen worker keeps its link until the
 // link's own liveness check fails, much later, and meanwhile looks idle to
 // other entries; every task sent to it in that time would be lost.
-func (c *Core) checkResponsiveness(now time.Time) {
+func (c *Dispatcher) checkResponsiveness(now time.Time) {
 	c.isCheckScheduled = false
 	if len(c.attempts) == 0 {
 		return
@@ -96,7 +96,7 @@
 
 // unresponsiveTimeout returns how long a guard with an open task may send
 // nothing.
-func (c *Core) unresponsiveTimeout() time.Duration {
+func (c *Dispatcher) unresponsiveTimeout() time.Duration {
 	if !c.runTimes.HasEstimate() {
 		return defaultUnresponsiveTimeout
 	}
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -47,7 +47,7 @@
 
 func newJob(s *Spec, now time.Time) *job {
 	j := &job{spec: s, tasks: make([]task, len(s.Tasks)), unfinished: len(s.Tasks)}
-	spacing := sched.Spacing(s.Deadline.Sub(now), len(s.Tasks))
+	spacing := sched.TaskSpacing(s.Deadline.Sub(now), len(s.Tasks))
 	for i := range j.tasks {
 		due := now.Add(time.Duration(i) * spacing)
 		j.tasks[i] = task{job: j, index: i, due: due.UnixNano()}
@@ -68,8 +68,8 @@
 // failJob fails a whole job immediately and withdraws its remaining tasks.
 // Waiting for the other tasks would only delay an answer that can no longer
 // change.
-func (c *Core) failJob(now time.Time, j *job, cause failure) {
-	outcome := &Outcome{ID: j.spec.ID, Slowest: j.longestRunTime}
+func (c *Dispatcher) failJob(now time.Time, j *job, cause failure) {
+	outcome := &Outcome{ID: j.spec.ID, LongestRunTime: j.longestRunTime}
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.state != done {
 			outcome.Failures = append(outcome.Failures, taskFailure(t, cause))
@@ -135,8 +135,8 @@
 }
 
 // succeedJob finishes a job after every task has a result.
-func (c *Core) succeedJob(j *job) {
-	outcome := &Outcome{ID: j.spec.ID, Slowest: j.longestRunTime, Results: make([]TaskResult, len(j.tasks))}
+func (c *Dispatcher) succeedJob(j *job) {
+	outcome := &Outcome{ID: j.spec.ID, LongestRunTime: j.longestRunTime, Results: make([]TaskResult, len(j.tasks))}
 	for i := range j.tasks {
 		outcome.Results[i] = j.tasks[i].result
 	}
@@ -144,7 +144,7 @@
 }
 
 // finishJob removes a job and emits its outcome.
-func (c *Core) finishJob(j *job, outcome *Outcome) {
+func (c *Dispatcher) finishJob(j *job, outcome *Outcome) {
 	delete(c.jobs, outcome.ID)
 	j.tasks = nil
 	// A timer left in the heap would keep the bodies of all tasks in memory
@@ -156,7 +156,7 @@
 
 // withdrawTask withdraws one task of a failed job. Its attempt remains until
 // the guard sends a result, because the slot is in use until then.
-func (c *Core) withdrawTask(t *task) {
+func (c *Dispatcher) withdrawTask(t *task) {
 	a := c.attempts[t.ref()]
 	if a == nil {
 		return // not sent, or the result was received
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -29,7 +29,7 @@
 const maxWorkerSizes = 64
 
 // recordWorkerSize stores the size of a worker for as long as the entry runs.
-func (c *Core) recordWorkerSize(w *sched.Worker) {
+func (c *Dispatcher) recordWorkerSize(w *sched.Worker) {
 	size := sched.Worker{Accelerators: w.Accelerators, MemoryMB: w.MemoryMB}
 	if len(c.workerSizes) < maxWorkerSizes && !slices.Contains(c.workerSizes, size) {
 		c.workerSizes = append(c.workerSizes, size)
@@ -39,7 +39,7 @@
 // fitBefore reports whether any worker that has ever been connected fits the
 // need. VMs are replaced throughout the day, so a similar one will probably
 // connect again.
-func (c *Core) fitBefore(need Need) bool {
+func (c *Dispatcher) fitBefore(need Need) bool {
 	return slices.ContainsFunc(c.workerSizes, func(w sched.Worker) bool { return w.Fits(need) })
 }
 
@@ -59,10 +59,10 @@
 const maxGroupsPerEvent = 4
 
 // waitingTasks returns the number of queued and parked tasks.
-func (c *Core) waitingTasks() int { return c.queue.Len() + c.parkedCount }
+func (c *Dispatcher) waitingTasks() int { return c.queue.Len() + c.parkedCount }
 
 // park adds a task to the parked group for its need.
-func (c *Core) park(t *task) {
+func (c *Dispatcher) park(t *task) {
 	need := t.job.spec.Need
 	group := c.findParked(need)
 	if group == nil {
@@ -74,7 +74,7 @@
 }
 
 // findParked returns the parked group for a need, or nil.
-func (c *Core) findParked(need Need) *parkedGroup {
+func (c *Dispatcher) findParked(need Need) *parkedGroup {
 	for _, group := range c.parked {
 		if group.need == need {
 			return group
@@ -85,7 +85,7 @@
 
 // takeParked removes the first runnable task from a group, and the group itself
 // once it is empty: an existing group means that tasks are waiting.
-func (c *Core) takeParked(now time.Time, group *parkedGroup) (*task, bool) {
+func (c *Dispatcher) takeParked(now time.Time, group *parkedGroup) (*task, bool) {
 	var found *task
 	for len(group.tasks) > 0 && found == nil {
 		t := group.tasks[0]
@@ -104,7 +104,7 @@
 
 // dispatchParked sends parked tasks before queued ones: parked tasks fit only a
 // few workers, and queued tasks can use the others.
-func (c *Core) dispatchParked(now time.Time) {
+func (c *Dispatcher) dispatchParked(now time.Time) {
 	for range min(maxGroupsPerEvent, len(c.parked)) {
 		if len(c.parked) == 0 || !c.canPlace() {
 			return
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *Core) dispatchGroup(now time.Time, group *parkedGroup) {
+func (c *Dispatcher) dispatchGroup(now time.Time, group *parkedGroup) {
 	for c.canPlace() {
 		t, ok := c.takeParked(now, group)
 		if !ok {
@@ -134,7 +134,7 @@
 }
 
 // takeParkedFor removes a parked task for which a given worker has room.
-func (c *Core) takeParkedFor(now time.Time, workerIndex int32) (*task, bool) {
+func (c *Dispatcher) takeParkedFor(now time.Time, workerIndex int32) (*task, bool) {
 	for i := len(c.parked) - 1; i >= 0; i-- { // in reverse, because takeParked may remove groups
 		group := c.parked[i]
 		if !c.pool.Workers[workerIndex].HasRoom(group.need) {
@@ -153,7 +153,7 @@
 }
 
 // canUseOffer reports whether a waiting task could use a slot of the worker.
-func (c *Core) canUseOffer(workerIndex int) bool {
+func (c *Dispatcher) canUseOffer(workerIndex int) bool {
 	if c.queue.Len() > 0 {
 		return true
 	}
@@ -164,7 +164,7 @@
 
 // countCandidates counts the guards whose workers fit the task, including those
 // that refused it. It may stop counting at limit.
-func (c *Core) countCandidates(t *task, limit int) int {
+func (c *Dispatcher) countCandidates(t *task, limit int) int {
 	if t.job.spec.Need == (Need{}) {
 		return len(c.workerIndexes)
 	}
@@ -172,7 +172,7 @@
 }
 
 // anyFittingStays reports whether a worker that fits is not draining.
-func (c *Core) anyFittingStays(need Need) bool {
+func (c *Dispatcher) anyFittingStays(need Need) bool {
 	for i, g := range c.guards {
 		if g != nil && !g.isDraining && c.pool.Workers[i].Fits(need) {
 			return true
--- a/internal/dispatch/need_test.go
+++ b/internal/dispatch/need_test.go
@@ -13,7 +13,7 @@
 
 // connectGuardWith connects a guard whose worker has accelerators and memory.
 func (h *harness) connectGuardWith(i, slots, accelerators, memoryMB int) {
-	h.GuardUp(h.now, &wire.Hello{
+	h.GuardConnected(h.now, &wire.Hello{
 		Incarnation: guardID(i), Worker: fmt.Sprintf("w%d", i), Slots: slots,
 		Accelerator: accelerators, MemoryMB: memoryMB, Load: wire.Load{Slots: slots, Healthy: true},
 	})
@@ -37,9 +37,9 @@
 		h.c.Assert(err.Ran, qt.Equals, errkind.RanNo)
 	}
 	h.c.Assert(h.submitWithNeed("fits", 1, Need{Accelerators: 2, MemoryMB: 64_000}) == nil, qt.IsTrue)
-	h.GuardDown(h.now, guardID(0))
+	h.GuardDisconnected(h.now, guardID(0))
 	h.c.Assert(h.submitWithNeed("in doubt", 1, big).Kind, qt.Equals, errkind.NeverFits)
-	h.GuardLeaving(h.now, guardID(0))
+	h.GuardDraining(h.now, guardID(0))
 	h.connectGuard(1, 8)
 	h.c.Assert(h.submitWithNeed("leaving", 1, Need{Accelerators: 2}).Kind, qt.Equals, errkind.NoWorkers)
 }
@@ -116,7 +116,7 @@
 func TestLossOfLastFittingWorkerFailsJobs(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	p := DefaultPolicy()
-	p.Grace = 100 * time.Millisecond
+	p.GracePeriod = 100 * time.Millisecond
 	h.Configure(h.now, p)
 	h.connectGuardWith(0, 1, 1, 0)
 	h.connectGuard(1, 1)
@@ -124,10 +124,10 @@
 	h.submitWithNeed("waits", 1, Need{Accelerators: 1})
 	h.submitJob("other", 1)
 	h.takeActions()
-	h.GuardDown(h.now, guardID(0))
+	h.GuardDisconnected(h.now, guardID(0))
 	_, finished, _ := h.takeActions()
 	h.c.Assert(finished, qt.HasLen, 0)
-	h.advance(p.Grace)
+	h.advance(p.GracePeriod)
 	_, finished, _ = h.takeActions()
 	h.c.Assert(finished, qt.HasLen, 2)
 	h.c.Assert(finished[0].ID.Key, qt.Equals, "sent")
@@ -144,8 +144,8 @@
 	h := newHarness(t, 0, 0)
 	h.connectGuardWith(0, 1, 2, 64_000)
 	h.connectGuard(1, 1)
-	h.GuardDown(h.now, guardID(0))
-	h.advance(DefaultPolicy().Grace)
+	h.GuardDisconnected(h.now, guardID(0))
+	h.advance(DefaultPolicy().GracePeriod)
 	err := h.submitWithNeed("fitted once", 1, Need{Accelerators: 2, MemoryMB: 64_000})
 	h.c.Assert(err.Kind, qt.Equals, errkind.NoWorkers)
 	h.c.Assert(err.After > 0, qt.IsTrue)
@@ -160,8 +160,8 @@
 	h.submitWithNeed("sent", 1, Need{Accelerators: 1})
 	h.submitWithNeed("waits", 1, Need{Accelerators: 1})
 	h.takeActions()
-	h.GuardDown(h.now, guardID(1))
-	h.GuardUp(h.now, &wire.Hello{Incarnation: "g1-2", Worker: "w1", Slots: 1, Accelerator: 1, Load: wire.Load{Slots: 1, Healthy: true}})
+	h.GuardDisconnected(h.now, guardID(1))
+	h.GuardConnected(h.now, &wire.Hello{Incarnation: "g1-2", Worker: "w1", Slots: 1, Accelerator: 1, Load: wire.Load{Slots: 1, Healthy: true}})
 	starts, finished, _ := h.takeActions()
 	h.c.Assert(finished, qt.HasLen, 1)
 	h.c.Assert(finished[0].ID.Key, qt.Equals, "sent")
--- a/internal/dispatch/offer.go
+++ b/internal/dispatch/offer.go
@@ -26,7 +26,7 @@
 const reservationTimeout = 250 * time.Millisecond
 
 // Offer implements Machine.
-func (c *Core) Offer(now time.Time, inc identity.Incarnation, o *wire.Offer) {
+func (c *Dispatcher) Offer(now time.Time, inc identity.Incarnation, o *wire.Offer) {
 	g := c.findGuard(inc)
 	if g == nil || !g.isConnected {
 		return
@@ -46,7 +46,7 @@
 
 // declineOffers withdraws all reservations at g, so that a slot that this entry
 // does not need is not kept idle.
-func (c *Core) declineOffers(g *guard) {
+func (c *Dispatcher) declineOffers(g *guard) {
 	c.setPendingOffers(g, 0)
 	g.declinedAt = c.enqueueCount
 	c.emit(Action{Guard: g.incarnation, Reserve: &wire.Reserve{}})
@@ -54,7 +54,7 @@
 
 // nextTaskFor removes the next task that fits the worker and that its guard has
 // not refused.
-func (c *Core) nextTaskFor(now time.Time, workerIndex int32) (*task, bool) {
+func (c *Dispatcher) nextTaskFor(now time.Time, workerIndex int32) (*task, bool) {
 	if t, ok := c.takeParkedFor(now, workerIndex); ok {
 		return t, true
 	}
@@ -79,7 +79,7 @@
 // guard. Pending offers count towards the number needed: without that, each
 // event reserved anew, and a fleet of 820 workers received six reservations per
 // task.
-func (c *Core) reserveSlots(now time.Time) {
+func (c *Dispatcher) reserveSlots(now time.Time) {
 	if !c.usesReservations() {
 		return
 	}
@@ -102,7 +102,7 @@
 
 // expireReservations resets reservations that have not led to an offer within
 // reservationTimeout, so that they can be made again.
-func (c *Core) expireReservations(now time.Time) {
+func (c *Dispatcher) expireReservations(now time.Time) {
 	for _, g := range c.guards {
 		if g != nil && g.pendingOffers > 0 && now.Sub(g.reservedAt) > reservationTimeout {
 			c.setPendingOffers(g, 0)
@@ -111,19 +111,19 @@
 }
 
 // usesReservations reports whether the policy lets tasks wait for offers.
-func (c *Core) usesReservations() bool {
+func (c *Dispatcher) usesReservations() bool {
 	switch c.policy.Placement {
 	case LateBinding:
 		return true
-	case Chosen:
-		return c.policy.Weighting == WeighResponse
+	case DefaultPlacement:
+		return c.policy.Weighting == PreferResponseTime
 	}
 	return false
 }
 
 // setPendingOffers sets the number of offers that g still has to make. While it
 // is not zero, placement treats the worker's slots as taken.
-func (c *Core) setPendingOffers(g *guard, pendingOffers int) {
+func (c *Dispatcher) setPendingOffers(g *guard, pendingOffers int) {
 	pendingOffers = max(0, pendingOffers)
 	c.totalPendingOffers += pendingOffers - g.pendingOffers
 	g.pendingOffers = pendingOffers
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -7,8 +7,8 @@
 
 // Optimization goals, with the member that uses each.
 const (
-	WeighResponse Weighting = iota // shortest response time (Ayni)
-	WeighMessages                  // fewest messages (Leeuwin)
+	PreferResponseTime Weighting = iota // shortest response time (Ayni)
+	PreferFewMessages                   // fewest messages (Leeuwin)
 )
 
 // String returns the name of the weighting.
@@ -20,12 +20,12 @@
 
 // Placement methods.
 const (
-	Chosen         Placement = iota // used in production; see docs/decisions.md
-	Random                          // any worker; its guard queues the task
-	TwoChoices                      // of two random workers, the one with fewer tasks of this entry; its guard queues the task
-	TwoChoicesLoad                  // of two random workers, the one with the lower reported load; its guard queues the task
-	LeastKnown                      // least reported load; the guard refuses the task as Busy if no slot is free
-	LateBinding                     // only in response to offers
+	DefaultPlacement Placement = iota // used in production; see docs/decisions.md
+	Random                            // any worker; its guard queues the task
+	TwoChoices                        // of two random workers, the one with fewer tasks of this entry; its guard queues the task
+	TwoChoicesLoad                    // of two random workers, the one with the lower reported load; its guard queues the task
+	LeastKnownLoad                    // least reported load; the guard refuses the task as Busy if no slot is free
+	LateBinding                       // only in response to offers
 )
 
 // String returns the name of the placement method.
@@ -51,7 +51,7 @@
 	RetryRatio float64
 	// Grace is how long tasks sent to a disconnected guard wait for it to
 	// reconnect.
-	Grace time.Duration
+	GracePeriod time.Duration
 }
 
 // Quota limits one team over all entries.
@@ -64,5 +64,5 @@
 
 // DefaultPolicy returns the policy used where no record sets another value.
 func DefaultPolicy() Policy {
-	return Policy{Entries: 1, MaxQueued: 50_000, RetryRatio: 0.2, Grace: 2 * time.Second}
+	return Policy{Entries: 1, MaxQueued: 50_000, RetryRatio: 0.2, GracePeriod: 2 * time.Second}
 }
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -10,7 +10,7 @@
 )
 
 // Result implements Machine.
-func (c *Core) Result(now time.Time, inc identity.Incarnation, r *wire.Result) {
+func (c *Dispatcher) Result(now time.Time, inc identity.Incarnation, r *wire.Result) {
 	g := c.findGuard(inc)
 	if g == nil {
 		return // removed; its jobs have been failed
@@ -29,7 +29,7 @@
 }
 
 // applyResult applies a guard's result to the task of a removed attempt.
-func (c *Core) applyResult(now time.Time, a *attempt, r *wire.Result) {
+func (c *Dispatcher) applyResult(now time.Time, a *attempt, r *wire.Result) {
 	c.recordHealth(now, a, r)
 	t := a.task
 	if t == nil || t.job.tasks == nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (c *Core) completeTask(t *task, r *wire.Result) {
+func (c *Dispatcher) completeTask(t *task, r *wire.Result) {
 	j := t.job
 	t.state = done
 	t.result = TaskResult{Status: r.Status, Body: r.Body}
@@ -58,7 +58,7 @@
 // refusedBy requeues a task that a guard has refused for good. If no candidate
 // is left, it fails the job immediately: waiting for the deadline would only
 // delay an answer that is already known.
-func (c *Core) refusedBy(now time.Time, t *task, g *guard, r *wire.Result) {
+func (c *Dispatcher) refusedBy(now time.Time, t *task, g *guard, r *wire.Result) {
 	t.state = waiting
 	t.refusedBy = append(t.refusedBy, int32(g.workerIndex))
 	if w := c.pool.Workers[g.workerIndex]; r.Kind == errkind.Busy {
@@ -71,7 +71,7 @@
 			ran: errkind.RanNo, detail: "every guard refused the task, the last one with " + r.Kind.String()})
 		return
 	}
-	if r.Kind == errkind.Busy && (c.usesReservations() || c.policy.Placement != Chosen) {
+	if r.Kind == errkind.Busy && (c.usesReservations() || c.policy.Placement != DefaultPlacement) {
 		// The task is sent in response to an offer next, which is not refused
 		// as Busy. The comparison methods have no retry budget.
 		c.enqueueCount++
@@ -83,7 +83,7 @@
 
 // retryTask requeues a refused task if the retry budget allows it, or sets a
 // timer to try again later.
-func (c *Core) retryTask(now time.Time, t *task) {
+func (c *Dispatcher) retryTask(now time.Time, t *task) {
 	if c.retryBudget.TryTake() {
 		c.enqueueCount++
 		c.enqueue(t)
--- a/internal/e2e/amend_test.go
+++ b/internal/e2e/amend_test.go
@@ -46,7 +46,7 @@
 	before, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
 	f.Assert(err, qt.IsNil)
 
-	loseAnswer := func() { f.kv.LoseAnswers(1) }
+	loseAnswer := func() { f.kv.DropResponses(1) }
 	proxy.beforeServiceWrite.Store(&loseAnswer)
 	code, revision := f.putService(e, 7, before.Revision)
 	f.Assert(code, qt.Equals, operator.ExitOK)
@@ -61,7 +61,7 @@
 	f.Assert(code, qt.Equals, operator.ExitConflict)
 
 	loseAnswerAndStop := func() {
-		f.kv.LoseAnswers(1)
+		f.kv.DropResponses(1)
 		proxy.down.Store(true)
 	}
 	proxy.beforeServiceWrite.Store(&loseAnswerAndStop)
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -154,7 +154,7 @@
 		return ""
 	}
 	return fmt.Sprintf("cert = %s\nkey = %s\nclient_ca = %s", filepath.Join(dir, cert), filepath.Join(dir, key),
-		filepath.Join(f.certDir, tlsconf.AuthorityCert))
+		filepath.Join(f.certDir, tlsconf.CACertFile))
 }
 
 // rootCAs returns the certificate pool with the fleet's authority; nil without TLS.
@@ -162,7 +162,7 @@
 	if f.certDir == "" {
 		return nil
 	}
-	pem, err := os.ReadFile(filepath.Join(f.certDir, tlsconf.AuthorityCert))
+	pem, err := os.ReadFile(filepath.Join(f.certDir, tlsconf.CACertFile))
 	f.Assert(err, qt.IsNil)
 	pool := x509.NewCertPool()
 	f.Assert(pool.AppendCertsFromPEM(pem), qt.IsTrue)
@@ -213,7 +213,7 @@
 %s
 [log]
 format = json
-`, name, f.region, strings.Join(peers, ","), f.kvURL, f.fleetKey, f.tls(f.certDir, tlsconf.EntryCert, tlsconf.EntryKey))
+`, name, f.region, strings.Join(peers, ","), f.kvURL, f.fleetKey, f.tls(f.certDir, tlsconf.EntryCertFile, tlsconf.EntryKeyFile))
 	e := &entryProcess{process: f.startProcess("wigeontray", "serve", "--config", f.file(name+".ini", ini)), rootCAs: f.rootCAs()}
 	f.eventually("entry "+name+" logs its addresses", e.parseAddresses)
 	f.entries[name] = e
@@ -291,7 +291,7 @@
 key_file = %s
 [tls]
 %s
-`, name, f.region, strings.Join(entries, ","), upstream, f.service, f.slotsSetting(name), keyFile, f.tls(certs, tlsconf.GuardCert, tlsconf.GuardKey))
+`, name, f.region, strings.Join(entries, ","), upstream, f.service, f.slotsSetting(name), keyFile, f.tls(certs, tlsconf.GuardCertFile, tlsconf.GuardKeyFile))
 	return f.startProcess("wigeontray-guard", "--config", f.file(name+".ini", ini))
 }
 
@@ -370,8 +370,8 @@
 
 // submitAsync submits a job in the background. The channel receives the answer, or nil if
 // there was none. Errors are logged.
-func (f *fleet) submitAsync(c *client.Client, key string, j *client.Job) <-chan *client.Answer {
-	out := make(chan *client.Answer, 1)
+func (f *fleet) submitAsync(c *client.Client, key string, j *client.Job) <-chan *client.Response {
+	out := make(chan *client.Response, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
@@ -387,7 +387,7 @@
 func (f *fleet) fetchTicket(e *entryProcess) string {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	key, err := newClient(e).Ticket(ctx)
+	key, err := newClient(e).FetchTicket(ctx)
 	f.Assert(err, qt.IsNil)
 	return key
 }
@@ -396,7 +396,7 @@
 func (f *fleet) startsByTask() map[string]int {
 	out := make(map[string]int)
 	for _, upstream := range f.upstreams {
-		for task, n := range upstream.Starts() {
+		for task, n := range upstream.StartCounts() {
 			out[task] += n
 		}
 	}
--- a/internal/e2e/regions_test.go
+++ b/internal/e2e/regions_test.go
@@ -132,7 +132,7 @@
 	for _, e := range entries {
 		c := newClient(e)
 		c.Token = token
-		ticket, err := c.Ticket(f.t.Context())
+		ticket, err := c.FetchTicket(f.t.Context())
 		f.Assert(err, qt.IsNil)
 		for _, key := range []string{ticket, uuid.Must(uuid.NewV7()).String()} {
 			j := newJob(10, 1)
--- a/internal/e2e/traces_test.go
+++ b/internal/e2e/traces_test.go
@@ -196,7 +196,7 @@
 func (tr *traceRunner) submitAndCheck(ev *replay.Event) {
 	j, e, start := tr.jobs[ev.Target], tr.entries[ev.Other], time.Now()
 	tr.pendingCalls.Go(func() {
-		r, err := tr.submitUntilFinal(j, e, ev.Want)
+		r, err := tr.submitUntilFinal(j, e, ev.ExpectedOutcome)
 		if violation := tr.checkReply(ev, j, r, err, time.Since(start)); violation != "" {
 			tr.mu.Lock()
 			defer tr.mu.Unlock()
@@ -207,7 +207,7 @@
 
 // submitUntilFinal repeats a submission while the answer advises a retry with the same key, as a
 // caller does, unless the trace expects that answer. An error means that the connection broke.
-func (tr *traceRunner) submitUntilFinal(j *submittedJob, e *entryProcess, want *replay.Want) (*jobReply, error) {
+func (tr *traceRunner) submitUntilFinal(j *submittedJob, e *entryProcess, want *replay.ExpectedOutcome) (*jobReply, error) {
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
 		r, err := tr.postJob(j, e)
 		if err != nil || r.Error.Advice != "same" || want != nil && slices.Contains(allowedKinds(want), r.Error.Kind) || time.Now().After(deadline) {
@@ -263,9 +263,9 @@
 // checkReply compares an answer with the trace, records which tasks it reports as run or not run, and
 // returns a description of the violation, or an empty string.
 func (tr *traceRunner) checkReply(ev *replay.Event, j *submittedJob, r *jobReply, err error, took time.Duration) string {
-	want := ev.Want
+	want := ev.ExpectedOutcome
 	if err != nil {
-		if want == nil || want.Lost {
+		if want == nil || want.ConnectionLost {
 			return ""
 		}
 		return fmt.Sprintf("no answer: %v", err)
@@ -322,7 +322,7 @@
 }
 
 // allowedKinds returns the names of the outcomes that a trace allows; "ok" stands for no error.
-func allowedKinds(w *replay.Want) []string {
+func allowedKinds(w *replay.ExpectedOutcome) []string {
 	var out []string
 	for _, k := range w.Kinds {
 		if k == errkind.None {
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -30,7 +30,7 @@
 		mux.HandleFunc("/v1/records", s.serveRecords)
 		mux.HandleFunc("/v1/records/", s.serveRecords)
 	}
-	return httpserve.Unmatched(mux, s.refuseUnmatched)
+	return httpserve.HandleUnmatched(mux, s.refuseUnmatched)
 }
 
 // refuseUnmatched answers requests for an unknown path or method.
@@ -90,7 +90,7 @@
 }
 
 func (s *Server) refuse(w http.ResponseWriter, key string, err *errkind.Error) {
-	s.metrics.Refused(err.Kind)
+	s.metrics.CountRefusal(err.Kind)
 	if err.Kind == errkind.Unauthenticated {
 		w.Header().Set("WWW-Authenticate", "Bearer") // required with 401 by RFC 9110
 	}
@@ -103,7 +103,7 @@
 		s.refuse(w, "", refusal)
 		return
 	}
-	body, refusal := readBody(w, r, s.opts.MaxBody)
+	body, refusal := readBody(w, r, s.opts.MaxBodyBytes)
 	if refusal != nil {
 		s.refuse(w, key.Text, withRanUnknown(refusal))
 		return
--- a/internal/entry/config.go
+++ b/internal/entry/config.go
@@ -30,11 +30,11 @@
 
 // SnapshotForGuard implements Config.
 func (c *SyncedConfig) SnapshotForGuard(service string) (*wire.Config, []byte) {
-	f := configMessage(c.sync.EncodedFor(service))
+	f := configMessage(c.sync.EncodedForGuard(service))
 	if f == nil {
 		return nil, nil
 	}
-	return f, record.OwnRecord(f.Snapshot)
+	return f, record.GuardServiceRecord(f.Snapshot)
 }
 
 // configMessage returns the message that carries an encoded snapshot, or nil if
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -71,27 +71,27 @@
 
 // Options configures a Server. Limits that are zero take their defaults.
 type Options struct {
-	ID       identity.Incarnation
-	Domain   string
-	FleetKey string // accepted from guards whose member has no guard keys of its own
-	Software string
-	MaxBody  int64 // max. size of a submission, in bytes
-	// OpenRequests and OpenBytes limit the open requests of one member and the
+	ID           identity.Incarnation
+	Domain       string
+	FleetKey     string // accepted from guards whose member has no guard keys of its own
+	Software     string
+	MaxBodyBytes int64 // max. size of a submission, in bytes
+	// MaxOpenRequests and MaxOpenBytes limit the open requests of one member and the
 	// total size of their bodies.
-	OpenRequests  int
-	OpenBytes     int64
-	MaxGuardSlots int           // max. slots that one guard may report
-	MaxDeadline   time.Duration // longest deadline of a job
-	Jobs          jobs.Limits
-	Seed          uint64
-	Config        Config
-	Router        Router
-	Metrics       *telemetry.Registry
-	Log           *log.Logger
+	MaxOpenRequests int
+	MaxOpenBytes    int64
+	MaxGuardSlots   int           // max. slots that one guard may report
+	MaxDeadline     time.Duration // longest deadline of a job
+	Jobs            jobs.Limits
+	Seed            uint64
+	Config          Config
+	Router          Router
+	Metrics         *telemetry.Registry
+	Log             *log.Logger
 	// Records serves the record API for operators, if set.
 	Records http.Handler
-	// OnConfig is called after a new snapshot has been applied, if set.
-	OnConfig func()
+	// OnConfigChange is called after a new snapshot has been applied, if set.
+	OnConfigChange func()
 }
 
 // Defaults of Options.
@@ -104,14 +104,14 @@
 )
 
 func (o *Options) setDefaults() {
-	if o.MaxBody == 0 {
-		o.MaxBody = DefaultMaxBodyBytes
+	if o.MaxBodyBytes == 0 {
+		o.MaxBodyBytes = DefaultMaxBodyBytes
 	}
-	if o.OpenRequests == 0 {
-		o.OpenRequests = DefaultMaxOpenRequests
+	if o.MaxOpenRequests == 0 {
+		o.MaxOpenRequests = DefaultMaxOpenRequests
 	}
-	if o.OpenBytes == 0 {
-		o.OpenBytes = DefaultMaxOpenBytes
+	if o.MaxOpenBytes == 0 {
+		o.MaxOpenBytes = DefaultMaxOpenBytes
 	}
 	if o.MaxGuardSlots == 0 {
 		o.MaxGuardSlots = DefaultMaxGuardSlots
@@ -234,8 +234,8 @@
 	s.Reconfigure()
 	s.metrics.Inc(telemetry.ConfigsApplied)
 	s.sendChangedConfig()
-	if s.opts.OnConfig != nil {
-		s.opts.OnConfig()
+	if s.opts.OnConfigChange != nil {
+		s.opts.OnConfigChange()
 	}
 }
 
@@ -249,9 +249,9 @@
 // configuration has been applied and shutdown has not begun.
 func (s *Server) Ready() bool { return !s.notReady.Load() && s.config.Revision() > 0 }
 
-// Leave makes the entry report not ready. It continues to serve all requests, so
+// SetNotReady makes the entry report not ready. It continues to serve all requests, so
 // that none is refused before the load balancer has noticed.
-func (s *Server) Leave() { s.notReady.Store(true) }
+func (s *Server) SetNotReady() { s.notReady.Store(true) }
 
 // Drain refuses new jobs and waits until all open jobs are answered or ctx ends.
 // Resubmissions and fetches are still answered.
@@ -276,7 +276,7 @@
 // Close closes all links. Jobs that are still open are not answered by this entry.
 func (s *Server) Close() {
 	s.cancelCtx()
-	s.links.broadcast(&wire.Frame{Goodbye: &wire.Goodbye{Reason: "entry stops"}})
+	s.links.broadcast(&wire.Frame{StopNotice: &wire.StopNotice{Reason: "entry stops"}})
 	s.links.close()
 	s.forEachDispatcher((*dispatcher).close)
 }
@@ -287,8 +287,8 @@
 // InnerHandler accepts links from guards.
 func (s *Server) InnerHandler() http.Handler { return http.HandlerFunc(s.serveGuard) }
 
-// Usable returns the number of guards that tasks can be sent to.
-func (s *Server) Usable() int {
+// UsableGuards returns the number of guards that tasks can be sent to.
+func (s *Server) UsableGuards() int {
 	n := 0
 	s.forEachDispatcher(func(d *dispatcher) { n += len(d.guardHellos()) })
 	return n
--- a/internal/entry/guards.go
+++ b/internal/entry/guards.go
@@ -249,7 +249,7 @@
 		switch {
 		case d == nil:
 			s.handleUnverifiedFrame(g, f)
-		case f.Result != nil, f.Load != nil, f.Offer != nil, f.Goodbye != nil:
+		case f.Result != nil, f.Load != nil, f.Offer != nil, f.StopNotice != nil:
 			d.handleFrame(g, f)
 		case f.Config != nil:
 			s.config.ReceiveFromGuard(f.Config)
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -131,7 +131,7 @@
 	server := New(Options{
 		ID: id, Config: config, Router: router,
 		Metrics: telemetry.New(), Log: log.New(io.Discard), FleetKey: "fleet",
-		OpenRequests: testMaxOpenRequests,
+		MaxOpenRequests: testMaxOpenRequests,
 	})
 	router.onReady = server.GuardReady
 	t.Cleanup(server.Close)
--- a/internal/entry/isolation_test.go
+++ b/internal/entry/isolation_test.go
@@ -71,7 +71,7 @@
 		frames := []*wire.Frame{
 			{Forward: &wire.Forward{Op: wire.OpFetch, Member: "ayni"}}, {Forwarded: &wire.Forwarded{}},
 			{Promise: &wire.Promise{Version: 9}}, {Roster: &wire.Roster{Version: 9}}, {Join: &wire.Join{}},
-			{Witness: &wire.Witness{Seq: 1}}, {Witnessed: &wire.Witnessed{Seq: 1}}, {PeerHello: &wire.PeerHello{}},
+			{Witness: &wire.Witness{Seq: 1}}, {WitnessAck: &wire.WitnessAck{Seq: 1}}, {PeerHello: &wire.PeerHello{}},
 			{Start: &wire.Start{}}, {Cancel: &wire.Cancel{}}, {Fence: &wire.Fence{}}, {Collect: &wire.Collect{}},
 			{Welcome: &wire.Welcome{}}, {Hello: &wire.Hello{}}, {Reserve: &wire.Reserve{}},
 		}
@@ -97,7 +97,7 @@
 		reports := []*wire.Frame{
 			{Collected: &wire.Collected{Member: "ayni", Key: "k", Of: 1, Results: []wire.Result{{Ref: ref}}}},
 			{Collected: &wire.Collected{Member: "leeuwin", Key: "k", Results: []wire.Result{{Ref: ref}}}},
-			{FenceReport: &wire.FenceReport{Gone: "entry-b-000002", Started: []wire.Started{{Ref: ref, Of: 1}}}},
+			{FenceReport: &wire.FenceReport{FencedEntry: "entry-b-000002", Started: []wire.Started{{Ref: ref, Of: 1}}}},
 		}
 		for _, f := range reports {
 			other := e.linkGuardOf("leeuwin/clubcast", "guard-2", "fleet", 8)
@@ -127,7 +127,7 @@
 		bind(e.server)
 		for _, g := range []identity.Incarnation{"guard-1", "guard-2"} {
 			r.sendToGuard(e.server, g, &wire.Frame{Collect: &wire.Collect{Member: "ayni", Key: "k"}})
-			r.sendToGuard(e.server, g, &wire.Frame{Fence: &wire.Fence{Gone: "entry-b-000002"}})
+			r.sendToGuard(e.server, g, &wire.Frame{Fence: &wire.Fence{FencedEntry: "entry-b-000002"}})
 		}
 		e.Assert(e.recvFrame(own).Collect, qt.IsNotNil)
 		e.Assert(e.recvFrame(own).Fence, qt.IsNotNil)
--- a/internal/entry/lane.go
+++ b/internal/entry/lane.go
@@ -132,10 +132,10 @@
 		}
 		if old != nil {
 			old.link.Close("superseded")
-			m.GuardDown(now, g.hello.Incarnation)
+			m.GuardDisconnected(now, g.hello.Incarnation)
 		}
 		d.links[g.hello.Incarnation] = g
-		m.GuardUp(now, g.hello)
+		m.GuardConnected(now, g.hello)
 	})
 }
 
@@ -147,7 +147,7 @@
 			return
 		}
 		delete(d.links, g.hello.Incarnation)
-		m.GuardDown(now, g.hello.Incarnation)
+		m.GuardDisconnected(now, g.hello.Incarnation)
 	})
 }
 
@@ -167,8 +167,8 @@
 			m.Load(now, id, f.Load)
 		case f.Offer != nil:
 			m.Offer(now, id, f.Offer)
-		case f.Goodbye != nil:
-			m.GuardLeaving(now, id)
+		case f.StopNotice != nil:
+			m.GuardDraining(now, id)
 		}
 	})
 }
@@ -184,7 +184,7 @@
 	switch {
 	case f.Load != nil && f.Load.Seq > load.Seq:
 		*load = *f.Load
-	case f.Goodbye != nil:
+	case f.StopNotice != nil:
 		load.Draining = true
 	}
 }
--- a/internal/entry/peerrouter.go
+++ b/internal/entry/peerrouter.go
@@ -28,7 +28,7 @@
 		return s.ServeForward(ctx, f)
 	}
 	r := new(PeerRouter)
-	o.ToGuard = func(g identity.Incarnation, f *wire.Frame) {
+	o.SendToGuard = func(g identity.Incarnation, f *wire.Frame) {
 		<-bound
 		r.sendToGuard(s, g, f)
 	}
@@ -54,7 +54,7 @@
 	if c := f.Collect; c != nil && g != nil && record.Owner(g.hello.Service) != c.Member {
 		// In a goroutine, because the caller holds the lock that GuardCollected
 		// takes.
-		go r.GuardCollected(id, &wire.Collected{Member: c.Member, Key: c.Key})
+		go r.HandleCollected(id, &wire.Collected{Member: c.Member, Key: c.Key})
 		return
 	}
 	s.links.send(id, f)
@@ -93,7 +93,7 @@
 // the key's final owner, and looks the owner up again.
 func (r *PeerRouter) Recover(ctx context.Context, _ identity.Incarnation, member string, key identity.Key) *RecoveryResult {
 	finding := r.Peers.Recover(ctx, member, key)
-	if finding.Verdict != recovery.Whole {
+	if finding.Verdict != recovery.Complete {
 		return &RecoveryResult{Err: finding.Err()}
 	}
 	out := &RecoveryResult{Results: make([]dispatch.TaskResult, len(finding.Results))}
@@ -107,9 +107,9 @@
 func (r *PeerRouter) ReceiveFromGuard(g identity.Incarnation, f *wire.Frame) {
 	switch {
 	case f.FenceReport != nil:
-		r.GuardReport(g, f.FenceReport)
+		r.HandleFenceReport(g, f.FenceReport)
 	case f.Collected != nil:
-		r.GuardCollected(g, f.Collected)
+		r.HandleCollected(g, f.Collected)
 	}
 }
 
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -118,9 +118,9 @@
 	defer cancel()
 	resp, err := s.router.Forward(forwardCtx, owner, f)
 	if err == nil {
-		return reply{status: resp.Status, body: resp.Body, retryAfter: time.Duration(resp.AfterMs) * time.Millisecond, kind: resp.Kind}
+		return reply{status: resp.Status, body: resp.Body, retryAfter: time.Duration(resp.RetryAfterMs) * time.Millisecond, kind: resp.Kind}
 	}
-	s.metrics.Retried(telemetry.RetryForward)
+	s.metrics.CountRetry(telemetry.RetryForward)
 	return s.recoverFromGuards(ctx, owner, q)
 }
 
@@ -178,7 +178,7 @@
 }
 
 func newForwarded(id uint64, r reply) *wire.Forwarded {
-	return &wire.Forwarded{ID: id, Status: r.status, Body: r.body, Kind: r.kind, AfterMs: r.retryAfter.Milliseconds()}
+	return &wire.Forwarded{ID: id, Status: r.status, Body: r.body, Kind: r.kind, RetryAfterMs: r.retryAfter.Milliseconds()}
 }
 
 // serveLocal answers a request whose key this entry owns.
@@ -197,20 +197,20 @@
 func (s *Server) submit(ctx context.Context, q *request) reply {
 	sub, err := parseSubmission(q.body)
 	if err != nil {
-		s.metrics.Refused(err.Kind)
+		s.metrics.CountRefusal(err.Kind)
 		return errorReply(q.key.Text, withRanUnknown(err))
 	}
 	// This refusal can be lifted later, so it is not recorded. A job that already
 	// has a record was allowed before, and that permission is permanent.
 	if !s.registry.Contains(q.member, q.key) {
 		if err := s.router.MayStart(q.member, q.key); err != nil {
-			s.metrics.Refused(err.Kind)
+			s.metrics.CountRefusal(err.Kind)
 			return errorReply(q.key.Text, err)
 		}
 	}
 	rec, isNew, err := s.registry.Admit(time.Now(), q.member, q.key, sub.fingerprint())
 	if err != nil {
-		s.metrics.Refused(err.Kind)
+		s.metrics.CountRefusal(err.Kind)
 		return errorReply(q.key.Text, err)
 	}
 	defer rec.Release()
@@ -232,7 +232,7 @@
 		err = s.dispatcher(service).submit(spec, rec)
 	}
 	if err != nil {
-		s.metrics.Refused(err.Kind)
+		s.metrics.CountRefusal(err.Kind)
 		s.registry.Finish(time.Now(), rec, failedAnswer(q.key.Text, err, nil))
 		return
 	}
@@ -319,13 +319,13 @@
 	switch {
 	case o.Err == nil:
 		s.metrics.Inc(telemetry.JobsAnswered)
-		s.metrics.Observe(telemetry.TaskRunLatency, o.Slowest)
+		s.metrics.Observe(telemetry.TaskRunLatency, o.LongestRunTime)
 	case o.Err.Kind == errkind.Cancelled:
 		s.metrics.Inc(telemetry.JobsCancelled)
 	default:
 		s.metrics.Inc(telemetry.JobsFailed)
 	}
 	for _, f := range o.Failures {
-		s.metrics.Failed(f.Kind)
+		s.metrics.CountFailure(f.Kind)
 	}
 }
--- a/internal/entry/share.go
+++ b/internal/entry/share.go
@@ -58,14 +58,14 @@
 // acquireRequest reserves capacity for a request under its member's limit, until
 // release is called.
 func (s *Server) acquireRequest(member string, r *http.Request) (release func(), err *errkind.Error) {
-	bytes := min(r.ContentLength, s.opts.MaxBody)
+	bytes := min(r.ContentLength, s.opts.MaxBodyBytes)
 	if bytes < 0 {
-		bytes = s.opts.MaxBody // the length is not declared
+		bytes = s.opts.MaxBodyBytes // the length is not declared
 	}
 	u := s.requestUsage.forMember(member)
-	if !u.tryAcquire(bytes, s.opts.OpenRequests, s.opts.OpenBytes) {
+	if !u.tryAcquire(bytes, s.opts.MaxOpenRequests, s.opts.MaxOpenBytes) {
 		return nil, errkind.New(errkind.TooManyJobs, "the open requests of %s exceed %d, or their bodies %d bytes, at this entry",
-			member, s.opts.OpenRequests, s.opts.OpenBytes).WithAfter(usageRetryDelay)
+			member, s.opts.MaxOpenRequests, s.opts.MaxOpenBytes).WithAfter(usageRetryDelay)
 	}
 	return func() { u.release(bytes) }, nil
 }
--- a/internal/entry/share_test.go
+++ b/internal/entry/share_test.go
@@ -51,7 +51,7 @@
 func TestOpenBodyBytesAreLimitedPerMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(t)
-		e.server.opts.OpenBytes = 1 << 10
+		e.server.opts.MaxOpenBytes = 1 << 10
 		g := e.linkGuard("guard-1", 8)
 		large := `{"service":"reserva","tasks":["` + strings.Repeat("x", 2<<10) + `"]}`
 		first := e.submit("ayni", e.newTicket(), large)
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -45,7 +45,7 @@
 	mux.HandleFunc("GET /readyz", s.getReady)
 	mux.Handle("GET /metrics", s.metrics)
 	mux.HandleFunc("GET /v1/status", s.getStatus)
-	return httpserve.Unmatched(mux, func(w http.ResponseWriter, err *errkind.Error) { writeError(w, "", err) })
+	return httpserve.HandleUnmatched(mux, func(w http.ResponseWriter, err *errkind.Error) { writeError(w, "", err) })
 }
 
 func (s *Server) getReady(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/verify.go
+++ b/internal/entry/verify.go
@@ -136,7 +136,7 @@
 		s.config.ReceiveFromGuard(f.Config)
 	case f.Load != nil, f.ConfigAck != nil:
 		s.handleUnverifiedUpdate(g, f)
-	case f.Goodbye != nil:
+	case f.StopNotice != nil:
 		g.link.Close("goodbye")
 	default:
 		s.metrics.Inc(telemetry.FramesRefused)
--- a/internal/entry/verify_test.go
+++ b/internal/entry/verify_test.go
@@ -85,7 +85,7 @@
 		own := e.linkGuardOf("ayni/reserva", "guard-1", "ayni-key", 8)
 		other := e.linkGuardOf("ayni/reserva", "guard-2", "fleet", 8)
 		e.Assert(e.server.Guards(), qt.HasLen, 0)
-		e.Assert(e.server.Usable(), qt.Equals, 0)
+		e.Assert(e.server.UsableGuards(), qt.Equals, 0)
 		e.Assert(other.Send(&wire.Frame{Collected: &wire.Collected{Member: "ayni"}}), qt.IsNil)
 		e.Assert(own.Send(&wire.Frame{Config: &wire.Config{Revision: 9}}), qt.IsNil)
 		e.Assert(own.Send(&wire.Frame{Load: &wire.Load{Seq: 2, Slots: 8, Healthy: true, Draining: true}}), qt.IsNil)
@@ -96,7 +96,7 @@
 		e.Assert(isClosed(other), qt.IsTrue)
 		e.Assert(e.server.Guards(), qt.HasLen, 1)
 		e.Assert(e.server.Guards()[0].Load.Draining, qt.IsTrue)
-		e.Assert(e.server.Usable(), qt.Equals, 1)
+		e.Assert(e.server.UsableGuards(), qt.Equals, 1)
 	})
 }
 
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -185,8 +185,8 @@
 // Unwrap returns the wrapped cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Of returns the kind of err. An error that wraps no *Error is Internal.
-func Of(err error) Kind {
+// KindOf returns the kind of err. An error that wraps no *Error is Internal.
+func KindOf(err error) Kind {
 	if err == nil {
 		return None
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -36,9 +36,9 @@
 // maxLineBytes is the maximum length of a line. The processes write no longer ones.
 const maxLineBytes = 1 << 20
 
-// JobOf returns the job that the request with the given ID submitted, or id itself
+// FindJob returns the job that the request with the given ID submitted, or id itself
 // if no line has that request ID.
-func JobOf(lines []Line, id string) string {
+func FindJob(lines []Line, id string) string {
 	for i := range lines {
 		if lines[i].Fields[fieldRequest] == id {
 			return lines[i].Fields[fieldJob]
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -60,7 +60,7 @@
 `
 	found, _, err := Read(nil, strings.NewReader(log), "r1")
 	c.Assert(err, qt.IsNil)
-	lines, _, err := Read(nil, strings.NewReader(log), JobOf(found, "r1"))
+	lines, _, err := Read(nil, strings.NewReader(log), FindJob(found, "r1"))
 	c.Assert(err, qt.IsNil)
 	var b strings.Builder
 	c.Assert(Write(&b, lines), qt.IsNil)
