--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -161,7 +161,7 @@
 		if res.isUnreachable {
 			g.setHealthy(false, res.Detail)
 		}
-		g.apply(func(now time.Time, l *ledger.Ledger) { l.Finished(now, res.Result) })
+		g.apply(func(now time.Time, l *ledger.Ledger) { l.FinishTask(now, res.Result) })
 	})
 }
 
@@ -197,7 +197,7 @@
 
 // closeDrainedIfIdle closes g.drained once the guard is draining and idle.
 func (g *Guard) closeDrainedIfIdle() {
-	if !g.ledger.Stats().Draining || !g.ledger.Idle() {
+	if !g.ledger.Stats().Draining || !g.ledger.IsIdle() {
 		return
 	}
 	select {
@@ -227,7 +227,7 @@
 			g.updateEntryRevision(from, f.ConfigAck.Revision)
 		case f.Welcome != nil: // lists entries that joined since the handshake
 			g.addLearnedEntries(f.Welcome.Entries)
-		case f.Goodbye != nil: // no action: the entry closes the link itself when it has finished
+		case f.StopNotice != nil: // no action: the entry closes the link itself when it has finished
 		default:
 			g.metrics.unknownFrames.Inc(1)
 		}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -120,7 +120,7 @@
 			}
 		}
 		qt.Assert(t, unanswered, qt.HasLen, 0)
-		qt.Assert(t, env.upstream.Twice(), qt.HasLen, 0)
-		qt.Assert(t, len(env.upstream.Starts()) > 50 && env.upstream.Peak() == 2, qt.IsTrue)
+		qt.Assert(t, env.upstream.RepeatedTasks(), qt.HasLen, 0)
+		qt.Assert(t, len(env.upstream.StartCounts()) > 50 && env.upstream.MaxConcurrency() == 2, qt.IsTrue)
 	})
 }
--- a/internal/guard/health.go
+++ b/internal/guard/health.go
@@ -93,7 +93,7 @@
 		case ctx.Err() == nil:
 			g.setHealthy(false, err.Error())
 		}
-		pause.For(ctx, g.opt.HealthEvery)
+		pause.For(ctx, g.opt.HealthInterval)
 	}
 }
 
@@ -114,6 +114,6 @@
 		} else {
 			g.opt.Logger.Warn("upstream unhealthy", "reason", reason)
 		}
-		l.Health(now, healthy)
+		l.SetHealthy(now, healthy)
 	})
 }
--- a/internal/guard/links_test.go
+++ b/internal/guard/links_test.go
@@ -31,7 +31,7 @@
 		env.entry.send(t, &wire.Frame{Start: start})
 		synctest.Wait()
 		env.entry.expectResults(t, okSummary)
-		qt.Assert(t, env.upstream.Starts(), qt.DeepEquals, map[string]int{TaskName(start.Ref): 1})
+		qt.Assert(t, env.upstream.StartCounts(), qt.DeepEquals, map[string]int{TaskName(start.Ref): 1})
 	})
 }
 
@@ -52,7 +52,7 @@
 		env.entry.newestLink().Close("cut")
 		time.Sleep(time.Minute)
 		qt.Assert(t, env.guard.linkCount(), qt.Equals, 1)
-		qt.Assert(t, env.upstream.Starts(), qt.HasLen, 0)
+		qt.Assert(t, env.upstream.StartCounts(), qt.HasLen, 0)
 		qt.Assert(t, env.guard.metrics.linksOpened.Count() <= 4, qt.IsTrue)
 	})
 }
@@ -92,7 +92,7 @@
 		var unreachable, closing, learned atomic.Int64
 		env := newTestEnv(t, func(o *Options) {
 			o.Entries = append(o.Entries, "rude:1")
-			o.HealthEvery = time.Hour
+			o.HealthInterval = time.Hour
 			o.Dial = func(ctx context.Context, addr string) (wire.Link, error) {
 				switch addr {
 				case "rude:1":
@@ -184,7 +184,7 @@
 // until the next health check, about a second's worth, would fail as well.
 func TestRefusedConnectionMarksUpstreamUnhealthy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		env := newTestEnv(t, func(o *Options) { o.HealthEvery = time.Hour })
+		env := newTestEnv(t, func(o *Options) { o.HealthInterval = time.Hour })
 		defer env.close()
 		_ = env.server.Close()
 		env.entry.send(t, &wire.Frame{Start: newStart(`{}`)})
@@ -229,7 +229,7 @@
 		".*service.*":               func(o *Options) { o.Service = "reserva" },
 		".*worker.*":                func(o *Options) { o.Worker = "Worker 1" },
 		".*connections 1.*":         func(o *Options) { o.Connections = 1 },
-		".*maximum response size.*": func(o *Options) { o.MaxAnswer = wire.MaxFrame },
+		".*maximum response size.*": func(o *Options) { o.MaxResponseBytes = wire.MaxFrame },
 		".*upstream.*":              func(o *Options) { o.Upstream = "https://127.0.0.1:1" },
 	} {
 		opt := testOptions()
--- a/internal/guard/options.go
+++ b/internal/guard/options.go
@@ -53,18 +53,18 @@
 	MemoryMB    int // memory of the worker in megabytes; 0 if unknown
 	Slots       int // maximum number of tasks that run on the upstream concurrently
 
-	Upstream      string        // http://host:port
-	Path          string        // path of task requests; empty uses the path in the service record
-	HealthPath    string        // path that returns 2xx while healthy; empty only opens a connection
-	HealthEvery   time.Duration // interval between health checks
-	HealthTimeout time.Duration // timeout of one health check
-	Connections   int           // maximum number of connections to the upstream, at least 2
+	Upstream       string        // http://host:port
+	Path           string        // path of task requests; empty uses the path in the service record
+	HealthPath     string        // path that returns 2xx while healthy; empty only opens a connection
+	HealthInterval time.Duration // interval between health checks
+	HealthTimeout  time.Duration // timeout of one health check
+	Connections    int           // maximum number of connections to the upstream, at least 2
 	// UpstreamIdleTimeout is how long an idle connection is kept open. It must be
 	// shorter than the upstream's own idle timeout: if the upstream closes a
 	// connection while a task is being written to it, it is unknown whether the
 	// task ran.
 	UpstreamIdleTimeout time.Duration
-	MaxAnswer           int // maximum size of one upstream response, in bytes
+	MaxResponseBytes    int // maximum size of one upstream response, in bytes
 
 	Admin    string           // loopback host:port of the admin HTTP server; empty disables it
 	Metrics  http.Handler     // handler of /metrics on the admin HTTP server; may be nil
@@ -83,9 +83,9 @@
 func (o Options) withDefaults() Options {
 	setDefault(&o.Slots, ledger.DefaultSlots)
 	setDefault(&o.Connections, DefaultConnections)
-	setDefault(&o.HealthEvery, DefaultHealthInterval)
+	setDefault(&o.HealthInterval, DefaultHealthInterval)
 	setDefault(&o.HealthTimeout, DefaultHealthTimeout)
-	setDefault(&o.MaxAnswer, DefaultMaxResponseBytes)
+	setDefault(&o.MaxResponseBytes, DefaultMaxResponseBytes)
 	setDefault(&o.UpstreamIdleTimeout, DefaultUpstreamIdleTimeout)
 	o.Ledger.Slots = o.Slots
 	o.Ledger.Member, _, _ = strings.Cut(o.Service, "/")
@@ -126,8 +126,8 @@
 	if o.Slots < 1 || o.Connections < 2 {
 		return fmt.Errorf("slots %d, connections %d: want at least 1 and 2", o.Slots, o.Connections)
 	}
-	if o.MaxAnswer < 1 || o.MaxAnswer > wire.MaxFrame-resultOverheadBytes {
-		return fmt.Errorf("maximum response size %d bytes: want 1 to %d", o.MaxAnswer, wire.MaxFrame-resultOverheadBytes)
+	if o.MaxResponseBytes < 1 || o.MaxResponseBytes > wire.MaxFrame-resultOverheadBytes {
+		return fmt.Errorf("maximum response size %d bytes: want 1 to %d", o.MaxResponseBytes, wire.MaxFrame-resultOverheadBytes)
 	}
 	return o.validateUpstream()
 }
--- a/internal/guard/stop_test.go
+++ b/internal/guard/stop_test.go
@@ -34,7 +34,7 @@
 			env.entry.send(t, &wire.Frame{Start: newStart(`{}`)})
 			qt.Assert(t, <-stopped, qt.IsNil)
 			env.entry.expectResults(t, want...)
-			qt.Assert(t, len(env.upstream.Starts()), qt.Equals, len(want)/2)
+			qt.Assert(t, len(env.upstream.StartCounts()), qt.Equals, len(want)/2)
 		})
 	}
 }
--- a/internal/guard/upstream.go
+++ b/internal/guard/upstream.go
@@ -52,7 +52,7 @@
 	protocols.SetHTTP1(true)
 	u := &upstream{
 		baseURL:          strings.TrimSuffix(opt.Upstream, "/"),
-		maxResponseBytes: int64(opt.MaxAnswer),
+		maxResponseBytes: int64(opt.MaxResponseBytes),
 		transport: &http.Transport{
 			DialContext:            trackedDialer(opt.DialUpstream),
 			MaxConnsPerHost:        opt.Connections - 1,
--- a/internal/guard/upstream_test.go
+++ b/internal/guard/upstream_test.go
@@ -147,7 +147,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			u := newRawUpstream(t, func(int) (string, bool) { return test.answer, true })
-			c := u.client(t, func(o *Options) { o.MaxAnswer = 8 })
+			c := u.client(t, func(o *Options) { o.MaxResponseBytes = 8 })
 			got := c.run(t.Context(), newRun("booking"))
 			qt.Check(t, summaries(got.Result), qt.DeepEquals, []string{test.want})
 			qt.Check(t, got.Detail, qt.Contains, test.detail)
--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -21,16 +21,16 @@
 
 // Limits bounds the resources that untrusted clients can occupy.
 type Limits struct {
-	HeaderTimeout time.Duration // to read a request's header
-	BodyTimeout   time.Duration // to read a request's body; 0 for no limit
-	IdleTimeout   time.Duration // between the requests of a connection
-	HeaderBytes   int
-	Connections   int // maximum open at once; more wait in the listen queue
+	HeaderTimeout  time.Duration // to read a request's header
+	BodyTimeout    time.Duration // to read a request's body; 0 for no limit
+	IdleTimeout    time.Duration // between the requests of a connection
+	HeaderBytes    int
+	MaxConnections int // maximum open at once; more wait in the listen queue
 }
 
 // DefaultLimits returns limits for callers of an entry's public address.
 func DefaultLimits() Limits {
-	return Limits{HeaderTimeout: 5 * time.Second, BodyTimeout: 30 * time.Second, IdleTimeout: time.Minute, HeaderBytes: 16 << 10, Connections: 10_000}
+	return Limits{HeaderTimeout: 5 * time.Second, BodyTimeout: 30 * time.Second, IdleTimeout: time.Minute, HeaderBytes: 16 << 10, MaxConnections: 10_000}
 }
 
 // Server is an HTTP server on one listener.
@@ -54,8 +54,8 @@
 func newServer(ln net.Listener, h http.Handler, tlsConfig *tls.Config, l Limits) *Server {
 	ln = &onceListener{Listener: ln}
 	h = recordAnswers(withBodyTimeout(h, l.BodyTimeout))
-	if l.Connections > 0 {
-		limited := &limitListener{Listener: ln, slots: make(chan struct{}, l.Connections), closed: make(chan struct{})}
+	if l.MaxConnections > 0 {
+		limited := &limitListener{Listener: ln, slots: make(chan struct{}, l.MaxConnections), closed: make(chan struct{})}
 		ln, h = limited, limited.closeNearLimit(h)
 	}
 	if tlsConfig != nil {
--- a/internal/httpserve/httpserve_test.go
+++ b/internal/httpserve/httpserve_test.go
@@ -170,10 +170,10 @@
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLimits()
-		l.Connections = 4
+		l.MaxConnections = 4
 		s := newTestServer(t, echo, l)
 		var conns []*clientConn
-		for range l.Connections {
+		for range l.MaxConnections {
 			conns = append(conns, s.mustDial())
 		}
 		_, ok := s.dial()
--- a/internal/httpserve/leave.go
+++ b/internal/httpserve/leave.go
@@ -21,12 +21,12 @@
 // to arrive after the first of them, if a relay on a busy VM forwards them.
 const heldUpBurst = 500 * time.Millisecond
 
-// LeaveCheck detects requests whose caller no longer waits for the response. A network
+// DisconnectCheck detects requests whose caller no longer waits for the response. A network
 // partition may hold up a request for longer than its caller waits; the caller then sends
 // it to another server. After the partition heals, the end of the connection may arrive
 // some milliseconds after the request. If the request were started in between, its work
 // would run twice at once, and two escorts would be booked.
-type LeaveCheck struct {
+type DisconnectCheck struct {
 	heldUpAfter time.Duration // silence on a connection after which a request may have been held up
 	sleep       func(time.Duration)
 
@@ -35,15 +35,15 @@
 	newestArrival, burstStart atomic.Int64
 }
 
-// NewLeaveCheck returns a check for callers that resend a request after the interval
+// NewDisconnectCheck returns a check for callers that resend a request after the interval
 // resend.
-func NewLeaveCheck(resend time.Duration) *LeaveCheck {
-	return &LeaveCheck{heldUpAfter: time.Duration(resendShare * float64(resend)), sleep: time.Sleep}
+func NewDisconnectCheck(resend time.Duration) *DisconnectCheck {
+	return &DisconnectCheck{heldUpAfter: time.Duration(resendShare * float64(resend)), sleep: time.Sleep}
 }
 
-// Left reports whether the caller of a request has closed its connection. If the request
+// HasDisconnected reports whether the caller of a request has closed its connection. If the request
 // may have been held up, Left waits for recheckDelay and checks again.
-func (c *LeaveCheck) Left(r *http.Request) bool {
+func (c *DisconnectCheck) HasDisconnected(r *http.Request) bool {
 	c.recordArrival(time.Since(processStart))
 	if PeerDisconnected(r) {
 		return true
@@ -56,7 +56,7 @@
 }
 
 // recordArrival records the arrival of a request at a time since processStart.
-func (c *LeaveCheck) recordArrival(now time.Duration) {
+func (c *DisconnectCheck) recordArrival(now time.Duration) {
 	if now-time.Duration(c.newestArrival.Load()) >= c.heldUpAfter {
 		c.burstStart.Store(int64(now))
 	}
@@ -66,6 +66,6 @@
 // HeldUp reports whether a request was probably held up by a network partition although its
 // caller has not been seen to disconnect: it is one of the first requests after a silence
 // of all connections.
-func (c *LeaveCheck) HeldUp(r *http.Request) bool {
+func (c *DisconnectCheck) HeldUp(r *http.Request) bool {
 	return peerIdleTime(r) >= c.heldUpAfter && time.Since(processStart)-time.Duration(c.burstStart.Load()) < heldUpBurst
 }
--- a/internal/httpserve/leave_test.go
+++ b/internal/httpserve/leave_test.go
@@ -11,17 +11,17 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// runLeaveCheck sends one request and returns what a LeaveCheck reports for it. The caller
+// runLeaveCheck sends one request and returns what a DisconnectCheck reports for it. The caller
 // closes the connection when the check pauses.
 func runLeaveCheck(t *testing.T, heldUpAfter time.Duration) (left, paused bool) {
 	var client net.Conn
-	check := &LeaveCheck{heldUpAfter: heldUpAfter, sleep: func(time.Duration) {
+	check := &DisconnectCheck{heldUpAfter: heldUpAfter, sleep: func(time.Duration) {
 		paused = true
 		qt.Check(t, client.Close(), qt.IsNil)
 	}}
 	done := make(chan struct{})
 	s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		left = check.Left(r)
+		left = check.HasDisconnected(r)
 		close(done)
 	}), nil, DefaultLimits())
 	qt.Assert(t, err, qt.IsNil)
@@ -56,7 +56,7 @@
 // connection that was idle while others were in use must not be delayed.
 func TestHeldUpRequiresSilenceOnAllConnections(t *testing.T) {
 	const resend = time.Second
-	c := NewLeaveCheck(resend)
+	c := NewDisconnectCheck(resend)
 	now := time.Since(processStart)
 	request := func(quiet time.Duration) *http.Request {
 		p := new(peer)
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -25,17 +25,17 @@
 	Retention time.Duration
 	// Skew is how far in the future the creation time of a key may be by this
 	// process's clock.
-	Skew time.Duration
+	MaxClockSkew time.Duration
 	// Records is the maximum number of records.
-	Records int
-	// AnswerBytes limits the total size of the answers kept for resubmissions.
-	AnswerBytes int64
+	MaxRecords int
+	// MaxAnswerBytes limits the total size of the answers kept for resubmissions.
+	MaxAnswerBytes int64
 }
 
 // DefaultLimits keep two minutes of records in less than 32 MB, at 2,000 jobs a
 // second and 64 bytes a record, not counting the answers.
 func DefaultLimits() Limits {
-	return Limits{Retention: 2 * time.Minute, Skew: 30 * time.Second, Records: 250_000, AnswerBytes: 16 << 20}
+	return Limits{Retention: 2 * time.Minute, MaxClockSkew: 30 * time.Second, MaxRecords: 250_000, MaxAnswerBytes: 16 << 20}
 }
 
 // Fingerprint is a digest of the work that a submission requests.
@@ -171,7 +171,7 @@
 	if err := s.checkCreationTime(now, key); err != nil {
 		return nil, false, err
 	}
-	if len(s.records) >= s.limits.Records && !s.evict() {
+	if len(s.records) >= s.limits.MaxRecords && !s.evict() {
 		return nil, false, errkind.New(errkind.TooManyJobs, "%d jobs are unfinished", s.unfinished).WithAfter(time.Second)
 	}
 	// Evicting a record may have raised the minimum above the creation time of this
@@ -194,7 +194,7 @@
 	case key.BirthMs < s.currentMinCreatedMs(now):
 		return errkind.New(errkind.IdentityExpired, "born %v ago; identities are vouched for during %v",
 			now.Sub(time.UnixMilli(key.BirthMs)).Round(time.Millisecond), s.limits.Retention)
-	case key.BirthMs > now.Add(s.limits.Skew).UnixMilli():
+	case key.BirthMs > now.Add(s.limits.MaxClockSkew).UnixMilli():
 		return errkind.New(errkind.IdentityExpired, "born %v in the future",
 			time.UnixMilli(key.BirthMs).Sub(now).Round(time.Millisecond))
 	}
@@ -270,7 +270,7 @@
 func (s *shard) trimBodies() {
 	for len(s.withBody) > 0 {
 		rec := s.withBody[0]
-		if rec.bodyBytes > 0 && (s.answerBytes <= s.limits.AnswerBytes || rec.readers > 0) {
+		if rec.bodyBytes > 0 && (s.answerBytes <= s.limits.MaxAnswerBytes || rec.readers > 0) {
 			return
 		}
 		s.withBody[0] = nil
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -14,7 +14,7 @@
 var startTime = time.UnixMilli(1_790_000_000_000)
 
 func testLimits() Limits {
-	return Limits{Retention: time.Minute, Skew: time.Second, Records: 3, AnswerBytes: 10}
+	return Limits{Retention: time.Minute, MaxClockSkew: time.Second, MaxRecords: 3, MaxAnswerBytes: 10}
 }
 
 func newKey(at time.Time) identity.Key { return identity.NewTicket("entry-a", at) }
@@ -100,7 +100,7 @@
 // its caller reads it, because large answers of other jobs arrive.
 func TestAnswerInUseIsNotDropped(t *testing.T) {
 	c := qt.New(t)
-	r := New(Limits{Retention: time.Minute, Skew: time.Second, Records: 100, AnswerBytes: 10})
+	r := New(Limits{Retention: time.Minute, MaxClockSkew: time.Second, MaxRecords: 100, MaxAnswerBytes: 10})
 	inUse := runJob(t, r, startTime, newKey(startTime), "12345678")
 	for i := range 5 {
 		runJob(t, r, startTime, newKey(startTime), fmt.Sprintf("answer %d", i)).Release()
--- a/internal/ledger/fence.go
+++ b/internal/ledger/fence.go
@@ -16,17 +16,17 @@
 // evicting an older fence, and the entry blocked by the older one could then start
 // tasks again.
 func (l *Ledger) Fence(now time.Time, from identity.Incarnation, f *wire.Fence) {
-	if !l.fenced[f.Gone] && (len(l.fenced) >= l.opt.MaxFences || len(f.Gone) > maxIncarnationLen) {
+	if !l.fenced[f.FencedEntry] && (len(l.fenced) >= l.opt.MaxFences || len(f.FencedEntry) > maxIncarnationLen) {
 		return
 	}
-	l.fenced[f.Gone] = true
-	if e := l.entry(f.Gone); e != nil {
+	l.fenced[f.FencedEntry] = true
+	if e := l.entry(f.FencedEntry); e != nil {
 		e.reserved = 0
 		l.withdrawOffers(e)
 	}
-	l.refuseQueuedTasks(now, f.Gone)
+	l.refuseQueuedTasks(now, f.FencedEntry)
 	l.assignSlots(now)
-	l.send(from, &wire.Frame{FenceReport: l.fenceReport(f.Gone, f.SinceMs)})
+	l.send(from, &wire.Frame{FenceReport: l.fenceReport(f.FencedEntry, f.SinceMs)})
 }
 
 // refuseQueuedTasks refuses the queued tasks of a fenced entry.
@@ -61,7 +61,7 @@
 		reportFloorMs = max(reportFloorMs, started[maxReportedStarts].birthMs+1)
 		started = started[:maxReportedStarts]
 	}
-	report := &wire.FenceReport{Gone: home, FloorMs: reportFloorMs}
+	report := &wire.FenceReport{FencedEntry: home, FloorMs: reportFloorMs}
 	for _, r := range started {
 		report.Started = append(report.Started, wire.Started{Ref: r.ref, Of: int(r.taskCount), Done: r.result != nil})
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// Idle reports whether no task is running or queued.
-func (l *Ledger) Idle() bool { return l.running == 0 && len(l.queue) == 0 }
+// IsIdle reports whether no task is running or queued.
+func (l *Ledger) IsIdle() bool { return l.running == 0 && len(l.queue) == 0 }
 
 // Load returns a new load report. Each report has a greater Seq than the previous
 // one. A guard that accepts no new work reports zero slots.
@@ -236,10 +236,10 @@
 	return nil
 }
 
-// Health records whether the upstream accepts requests. When it becomes unhealthy,
+// SetHealthy records whether the upstream accepts requests. When it becomes unhealthy,
 // queued tasks are refused so that their entries can send them to other guards
 // before the deadline.
-func (l *Ledger) Health(now time.Time, isHealthy bool) {
+func (l *Ledger) SetHealthy(now time.Time, isHealthy bool) {
 	if l.isHealthy == isHealthy {
 		return
 	}
@@ -261,7 +261,7 @@
 	}
 	l.isDraining = true
 	for _, e := range l.entries {
-		l.send(e.incarnation, &wire.Frame{Goodbye: &wire.Goodbye{Reason: reason}})
+		l.send(e.incarnation, &wire.Frame{StopNotice: &wire.StopNotice{Reason: reason}})
 	}
 	l.sendLoads()
 	l.withdrawAllOffers()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -30,7 +30,7 @@
 
 func newHarness(t testing.TB, opt Options) *harness {
 	h := &harness{Ledger: New(epoch, opt), t: t, now: epoch}
-	h.Health(epoch, true)
+	h.SetHealthy(epoch, true)
 	h.LinkUp(epoch, entryA)
 	h.LinkUp(epoch, entryB)
 	h.Actions()
@@ -63,7 +63,7 @@
 }
 
 func (h *harness) finish(s *wire.Start, body string) {
-	h.Finished(h.now, wire.Result{Ref: s.Ref, Status: 200, Body: []byte(body)})
+	h.FinishTask(h.now, wire.Result{Ref: s.Ref, Status: 200, Body: []byte(body)})
 }
 
 // assertActions compares the actions since the last call, formatted by formatAction,
@@ -180,12 +180,12 @@
 	h := newHarness(t, Options{Slots: 1, MaxFences: 1})
 	running := h.startNew(entryA, 0)
 	h.startNew(entryA, 500)
-	h.Fence(h.now, entryB, &wire.Fence{Gone: entryA})
+	h.Fence(h.now, entryB, &wire.Fence{FencedEntry: entryA})
 	h.assertActions("run 1", "a: 2 fenced, ran no", "b: started 1, floor +0")
 	h.finish(running, "booked")
 	h.startNew(entryA, 0)
 	h.Collect(entryB, &wire.Collect{Member: "ayni", Key: running.Ref.Key})
-	h.Fence(h.now, entryB, &wire.Fence{Gone: "entry-c-1"})
+	h.Fence(h.now, entryB, &wire.Fence{FencedEntry: "entry-c-1"})
 	h.assertActions("a: 1 none, ran yes", "a: 3 fenced, ran no", "b: collected 1")
 }
 
@@ -222,7 +222,7 @@
 	h.advance(30 * time.Millisecond)
 	h.assertActions("a: 3 deadline_expired, ran no")
 	h.startNew(entryA, 900)
-	h.Health(h.now, false)
+	h.SetHealthy(h.now, false)
 	h.assertActions("a: 4 busy, ran no")
 }
 
@@ -263,7 +263,7 @@
 	h.Reserve(h.now, entryA, &wire.Reserve{Want: 2})
 	h.startNew(entryB, 0)
 	s := h.newStart(entryA)
-	s.Offered = 1
+	s.OfferID = 1
 	h.resend(s)
 	h.assertActions("a: offer 1", "b: 1 busy, ran no", "run 2")
 	h.finish(s, "")
@@ -279,7 +279,7 @@
 	for _, withdraw := range []func(*harness){
 		func(h *harness) { h.Reserve(h.now, entryA, &wire.Reserve{}) },
 		func(h *harness) { h.LinkDown(h.now, entryA) },
-		func(h *harness) { h.Fence(h.now, "entry-c-1", &wire.Fence{Gone: entryA}) },
+		func(h *harness) { h.Fence(h.now, "entry-c-1", &wire.Fence{FencedEntry: entryA}) },
 	} {
 		h := newHarness(t, Options{Slots: 1})
 		h.Reserve(h.now, entryA, &wire.Reserve{Want: 3})
--- a/internal/ledger/model_test.go
+++ b/internal/ledger/model_test.go
@@ -51,7 +51,7 @@
 	for _, h := range homes {
 		ledger.LinkUp(m.now, h)
 	}
-	ledger.Health(m.now, true)
+	ledger.SetHealthy(m.now, true)
 	return m
 }
 
@@ -78,7 +78,7 @@
 		m.ledger.LinkDown(m.now, home)
 		m.ledger.LinkUp(m.now, home)
 	case 14:
-		m.ledger.Health(m.now, arg%4 != 0)
+		m.ledger.SetHealthy(m.now, arg%4 != 0)
 	case 15:
 		m.rareStep(home, arg)
 	}
@@ -91,7 +91,7 @@
 		m.ledger.Drain(m.now, "model")
 	case arg%64 == 8:
 		m.fenced[home] = true
-		m.ledger.Fence(m.now, homes[1], &wire.Fence{Gone: home})
+		m.ledger.Fence(m.now, homes[1], &wire.Fence{FencedEntry: home})
 	default:
 		ref := m.recentTask(arg)
 		m.ledger.Collect(home, &wire.Collect{Member: ref.Member, Key: ref.Key})
@@ -121,7 +121,7 @@
 		s.WaitMs = 200
 	}
 	if arg%2 == 0 {
-		s.Offered = m.lastOfferID
+		s.OfferID = m.lastOfferID
 	}
 	m.ledger.Start(m.now, s.Home, s)
 }
@@ -141,7 +141,7 @@
 	case 1:
 		res = wire.Result{Ref: ref, Kind: errkind.TimedOut}
 	}
-	m.ledger.Finished(m.now, res)
+	m.ledger.FinishTask(m.now, res)
 }
 
 // checkActions checks the ledger's actions against the earlier observations.
@@ -204,7 +204,7 @@
 	}
 	for ref := range m.runs {
 		key, _ := identity.Parse(ref.Key)
-		if m.home[ref] == r.Gone && !m.notReached[ref] && key.BirthMs >= r.FloorMs && !isReported[ref] {
+		if m.home[ref] == r.FencedEntry && !m.notReached[ref] && key.BirthMs >= r.FloorMs && !isReported[ref] {
 			m.recordViolation("%v ran, but the fence report omits it", ref)
 		}
 	}
@@ -334,8 +334,8 @@
 func FuzzFrames(f *testing.F) {
 	ref := wire.Ref{Member: "ayni", Key: newTicket(entryA, epoch, 1)}
 	for _, fr := range []wire.Frame{
-		{Start: &wire.Start{Ref: ref, Home: entryA, LeftMs: 1000, WaitMs: 10, Offered: 1}, Reserve: &wire.Reserve{Want: -1}},
-		{Cancel: &wire.Cancel{Ref: ref}, Fence: &wire.Fence{Gone: entryB}, Collect: &wire.Collect{Member: "ayni", Key: ref.Key}},
+		{Start: &wire.Start{Ref: ref, Home: entryA, LeftMs: 1000, WaitMs: 10, OfferID: 1}, Reserve: &wire.Reserve{Want: -1}},
+		{Cancel: &wire.Cancel{Ref: ref}, Fence: &wire.Fence{FencedEntry: entryB}, Collect: &wire.Collect{Member: "ayni", Key: ref.Key}},
 	} {
 		bytes, _ := wire.Encode(&fr)
 		f.Add(bytes)
--- a/internal/ledger/start.go
+++ b/internal/ledger/start.go
@@ -91,7 +91,7 @@
 func (l *Ledger) placeTask(now time.Time, r *record, s *wire.Start) {
 	deadline := now.Add(cappedMilliseconds(s.LeftMs))
 	switch {
-	case l.consumeOffer(r.home, s.Offered), l.freeSlots() > 0:
+	case l.consumeOffer(r.home, s.OfferID), l.freeSlots() > 0:
 		l.startTask(r, s.Body, deadline)
 	case s.WaitMs > 0 && l.hasQueueRoom(s.Body):
 		l.enqueue(now, r, s, deadline)
@@ -120,9 +120,9 @@
 	l.sendResult(r.home, *res)
 }
 
-// Finished handles the result of a Run. Ran == RanNo means that the request provably
+// FinishTask handles the result of a Run. Ran == RanNo means that the request provably
 // never reached the upstream. Each Run has one result; a second one is ignored.
-func (l *Ledger) Finished(now time.Time, res wire.Result) {
+func (l *Ledger) FinishTask(now time.Time, res wire.Result) {
 	r, ok := l.recordTable.records[res.Ref]
 	if !ok || r.state != running {
 		return
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -77,17 +77,17 @@
 	m.Machine.Result(now, g, r)
 }
 
-// GuardLeaving implements dispatch.Machine.
-func (m *countingMachine) GuardLeaving(now time.Time, g identity.Incarnation) {
+// GuardDraining implements dispatch.Machine.
+func (m *countingMachine) GuardDraining(now time.Time, g identity.Incarnation) {
 	m.now = now
 	m.metrics.Inc(telemetry.GuardsLeft)
-	m.Machine.GuardLeaving(now, g)
+	m.Machine.GuardDraining(now, g)
 }
 
-// GuardUp implements dispatch.Machine.
-func (m *countingMachine) GuardUp(now time.Time, h *wire.Hello) {
+// GuardConnected implements dispatch.Machine.
+func (m *countingMachine) GuardConnected(now time.Time, h *wire.Hello) {
 	m.now = now
-	m.Machine.GuardUp(now, h)
+	m.Machine.GuardConnected(now, h)
 }
 
 // Offer implements dispatch.Machine.
@@ -133,9 +133,9 @@
 		admitted := m.jobs[jobIDOf(ref)].admitted
 		m.metrics.Observe(telemetry.TaskQueueLatency, m.now.Sub(admitted))
 	case sent:
-		m.metrics.Retried(telemetry.RetrySameGuard)
+		m.metrics.CountRetry(telemetry.RetrySameGuard)
 	case refused:
-		m.metrics.Retried(telemetry.RetryAfter(t.refusalKind))
+		m.metrics.CountRetry(telemetry.RetryAfter(t.refusalKind))
 	}
 	t.state = sent
 }
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -38,7 +38,7 @@
 }
 
 func (h *harness) connectGuard(g identity.Incarnation) {
-	h.m.GuardUp(h.now, &wire.Hello{Incarnation: g, Service: "ayni/reserva", Worker: string(g), Slots: 1, Load: h.nextLoad()})
+	h.m.GuardConnected(h.now, &wire.Hello{Incarnation: g, Service: "ayni/reserva", Worker: string(g), Slots: 1, Load: h.nextLoad()})
 }
 
 func (h *harness) submitJob(key string) {
@@ -67,7 +67,7 @@
 	h := newHarness(t)
 	h.submitJob("1")
 	first := h.takeStart()
-	h.m.GuardLeaving(h.now, first.Guard)
+	h.m.GuardDraining(h.now, first.Guard)
 	h.sendResult(first, errkind.Draining, errkind.RanNo)
 	for end := h.now.Add(time.Second); h.metrics.Retries(telemetry.RetryDraining) == 0 && h.now.Before(end); {
 		h.now = h.now.Add(10 * time.Millisecond)
@@ -95,7 +95,7 @@
 	h := newHarness(t)
 	h.submitJob("1")
 	first := h.takeStart()
-	h.m.GuardDown(h.now, first.Guard)
+	h.m.GuardDisconnected(h.now, first.Guard)
 	h.connectGuard(first.Guard)
 	h.takeStart()
 	h.c.Check(h.metrics.Retries(telemetry.RetrySameGuard), qt.Equals, int64(1))
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -161,10 +161,10 @@
 	}
 	e.server = entry.New(entry.Options{
 		ID: self.Incarnation, Domain: self.Domain, FleetKey: key, Software: telemetry.Version,
-		MaxBody: e.cfg.Limits.Body, OpenRequests: int(e.cfg.Limits.OpenRequests), OpenBytes: e.cfg.Limits.OpenBytes,
+		MaxBodyBytes: e.cfg.Limits.MaxBodyBytes, MaxOpenRequests: int(e.cfg.Limits.MaxOpenRequests), MaxOpenBytes: e.cfg.Limits.MaxOpenBytes,
 		Jobs: e.jobLimits(), Seed: rand.Uint64(),
 		Config: config, Router: router, Metrics: e.metrics, Log: e.log, Records: recordsHandler,
-		OnConfig: router.ConfigChanged,
+		OnConfigChange: router.ConfigChanged,
 	})
 	bind(e.server)
 	return nil
@@ -175,8 +175,8 @@
 // record.
 func (e *Entry) rosterOptions() roster.Options {
 	return roster.Options{
-		Lead:      e.cfg.Roster.Ceiling,
-		Retention: max(roster.DefaultRetention, 2*e.cfg.Limits.Retention),
+		CeilingLead: e.cfg.Roster.Ceiling,
+		Retention:   max(roster.DefaultRetention, 2*e.cfg.Limits.Retention),
 	}
 }
 
@@ -208,15 +208,15 @@
 	l.HeaderTimeout = e.cfg.Limits.HeaderTimeout
 	l.BodyTimeout = e.cfg.Limits.BodyTimeout
 	l.IdleTimeout = e.cfg.Limits.IdleTimeout
-	l.Connections = int(e.cfg.Limits.Connections)
+	l.MaxConnections = int(e.cfg.Limits.MaxConnections)
 	return l
 }
 
 func (e *Entry) jobLimits() jobs.Limits {
 	l := jobs.DefaultLimits()
 	l.Retention = e.cfg.Limits.Retention
-	l.AnswerBytes = e.cfg.Limits.AnswerBytes
-	l.Records = int(e.cfg.Limits.Records)
+	l.MaxAnswerBytes = e.cfg.Limits.MaxAnswerBytes
+	l.MaxRecords = int(e.cfg.Limits.MaxRecords)
 	return l
 }
 
@@ -261,7 +261,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), lameDuckDelay+rosterLeaveTimeout+e.cfg.Limits.DrainTimeout)
 	defer cancel()
 	e.log.Info("entry is shutting down")
-	e.server.Leave()
+	e.server.SetNotReady()
 	if !e.SkipLameDuck {
 		rosterDone := make(chan struct{})
 		go func() { e.leaveRoster(ctx); close(rosterDone) }()
--- a/internal/node/records.go
+++ b/internal/node/records.go
@@ -22,7 +22,7 @@
 		Sync: e.sync,
 		Authenticate: func(r *http.Request) (recordapi.Principal, error) {
 			if hasConsortiumToken(r, consortiumHash) {
-				return recordapi.Principal{Consortium: true}, nil
+				return recordapi.Principal{IsConsortiumOperator: true}, nil
 			}
 			member, authErr := e.server.Authenticate(r)
 			if authErr != nil {
--- a/internal/node/standalone.go
+++ b/internal/node/standalone.go
@@ -160,7 +160,7 @@
 	const pollInterval = 10 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !s.server.Ready() || s.server.Usable() < len(s.guards) {
+	for !s.server.Ready() || s.server.UsableGuards() < len(s.guards) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -49,7 +49,7 @@
 func authenticate(r *http.Request) (recordapi.Principal, error) {
 	switch r.Header.Get("Authorization") {
 	case "Bearer consortium":
-		return recordapi.Principal{Consortium: true}, nil
+		return recordapi.Principal{IsConsortiumOperator: true}, nil
 	case "Bearer ayni":
 		return recordapi.Principal{Member: "ayni"}, nil
 	}
--- a/internal/peers/fake_test.go
+++ b/internal/peers/fake_test.go
@@ -102,7 +102,7 @@
 		OnForward: func(_ context.Context, from identity.Incarnation, f *wire.Forward) *wire.Forwarded {
 			return &wire.Forwarded{Status: 200, Body: fmt.Appendf(nil, "%s for %s at %s", f.Key, from, name)}
 		},
-		ToGuard: func(g identity.Incarnation, f *wire.Frame) {
+		SendToGuard: func(g identity.Incarnation, f *wire.Frame) {
 			if f.Fence != nil {
 				e.withLock(func() { e.fencedGuards = append(e.fencedGuards, g) })
 			}
@@ -265,7 +265,7 @@
 	e.fencedGuards = nil
 	e.mu.Unlock()
 	for _, g := range fencedGuards {
-		e.GuardReport(g, &wire.FenceReport{Gone: gone})
+		e.HandleFenceReport(g, &wire.FenceReport{FencedEntry: gone})
 	}
 }
 
--- a/internal/peers/guards.go
+++ b/internal/peers/guards.go
@@ -33,13 +33,13 @@
 	})
 }
 
-// GuardReport processes a guard's answer to a Fence.
-func (p *Peers) GuardReport(g identity.Incarnation, r *wire.FenceReport) {
+// HandleFenceReport processes a guard's answer to a Fence.
+func (p *Peers) HandleFenceReport(g identity.Incarnation, r *wire.FenceReport) {
 	p.update(func(now time.Time) { p.recovery.Report(now, g, r) })
 }
 
-// GuardCollected processes a guard's answer to a Collect.
-func (p *Peers) GuardCollected(g identity.Incarnation, c *wire.Collected) {
+// HandleCollected processes a guard's answer to a Collect.
+func (p *Peers) HandleCollected(g identity.Incarnation, c *wire.Collected) {
 	p.update(func(now time.Time) { p.recovery.Collected(now, g, c) })
 }
 
@@ -50,7 +50,7 @@
 	owner, final := p.View().FinalOwner(member, key)
 	j := recovery.Job{Member: member, Key: key.Text, BirthMs: key.BirthMs, Home: owner}
 	if !final || owner == p.opt.Self.Incarnation {
-		return recovery.Finding{Job: j, Verdict: recovery.Later}
+		return recovery.Finding{Job: j, Verdict: recovery.RetryLater}
 	}
 	ch := make(chan recovery.Finding, 1)
 	p.update(func(now time.Time) {
@@ -65,6 +65,6 @@
 	case f := <-ch:
 		return f
 	case <-ctx.Done():
-		return recovery.Finding{Job: j, Verdict: recovery.Later}
+		return recovery.Finding{Job: j, Verdict: recovery.RetryLater}
 	}
 }
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -174,9 +174,9 @@
 		state := p.ensureKnown(now, l.addr)
 		state.unlinkedSince = time.Time{}
 		p.opt.Log.Info("peer linked", "peer", inc)
-		p.recovery.Seen(now, inc)
-		p.machine.Trust(now, inc)
-		p.machine.Linked(now, inc)
+		p.recovery.RecordContact(now, inc)
+		p.machine.ClearSuspicion(now, inc)
+		p.machine.HandleLinkUp(now, inc)
 		p.announcer.PeerUp(inc)
 	})
 	p.sendConfigIfNewer(l)
@@ -245,18 +245,18 @@
 // holds mu.
 func (p *Peers) handleFrameLocked(now time.Time, l *peerLink, f *wire.Frame) {
 	from := l.addr.Incarnation
-	p.recovery.Seen(now, from)
+	p.recovery.RecordContact(now, from)
 	switch {
 	case f.Promise != nil:
 		p.machine.Promise(now, from, *f.Promise)
 	case f.Roster != nil:
-		p.machine.Learned(now, f.Roster)
+		p.machine.HandleRoster(now, f.Roster)
 	case f.Join != nil && f.Join.Entry.Incarnation == from:
-		p.machine.JoinAsked(now, f.Join)
+		p.machine.HandleJoin(now, f.Join)
 	case f.Witness != nil:
 		p.recovery.Witness(now, from, f.Witness)
-	case f.Witnessed != nil:
-		p.announcer.Acknowledged(from, f.Witnessed.Seq)
+	case f.WitnessAck != nil:
+		p.announcer.Acknowledged(from, f.WitnessAck.Seq)
 	case *f == (wire.Frame{}):
 		p.opt.count("unknown_frame")
 	default:
--- a/internal/peers/options.go
+++ b/internal/peers/options.go
@@ -75,9 +75,9 @@
 	// OnForward serves a request that a peer forwarded. It is called from many
 	// goroutines.
 	OnForward func(ctx context.Context, from identity.Incarnation, f *wire.Forward) *wire.Forwarded
-	// ToGuard sends a frame to a guard. It may drop the frame if the guard is not
+	// SendToGuard sends a frame to a guard. It may drop the frame if the guard is not
 	// linked. It is called while a lock is held and must not call back into Peers.
-	ToGuard func(guard identity.Incarnation, f *wire.Frame)
+	SendToGuard func(guard identity.Incarnation, f *wire.Frame)
 	// OnGuardReady permits starts at a guard for which GuardUp was called.
 	OnGuardReady func(guard identity.Incarnation)
 	// OnGone reports that a roster declared a peer gone for good.
@@ -118,8 +118,8 @@
 }
 
 func (o *Options) defaultHooks() {
-	if o.ToGuard == nil {
-		o.ToGuard = func(identity.Incarnation, *wire.Frame) {}
+	if o.SendToGuard == nil {
+		o.SendToGuard = func(identity.Incarnation, *wire.Frame) {}
 	}
 	if o.OnGuardReady == nil {
 		o.OnGuardReady = func(identity.Incarnation) {}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -160,8 +160,8 @@
 
 // Peer is a linked entry.
 type Peer struct {
-	Addr   wire.EntryAddr
-	Member bool // whether the entry belongs to the last roster version
+	Addr     wire.EntryAddr
+	IsMember bool // whether the entry belongs to the last roster version
 }
 
 // Peers returns the linked entries, sorted by incarnation.
@@ -170,7 +170,7 @@
 	var out []Peer
 	links := *p.links.Load()
 	for _, inc := range slices.Sorted(maps.Keys(links)) {
-		out = append(out, Peer{Addr: links[inc].addr, Member: last.Has(inc)})
+		out = append(out, Peer{Addr: links[inc].addr, IsMember: last.Has(inc)})
 	}
 	return out
 }
@@ -274,7 +274,7 @@
 			}
 		}
 	case a.Join != nil:
-		p.sendTo(a.Join.To, &wire.Frame{Join: a.Join.Ask})
+		p.sendTo(a.Join.To, &wire.Frame{Join: a.Join.Request})
 	case a.Swap != nil:
 		p.spawn(func(ctx context.Context) { p.swapRoster(ctx, a.Swap) })
 	case a.Read && !p.isReadingRoster:
@@ -286,11 +286,11 @@
 func (p *Peers) runRecoveryAction(a recovery.Action) {
 	switch {
 	case a.Fence != nil:
-		p.opt.ToGuard(a.Guard, &wire.Frame{Fence: a.Fence})
+		p.opt.SendToGuard(a.Guard, &wire.Frame{Fence: a.Fence})
 	case a.Collect != nil:
-		p.opt.ToGuard(a.Guard, &wire.Frame{Collect: a.Collect})
+		p.opt.SendToGuard(a.Guard, &wire.Frame{Collect: a.Collect})
 	case a.Acknowledge != nil:
-		p.sendTo(a.Peer, &wire.Frame{Witnessed: a.Acknowledge})
+		p.sendTo(a.Peer, &wire.Frame{WitnessAck: a.Acknowledge})
 	case a.Finding != nil:
 		p.opt.count("recovered." + a.Finding.Verdict.String())
 		for _, ch := range p.recoveryWaiters[a.Finding.Job] {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -67,10 +67,10 @@
 		go func() { time.Sleep(time.Second); n.isolate("b") }()
 		began := time.Now()
 		_, err := n.entries["a"].Forward(n.ctx, "b", &wire.Forward{LeftMs: 60_000})
-		n.c.Assert(errkind.Of(err), qt.Equals, errkind.HomeUnreachable)
+		n.c.Assert(errkind.KindOf(err), qt.Equals, errkind.HomeUnreachable)
 		n.c.Assert(time.Since(began), qt.Equals, time.Second)
 		_, err = n.entries["a"].Forward(n.ctx, "b", &wire.Forward{})
-		n.c.Assert(errkind.Of(err), qt.Equals, errkind.HomeUnreachable)
+		n.c.Assert(errkind.KindOf(err), qt.Equals, errkind.HomeUnreachable)
 		advance(time.Minute)
 	})
 }
@@ -227,16 +227,16 @@
 func TestJoinWithLostAndStaleAnswers(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		oldRevision := n.store.Revision()
-		n.store.LoseAnswers(12)
+		n.store.DropResponses(12)
 		n.start("d")
 		for i := range 40 {
 			advance(time.Second)
 			n.starters(40)
 			if i == 5 {
-				n.store.AnswerFrom(oldRevision)
+				n.store.ServeStaleReads(oldRevision)
 			}
 			if i == 15 {
-				n.store.AnswerFrom(0)
+				n.store.ServeStaleReads(0)
 			}
 		}
 		advance(formationTime)
--- a/internal/peers/registry.go
+++ b/internal/peers/registry.go
@@ -94,7 +94,7 @@
 		err := p.opt.Store.KeepAlive(callCtx, lease)
 		cancel()
 		switch {
-		case errors.Is(err, store.ErrLeaseGone):
+		case errors.Is(err, store.ErrLeaseNotFound):
 			p.opt.count("lease_lapsed")
 			p.opt.Log.Warn("lease expired; registering again")
 			return
@@ -207,7 +207,7 @@
 // handleStoredRoster passes a value of the roster key to the machine.
 func (p *Peers) handleStoredRoster(kv store.KV) {
 	p.update(func(now time.Time) {
-		if err := p.machine.Stored(now, kv.Value, kv.ModRevision); err != nil {
+		if err := p.machine.HandleStoreValue(now, kv.Value, kv.ModRevision); err != nil {
 			p.opt.count("roster.bad_value")
 			p.opt.Log.Error("cannot decode the roster in the store", "err", err)
 		}
@@ -228,5 +228,5 @@
 		outcome = roster.OutcomeConflict
 	}
 	p.opt.count([...]string{"roster.swap_unknown", "roster.swap_done", "roster.swap_conflict"}[outcome])
-	p.update(func(now time.Time) { p.machine.Swapped(now, s.ID, outcome, revision) })
+	p.update(func(now time.Time) { p.machine.HandleSwapResult(now, s.ID, outcome, revision) })
 }
--- a/internal/peers/suspicion.go
+++ b/internal/peers/suspicion.go
@@ -46,7 +46,7 @@
 		p.updateSuspicion(now, inc, state)
 		if p.isObsolete(inc, state, last.Has(inc)) {
 			delete(p.peerState, inc)
-			p.machine.Trust(now, inc) // clears the state that the roster machine holds for it
+			p.machine.ClearSuspicion(now, inc) // clears the state that the roster machine holds for it
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		return
 	}
 	if p.hasRegistrations && !state.unregisteredSince.IsZero() && now.Sub(state.unregisteredSince) >= registrationLossTimeout {
-		p.machine.Gone(now, inc)
+		p.machine.ReportGone(now, inc)
 		return
 	}
 	p.machine.Suspect(now, inc)
--- a/internal/record/guard.go
+++ b/internal/record/guard.go
@@ -38,9 +38,9 @@
 	return b, nil
 }
 
-// OwnRecord returns the encoded record of the guard's own service from the result
+// GuardServiceRecord returns the encoded record of the guard's own service from the result
 // of EncodeForGuard; nil if there is none.
-func OwnRecord(b []byte) []byte {
+func GuardServiceRecord(b []byte) []byte {
 	var e struct {
 		Service cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 	}
--- a/internal/record/kinds.go
+++ b/internal/record/kinds.go
@@ -169,11 +169,11 @@
 func readPolicy(o *objectReader, name string) *Policy {
 	p := dispatch.DefaultPolicy()
 	if o.enumField("weighting", "response", "response", "messages") == "messages" {
-		p.Weighting = dispatch.WeighMessages
+		p.Weighting = dispatch.PreferFewMessages
 	}
 	p.MaxQueued = int(o.intField("max_queued", int64(p.MaxQueued), 0, maxQueued))
 	p.RetryRatio = o.floatField("retry_ratio", p.RetryRatio, 0, 1)
-	p.Grace = milliseconds(o.intField("grace_ms", p.Grace.Milliseconds(), 0, maxGraceMs))
+	p.GracePeriod = milliseconds(o.intField("grace_ms", p.GracePeriod.Milliseconds(), 0, maxGraceMs))
 	p.Teams = readQuotas(o.objectReader("teams"))
 	return &Policy{Name: name, Dispatch: p}
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -66,7 +66,7 @@
 		"teams":{"day-1":{"starts_per_second":40,"burst":80,"weight":2},"day-2":{"starts_per_second":1,"burst":1}}}`, 1)}, 1)
 	c.Assert(s.Rejected(), qt.HasLen, 0)
 	c.Assert(s.PolicyFor("leeuwin/clubcast"), qt.DeepEquals, dispatch.Policy{
-		Weighting: dispatch.WeighMessages, Entries: 1, MaxQueued: 100, RetryRatio: 0.1, Grace: 500 * time.Millisecond,
+		Weighting: dispatch.PreferFewMessages, Entries: 1, MaxQueued: 100, RetryRatio: 0.1, GracePeriod: 500 * time.Millisecond,
 		Teams: map[string]dispatch.Quota{"day-1": {StartsPerSecond: 40, Burst: 80, Weight: 2}, "day-2": {StartsPerSecond: 1, Burst: 1, Weight: 1}},
 	})
 	c.Assert(s.PolicyFor("leeuwin/other"), qt.DeepEquals, dispatch.DefaultPolicy())
--- a/internal/recordapi/recordapi.go
+++ b/internal/recordapi/recordapi.go
@@ -45,7 +45,7 @@
 	Member string
 	// Consortium is set for the consortium's operator, who may list, read and
 	// write records of kind member and no others.
-	Consortium bool
+	IsConsortiumOperator bool
 }
 
 // Options configures the API's handler.
@@ -106,7 +106,7 @@
 	mux.HandleFunc("GET "+pathRecord, h.authenticated(h.get))
 	mux.HandleFunc("PUT "+pathRecord, h.authenticated(h.put))
 	mux.HandleFunc("DELETE "+pathRecord, h.authenticated(h.delete))
-	return httpserve.Unmatched(mux, h.WriteError)
+	return httpserve.HandleUnmatched(mux, h.WriteError)
 }
 
 // authenticated wraps next: it authenticates the sender, rejects requests until a
@@ -128,7 +128,7 @@
 
 // canAccess reports whether p may read and write a record.
 func (p Principal) canAccess(kind record.Kind, name string) bool {
-	if p.Consortium {
+	if p.IsConsortiumOperator {
 		return kind == record.KindMember
 	}
 	return p.Member != "" && record.Owner(name) == p.Member
@@ -137,7 +137,7 @@
 // canCreateOrDelete reports whether p may create and delete records of a kind. A
 // member may change its own member record but neither create nor delete it.
 func (p Principal) canCreateOrDelete(kind record.Kind) bool {
-	return p.Consortium || kind != record.KindMember
+	return p.IsConsortiumOperator || kind != record.KindMember
 }
 
 func (h *handler) list(w http.ResponseWriter, r *http.Request, p Principal) error {
@@ -154,7 +154,7 @@
 }
 
 func (p Principal) visibleRecords(snap *record.Snapshot) []record.Raw {
-	if p.Consortium {
+	if p.IsConsortiumOperator {
 		return snap.ListKind(record.KindMember)
 	}
 	return snap.List(p.Member)
--- a/internal/recordapi/recordapi_test.go
+++ b/internal/recordapi/recordapi_test.go
@@ -46,7 +46,7 @@
 	case "":
 		return Principal{}, errkind.New(errkind.Unauthenticated, "no token")
 	case "consortium":
-		return Principal{Consortium: true}, nil
+		return Principal{IsConsortiumOperator: true}, nil
 	default:
 		return Principal{Member: name}, nil
 	}
--- a/internal/recovery/explore_test.go
+++ b/internal/recovery/explore_test.go
@@ -48,7 +48,7 @@
 	case k < 81:
 		m.submit(n, m.keys[m.rng.IntN(len(m.keys))])
 	case k < 84:
-		_ = e.roster.Stored(m.now, m.storeValue, m.storeRevision)
+		_ = e.roster.HandleStoreValue(m.now, m.storeValue, m.storeRevision)
 		m.runActions(n)
 	case k < 86:
 		m.unlink(n, o)
@@ -58,7 +58,7 @@
 		if m.rng.IntN(3) == 0 {
 			e.roster.Suspect(m.now, o)
 		} else {
-			e.roster.Gone(m.now, o)
+			e.roster.ReportGone(m.now, o)
 		}
 		m.runActions(n)
 	case k < 92:
@@ -148,7 +148,7 @@
 
 func (m *model) storeAnswer(a storeAnswer) {
 	if e := m.entries[a.to]; !e.hasCrashed {
-		e.roster.Swapped(m.now, a.id, a.outcome, a.revision)
+		e.roster.HandleSwapResult(m.now, a.id, a.outcome, a.revision)
 		m.runActions(a.to)
 	}
 }
@@ -166,14 +166,14 @@
 	m.entries[victim].isPaused = isDeclaredGone && m.rng.IntN(2) == 0
 	m.addGuard()
 	for range 6 {
-		m.now = m.now.Add(rosterOptions.Period)
+		m.now = m.now.Add(rosterOptions.PromiseInterval)
 		for _, n := range m.entryNames() {
 			e := m.entries[n]
 			if n == victim || e.hasCrashed || e.isPaused {
 				continue
 			}
 			if isDeclaredGone {
-				e.roster.Gone(m.now, victim)
+				e.roster.ReportGone(m.now, victim)
 			} else {
 				e.roster.Suspect(m.now, victim)
 			}
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -69,8 +69,10 @@
 	return out
 }
 
-// Seen records contact with an entry.
-func (m *Machine) Seen(now time.Time, peer identity.Incarnation) { m.entryState(peer).lastSeen = now }
+// RecordContact records contact with an entry.
+func (m *Machine) RecordContact(now time.Time, peer identity.Incarnation) {
+	m.entryState(peer).lastSeen = now
+}
 
 func (m *Machine) entryState(inc identity.Incarnation) *entryState {
 	e := m.entries[inc]
@@ -97,7 +99,7 @@
 	e := m.entryState(from)
 	e.lastSeen = now
 	if e.applyWitness(w) {
-		m.actions = append(m.actions, Action{Peer: from, Acknowledge: &wire.Witnessed{Seq: w.Seq}})
+		m.actions = append(m.actions, Action{Peer: from, Acknowledge: &wire.WitnessAck{Seq: w.Seq}})
 	}
 }
 
@@ -136,7 +138,7 @@
 		lastSeen = e.gone
 	}
 	sinceMs := lastSeen.Add(-m.opt.ReportWindow).UnixMilli()
-	m.actions = append(m.actions, Action{Guard: g, Fence: &wire.Fence{Gone: gone, SinceMs: sinceMs}})
+	m.actions = append(m.actions, Action{Guard: g, Fence: &wire.Fence{FencedEntry: gone, SinceMs: sinceMs}})
 }
 
 // GuardUp records a guard's link. The guard is sent a Fence at once for each gone
@@ -162,7 +164,7 @@
 
 // Report handles a guard's answer to a Fence.
 func (m *Machine) Report(now time.Time, g identity.Incarnation, r *wire.FenceReport) {
-	e := m.lookupEntry(r.Gone)
+	e := m.lookupEntry(r.FencedEntry)
 	e.addReport(g, r)
 	if e.updateSummary(); len(e.missingReports) == 0 {
 		m.Tick(now)
@@ -185,7 +187,7 @@
 		return
 	}
 	if m.recoveries[key] != nil || len(m.recoveries) >= maxRecoveries {
-		m.finishJob(j, Later, nil)
+		m.finishJob(j, RetryLater, nil)
 		return
 	}
 	r := &jobRecovery{
@@ -266,7 +268,7 @@
 		if r.firstFailure() != nil {
 			return Failed
 		}
-		return Whole
+		return Complete
 	case e.gone.IsZero():
 		return m.verdictBeforeDeclaration(now, r)
 	case ev.coversJob && !ev.missingReports:
@@ -274,7 +276,7 @@
 	case m.canStillChange(now, r, ev) && now.Before(r.deadline):
 		return Pending
 	case m.canStillChange(now, r, ev):
-		return Later
+		return RetryLater
 	default:
 		return Unknown
 	}
@@ -287,7 +289,7 @@
 	if now.Before(r.deadline) && now.Sub(r.startedAt) < m.opt.GracePeriod {
 		return Pending
 	}
-	return Later
+	return RetryLater
 }
 
 // verdictFromReports returns the verdict on a job when all guards have reported.
@@ -304,7 +306,7 @@
 	case now.Before(r.deadline):
 		return Pending
 	default:
-		return Later
+		return RetryLater
 	}
 }
 
@@ -411,7 +413,7 @@
 func (m *Machine) finishJob(j Job, v Verdict, r *jobRecovery) {
 	f := &Finding{Job: j, Verdict: v}
 	switch v {
-	case Whole:
+	case Complete:
 		for task := range r.taskCount {
 			f.Results = append(f.Results, r.results[task])
 		}
--- a/internal/recovery/machine_test.go
+++ b/internal/recovery/machine_test.go
@@ -55,7 +55,7 @@
 func (f *fixture) startRecovery() { f.m.Recover(f.now, f.job, f.now.Add(10*time.Second)) }
 
 func (f *fixture) reportStarts(g identity.Incarnation, tasks ...int) {
-	r := &wire.FenceReport{Gone: other, FloorMs: epoch.UnixMilli()}
+	r := &wire.FenceReport{FencedEntry: other, FloorMs: epoch.UnixMilli()}
 	for _, task := range tasks {
 		r.Started = append(r.Started, wire.Started{Ref: wire.Ref{Member: "ayni", Key: "k", Task: task}, Of: 2})
 	}
@@ -77,7 +77,7 @@
 	f.m.Tick(f.now)
 	for _, a := range f.m.Actions() {
 		if a.Finding != nil {
-			if a.Finding.Verdict == Whole {
+			if a.Finding.Verdict == Complete {
 				f.c.Check(a.Finding.Results, qt.HasLen, 2)
 			}
 			return a.Finding.Verdict
@@ -110,7 +110,7 @@
 	f.returnResults(guard1, 0)
 	f.c.Assert(f.verdictAfter(time.Second), qt.Equals, Pending)
 	f.returnResults(guard2, 1)
-	f.c.Assert(f.verdictAfter(0), qt.Equals, Whole)
+	f.c.Assert(f.verdictAfter(0), qt.Equals, Complete)
 }
 
 // An entry is killed between the two starts of a job. The second task will never
@@ -220,7 +220,7 @@
 func TestUndeclaredEntryReturnsLater(t *testing.T) {
 	f := newFixture(t)
 	f.startRecovery()
-	f.c.Assert(f.verdictAfter(DefaultGracePeriod), qt.Equals, Later)
+	f.c.Assert(f.verdictAfter(DefaultGracePeriod), qt.Equals, RetryLater)
 }
 
 // An entry that is declared gone may still be running and link a new guard. If its
--- a/internal/recovery/model_test.go
+++ b/internal/recovery/model_test.go
@@ -76,8 +76,8 @@
 }
 
 var rosterOptions = roster.Options{
-	Period: time.Second, Horizon: 3 * time.Second, JoinLead: 3 * time.Second, Lead: 12 * time.Second,
-	Renew: 4 * time.Second, Retry: time.Second, Takeover: time.Second, RankDelay: time.Millisecond,
+	PromiseInterval: time.Second, PromiseLead: 3 * time.Second, JoinLead: 3 * time.Second, CeilingLead: 12 * time.Second,
+	CeilingRenewAge: 4 * time.Second, StoreRetryDelay: time.Second, TakeoverDelay: time.Second, RankDelay: time.Millisecond,
 }
 
 func newModel(fault injectedFault, seed uint64) *model {
@@ -89,7 +89,7 @@
 	addr := func(n incarnation) wire.EntryAddr { return wire.EntryAddr{Incarnation: n} }
 	m.storeValue, _ = roster.History{Versions: []roster.Version{{
 		Version: 1, FromMs: m.now.UnixMilli(), Members: []wire.EntryAddr{addr("a"), addr("b"), addr("c")},
-		CeilingMs: m.now.Add(rosterOptions.Lead).UnixMilli(),
+		CeilingMs: m.now.Add(rosterOptions.CeilingLead).UnixMilli(),
 	}}}.Encode()
 	m.storeRevision = 1
 	for i := range 6 {
@@ -127,7 +127,7 @@
 		recoveryMachine: recovery.NewMachine(n, recovery.Options{GracePeriod: time.Second}),
 		ready:           make(map[incarnation]bool), linkedGuards: make(map[incarnation]bool), assignedGuard: make(map[string]incarnation),
 	}
-	_ = m.entries[n].roster.Stored(m.now, m.storeValue, m.storeRevision)
+	_ = m.entries[n].roster.HandleStoreValue(m.now, m.storeValue, m.storeRevision)
 	m.runActions(n)
 	for _, o := range m.entryNames() {
 		m.link(n, o)
@@ -170,8 +170,8 @@
 	for _, p := range [][2]incarnation{{a, b}, {b, a}} {
 		m.peerLinks[p] = true
 		e := m.entries[p[0]]
-		e.roster.Trust(m.now, p[1])
-		e.roster.Linked(m.now, p[1])
+		e.roster.ClearSuspicion(m.now, p[1])
+		e.roster.HandleLinkUp(m.now, p[1])
 		e.announcer.PeerUp(p[1])
 		m.runActions(p[0])
 	}
@@ -266,9 +266,9 @@
 	case a.Swap != nil:
 		m.pendingWrites = append(m.pendingWrites, storeWrite{from: n, s: *a.Swap})
 	case a.Join != nil:
-		m.send(n, a.Join.To, wire.Frame{Join: a.Join.Ask})
+		m.send(n, a.Join.To, wire.Frame{Join: a.Join.Request})
 	case a.Read && m.rng.IntN(2) == 0:
-		_ = m.entries[n].roster.Stored(m.now, m.storeValue, m.storeRevision)
+		_ = m.entries[n].roster.HandleStoreValue(m.now, m.storeValue, m.storeRevision)
 		m.runActions(n)
 	}
 	for _, to := range m.entryNames() {
@@ -288,7 +288,7 @@
 	case a.Fence != nil:
 		m.send(n, a.Guard, wire.Frame{Fence: a.Fence})
 	case a.Acknowledge != nil:
-		m.send(n, a.Peer, wire.Frame{Witnessed: a.Acknowledge})
+		m.send(n, a.Peer, wire.Frame{WitnessAck: a.Acknowledge})
 	case a.Finding != nil && a.Finding.Verdict == recovery.NotRun:
 		m.reportedNotRun[a.Finding.Job.Key] = true
 		if m.startCount[a.Finding.Job.Key] > 0 {
@@ -324,8 +324,8 @@
 
 func (m *model) receiveAtGuard(g *guard, at, from incarnation, f wire.Frame) {
 	if f.Fence != nil {
-		g.fenced[f.Fence.Gone] = m.injectedFault != ignoreFence
-		report := &wire.FenceReport{Gone: f.Fence.Gone}
+		g.fenced[f.Fence.FencedEntry] = m.injectedFault != ignoreFence
+		report := &wire.FenceReport{FencedEntry: f.Fence.FencedEntry}
 		for _, s := range g.started {
 			report.Started = append(report.Started, s)
 		}
@@ -357,13 +357,13 @@
 	case f.Promise != nil:
 		e.roster.Promise(m.now, from, *f.Promise)
 	case f.Roster != nil:
-		e.roster.Learned(m.now, f.Roster)
+		e.roster.HandleRoster(m.now, f.Roster)
 	case f.Join != nil:
-		e.roster.JoinAsked(m.now, f.Join)
+		e.roster.HandleJoin(m.now, f.Join)
 	case f.Witness != nil:
 		e.recoveryMachine.Witness(m.now, from, f.Witness)
-	case f.Witnessed != nil:
-		e.announcer.Acknowledged(from, f.Witnessed.Seq)
+	case f.WitnessAck != nil:
+		e.announcer.Acknowledged(from, f.WitnessAck.Seq)
 	case f.FenceReport != nil:
 		e.recoveryMachine.Report(m.now, from, f.FenceReport)
 	case f.Result != nil && e.assignedGuard[f.Result.Ref.Key] == from:
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -75,16 +75,16 @@
 const (
 	// Pending: no verdict yet.
 	Pending Verdict = iota
-	// Whole: guards hold the results of all tasks, and all tasks succeeded.
-	Whole
+	// Complete: guards hold the results of all tasks, and all tasks succeeded.
+	Complete
 	// NotRun: no task of the job ever ran or ever will.
 	NotRun
 	// Failed: some tasks ran, and the others failed or will never run.
 	Failed
 	// Unknown: the outcome cannot be determined, now or later.
 	Unknown
-	// Later: the outcome cannot be determined yet; a later attempt may succeed.
-	Later
+	// RetryLater: the outcome cannot be determined yet; a later attempt may succeed.
+	RetryLater
 )
 
 // String returns the verdict's name in metrics.
@@ -113,7 +113,7 @@
 // Err returns the error for the caller, or nil for Whole.
 func (f Finding) Err() *errkind.Error {
 	switch f.Verdict {
-	case Whole:
+	case Complete:
 		return nil
 	case NotRun:
 		return errkind.New(errkind.NotRun, "%s is gone; every guard that it used has reported", f.Job.Home)
@@ -123,7 +123,7 @@
 		}
 		return errkind.New(errkind.WorkerLost, "%s is gone; a part of the tasks ran, the others never will", f.Job.Home).
 			WithRan(errkind.RanYes)
-	case Later:
+	case RetryLater:
 		return errkind.New(errkind.HomeUnreachable, "%s does not answer and is not declared gone yet", f.Job.Home).
 			WithAfter(retryDelay)
 	default:
@@ -141,6 +141,6 @@
 	Fence       *wire.Fence
 	Collect     *wire.Collect
 	Peer        identity.Incarnation // recipient of Acknowledge
-	Acknowledge *wire.Witnessed
+	Acknowledge *wire.WitnessAck
 	Finding     *Finding
 }
--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -15,7 +15,7 @@
 // placements lists the placement policies in the order of the comparison.
 var placements = []dispatch.Placement{
 	dispatch.Random, dispatch.TwoChoices, dispatch.TwoChoicesLoad,
-	dispatch.LeastKnown, dispatch.LateBinding, dispatch.Chosen,
+	dispatch.LeastKnownLoad, dispatch.LateBinding, dispatch.DefaultPlacement,
 }
 
 // runSpec is one replay to run: a trace and its options.
@@ -65,9 +65,9 @@
 // comparisonVariants lists the replays of one trace.
 func comparisonVariants(t *Trace, opt CompareOptions) []runSpec {
 	var specs []runSpec
-	otherWeighting := dispatch.WeighMessages
+	otherWeighting := dispatch.PreferFewMessages
 	if t.Policy.Weighting == otherWeighting {
-		otherWeighting = dispatch.WeighResponse
+		otherWeighting = dispatch.PreferResponseTime
 	}
 	for _, p := range placements {
 		if strings.Contains(t.Name, opt.Only) || strings.Contains(p.String(), opt.Only) {
--- a/internal/replay/entry.go
+++ b/internal/replay/entry.go
@@ -10,14 +10,14 @@
 	"wigeontray/internal/wire"
 )
 
-// entry simulates an entry process: a dispatch.Core and a simplified job registry.
+// entry simulates an entry process: a dispatch.Dispatcher and a simplified job registry.
 type entry struct {
 	process
 	sim         *simulation
 	config      Entry
 	index       int
 	incarnation identity.Incarnation
-	core        *dispatch.Core
+	core        *dispatch.Dispatcher
 	jobs        map[string]*jobRecord
 	links       map[identity.Incarnation]*link // by guard, from the receipt of its Hello
 	takeovers   map[identity.Incarnation]*takeover
@@ -63,12 +63,12 @@
 			e.links[h.Incarnation] = l
 		}
 	}
-	e.core.GuardUp(e.sim.clock.now, h)
+	e.core.GuardConnected(e.sim.clock.now, h)
 	e.applyActions()
 }
 
 func (e *entry) guardDown(inc identity.Incarnation) {
-	e.core.GuardDown(e.sim.clock.now, inc)
+	e.core.GuardDisconnected(e.sim.clock.now, inc)
 	e.applyActions()
 }
 
@@ -86,8 +86,8 @@
 		e.handleFenceReport(from, f.FenceReport)
 	case f.Collected != nil:
 		e.handleCollected(f.Collected)
-	case f.Goodbye != nil:
-		e.core.GuardLeaving(now, from)
+	case f.StopNotice != nil:
+		e.core.GuardDraining(now, from)
 	}
 	e.applyActions()
 }
--- a/internal/replay/faults.go
+++ b/internal/replay/faults.go
@@ -89,7 +89,7 @@
 	case OpDrain:
 		g.do(func() { g.ledger.Drain(now, "planned stop"); g.applyActions() })
 	case OpUnhealthy, OpHealthy:
-		g.do(func() { g.ledger.Health(now, ev.Op == OpHealthy); g.applyActions() })
+		g.do(func() { g.ledger.SetHealthy(now, ev.Op == OpHealthy); g.applyActions() })
 	case OpFailing:
 		g.isFailing, g.failingSince = true, now
 		if g.sim.counters.firstFailureAt.IsZero() {
--- a/internal/replay/guard.go
+++ b/internal/replay/guard.go
@@ -34,7 +34,7 @@
 	g.start()
 	g.incarnation = identity.Incarnation(fmt.Sprintf("%s-%d", g.config.Name, g.generation))
 	g.ledger = ledger.New(g.sim.clock.now, ledger.Options{Slots: g.config.Slots})
-	g.ledger.Health(g.sim.clock.now, true)
+	g.ledger.SetHealthy(g.sim.clock.now, true)
 	g.nextTick = time.Time{}
 	for _, l := range g.links {
 		l.dial()
@@ -116,7 +116,7 @@
 	result.RunMs = runDuration.Milliseconds()
 	g.sim.counters.recordRun(g, g.sim.clock.now, runDuration)
 	g.sim.clock.after(runDuration, g.inGeneration(func() {
-		g.ledger.Finished(g.sim.clock.now, result)
+		g.ledger.FinishTask(g.sim.clock.now, result)
 		g.applyActions()
 	}))
 }
--- a/internal/replay/ideal.go
+++ b/internal/replay/ideal.go
@@ -23,7 +23,7 @@
 // of large ones.
 func idealFairResponseTimes(jobs []Event, slots int) map[string]time.Duration {
 	return simulateCentralQueue(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
-		spacing := sched.Spacing(j.req.Deadline, len(j.req.Tasks))
+		spacing := sched.TaskSpacing(j.req.Deadline, len(j.req.Tasks))
 		for i := range j.req.Tasks {
 			due := int64(j.arrivedAt + time.Duration(i)*spacing)
 			q.Push(j.req.Team, 1, sched.Item[centralTask]{Value: centralTask{j, i}, Due: due})
--- a/internal/replay/link.go
+++ b/internal/replay/link.go
@@ -10,7 +10,7 @@
 const (
 	// linkTimeout is the time without messages after which the link to a peer is
 	// closed. Package wire detects a peer that does not respond to work much
-	// sooner, within wire.NoticeWithin; the outcomes stated in the traces hold for
+	// sooner, within wire.FailureDetectionTime; the outcomes stated in the traces hold for
 	// this longer timeout.
 	linkTimeout    = 20 * time.Second
 	redialInterval = 100 * time.Millisecond
--- a/internal/replay/main.go
+++ b/internal/replay/main.go
@@ -36,9 +36,9 @@
 	return out, nil
 }
 
-// Main replays trace files, writes the reports as a table or as JSON, and returns
+// RunFiles replays trace files, writes the reports as a table or as JSON, and returns
 // ErrUnmet if any replay violated an invariant or did not meet a stated outcome.
-func Main(out io.Writer, paths []string, seed uint64, asJSON bool) error {
+func RunFiles(out io.Writer, paths []string, seed uint64, asJSON bool) error {
 	traces, err := LoadFiles(paths)
 	if err != nil {
 		return err
--- a/internal/replay/parse.go
+++ b/internal/replay/parse.go
@@ -71,13 +71,13 @@
 	return w.readSettings(map[string]settingReader{
 		"weighting": func(w *words) error {
 			s, err := w.next()
-			p.Weighting = dispatch.WeighResponse
-			if s == dispatch.WeighMessages.String() {
-				p.Weighting = dispatch.WeighMessages
+			p.Weighting = dispatch.PreferResponseTime
+			if s == dispatch.PreferFewMessages.String() {
+				p.Weighting = dispatch.PreferFewMessages
 			}
 			return err
 		},
-		"grace": intoDuration(&p.Grace), "max-queued": intoInt(&p.MaxQueued), "retry-ratio": intoFloat(&p.RetryRatio),
+		"grace": intoDuration(&p.GracePeriod), "max-queued": intoInt(&p.MaxQueued), "retry-ratio": intoFloat(&p.RetryRatio),
 	})
 }
 
--- a/internal/replay/parse_event.go
+++ b/internal/replay/parse_event.go
@@ -148,24 +148,24 @@
 // readExpected reads the stated outcome of a submission: error kinds, "ok" or
 // "lost", separated by "|".
 func readExpected(w *words, ev *Event) error {
-	ev.Want = &Want{AnyRan: true}
+	ev.ExpectedOutcome = &ExpectedOutcome{AnyRan: true}
 	kinds, err := w.next()
 	if err != nil {
 		return err
 	}
 	for _, name := range strings.Split(kinds, "|") {
 		if name == outcomeLost {
-			ev.Want.Lost = true
+			ev.ExpectedOutcome.ConnectionLost = true
 			continue
 		}
 		k, ok := parseKind(name)
 		if !ok {
 			return fmt.Errorf("unknown outcome %q", name)
 		}
-		ev.Want.Kinds = append(ev.Want.Kinds, k)
+		ev.ExpectedOutcome.Kinds = append(ev.ExpectedOutcome.Kinds, k)
 	}
 	return w.readSettings(map[string]settingReader{
-		"before": intoDuration(&ev.Want.Before),
+		"before": intoDuration(&ev.ExpectedOutcome.Before),
 		"ran": func(w *words) error {
 			s, err := w.next()
 			if err != nil {
@@ -173,7 +173,7 @@
 			}
 			for _, r := range []errkind.Ran{errkind.RanUnknown, errkind.RanNo, errkind.RanYes} {
 				if r.String() == s {
-					ev.Want.Ran, ev.Want.AnyRan = r, false
+					ev.ExpectedOutcome.Ran, ev.ExpectedOutcome.AnyRan = r, false
 					return nil
 				}
 			}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -71,7 +71,7 @@
 	files := traceFiles(t)
 	for range 2 {
 		var out bytes.Buffer
-		err := Main(&out, files, testSeed, true)
+		err := RunFiles(&out, files, testSeed, true)
 		qt.Assert(t, err, qt.IsNil)
 		if first == "" {
 			first = out.String()
@@ -164,7 +164,7 @@
 func TestUnmetOutcomeReturnsError(t *testing.T) {
 	trace, err := Parse("x", strings.NewReader("service a/b\nentry e1 domain a\nat 1s submit j to e1 tasks 10ms expect ok\nworker w1 domain a"))
 	qt.Assert(t, err, qt.IsNil)
-	trace.Events[0].Want.Before = time.Millisecond
+	trace.Events[0].ExpectedOutcome.Before = time.Millisecond
 	r, err := Run(trace, Options{})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.Unmet, qt.HasLen, 1)
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -116,9 +116,9 @@
 }
 
 // accepts reports whether the outcome is one of the expected ones.
-func (w *Want) accepts(kind errkind.Kind, lost bool) bool {
+func (w *ExpectedOutcome) accepts(kind errkind.Kind, lost bool) bool {
 	if lost {
-		return w.Lost
+		return w.ConnectionLost
 	}
 	return slices.Contains(w.Kinds, kind)
 }
--- a/internal/replay/scenario.go
+++ b/internal/replay/scenario.go
@@ -41,9 +41,9 @@
 // The two present deployments, with the figures of the requirements.
 var (
 	Ayni = Site{"ayni/reserva", []string{"callao-a", "callao-b", "surco", "ate"},
-		500 * time.Microsecond, dispatch.WeighResponse}
+		500 * time.Microsecond, dispatch.PreferResponseTime}
 	Leeuwin = Site{"leeuwin/clubcast", []string{"fremantle", "rottnest", "mandurah", "geographe"},
-		1400 * time.Microsecond, dispatch.WeighMessages}
+		1400 * time.Microsecond, dispatch.PreferFewMessages}
 )
 
 // newTrace returns a trace with the topology of the site: three workers per rack,
--- a/internal/replay/takeover.go
+++ b/internal/replay/takeover.go
@@ -41,7 +41,7 @@
 	for _, g := range e.sim.guards {
 		if l := e.links[g.incarnation]; l != nil && l.isUp {
 			t.fencedGuards = append(t.fencedGuards, g.incarnation)
-			l.sendToGuard(&wire.Frame{Fence: &wire.Fence{Gone: t.deadHome}})
+			l.sendToGuard(&wire.Frame{Fence: &wire.Fence{FencedEntry: t.deadHome}})
 		}
 	}
 	if len(t.fencedGuards) == 0 {
@@ -53,7 +53,7 @@
 // handleFenceReport stores the report of a guard. When all guards have reported,
 // it answers the waiting calls.
 func (e *entry) handleFenceReport(from identity.Incarnation, r *wire.FenceReport) {
-	t := e.takeovers[r.Gone]
+	t := e.takeovers[r.FencedEntry]
 	if t == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 	}
 	t.calls = nil
 	if len(t.collections) == 0 {
-		delete(e.takeovers, r.Gone)
+		delete(e.takeovers, r.FencedEntry)
 	}
 }
 
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,5 +1,5 @@
 // Package replay runs traces in a discrete-event simulation of the production
-// decision code: a dispatch.Core for each entry and a ledger.Ledger for each
+// decision code: a dispatch.Dispatcher for each entry and a ledger.Ledger for each
 // guard, with a simulated clock and delayed messages between them. It checks the
 // invariants that hold in every replay and the outcome that the trace states for
 // each request, and compares response times with an ideal.
@@ -82,14 +82,14 @@
 
 // Event is an operation at a time of the trace.
 type Event struct {
-	At         time.Duration
-	Op         Op
-	Target     string // process, worker or job
-	Other      string // second process, or the entry that the request is sent to
-	SlowFactor float64
-	Request    *Request
-	Want       *Want
-	Policy     *dispatch.Policy
+	At              time.Duration
+	Op              Op
+	Target          string // process, worker or job
+	Other           string // second process, or the entry that the request is sent to
+	SlowFactor      float64
+	Request         *Request
+	ExpectedOutcome *ExpectedOutcome
+	Policy          *dispatch.Policy
 }
 
 // Request is the content of a submission.
@@ -102,15 +102,15 @@
 	Tasks    []time.Duration
 }
 
-// Want is the outcome that a trace states for a submission. Ran is checked unless
+// ExpectedOutcome is the outcome that a trace states for a submission. Ran is checked unless
 // AnyRan is set. Before is the maximum time from the submission to the answer; 0
 // is no limit.
-type Want struct {
-	Kinds  []errkind.Kind // any of these is accepted; None is a complete answer
-	Lost   bool           // a connection that is lost with its entry is accepted
-	Ran    errkind.Ran
-	AnyRan bool
-	Before time.Duration
+type ExpectedOutcome struct {
+	Kinds          []errkind.Kind // any of these is accepted; None is a complete answer
+	ConnectionLost bool           // a connection that is lost with its entry is accepted
+	Ran            errkind.Ran
+	AnyRan         bool
+	Before         time.Duration
 }
 
 // Limit is a minimum or maximum for one measure of the replay.
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -66,7 +66,7 @@
 type call struct {
 	job              *jobState
 	entry            *entry
-	expected         *Want
+	expected         *ExpectedOutcome
 	sentAt           time.Time
 	forwardDelay     time.Duration // additional delay of the answer to a forwarded request
 	answerCount      int
@@ -169,7 +169,7 @@
 // submit sends the request of a caller to an available entry.
 func (sim *simulation) submit(ev *Event) {
 	e := sim.availableEntry(ev.Other)
-	c := &call{expected: ev.Want, sentAt: sim.clock.now, entry: e, isMeasured: sim.isInWindow(ev.At)}
+	c := &call{expected: ev.ExpectedOutcome, sentAt: sim.clock.now, entry: e, isMeasured: sim.isInWindow(ev.At)}
 	sim.calls = append(sim.calls, c)
 	c.job = sim.jobs[ev.Target]
 	if c.job == nil {
--- a/internal/roster/append.go
+++ b/internal/roster/append.go
@@ -71,7 +71,7 @@
 // recovers; started during an outage, it would turn the mere wish to add or remove a
 // member into refusals of all plain identities.
 func (m *Machine) appendVersion(now time.Time, next Version) {
-	if now.Sub(m.answered) >= m.opt.Retry {
+	if now.Sub(m.answered) >= m.opt.StoreRetryDelay {
 		m.requestRead(now)
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // newCeilingMs returns the ceiling to write at now, in Unix milliseconds.
-func (m *Machine) newCeilingMs(now time.Time) int64 { return now.Add(m.opt.Lead).UnixMilli() }
+func (m *Machine) newCeilingMs(now time.Time) int64 { return now.Add(m.opt.CeilingLead).UnixMilli() }
 
 // proposeAsMember appends a version if the members should change, or else raises the
 // ceiling if that is due. A resigned entry does neither.
@@ -162,7 +162,7 @@
 
 // raiseCeiling extends the time up to which members may promise without the store.
 func (m *Machine) raiseCeiling(now time.Time, last Version) {
-	due := time.UnixMilli(last.CeilingMs).Add(m.opt.Renew - m.opt.Lead).Add(m.rankDelay(last))
+	due := time.UnixMilli(last.CeilingMs).Add(m.opt.CeilingRenewAge - m.opt.CeilingLead).Add(m.rankDelay(last))
 	if now.Before(due) || m.isLeaving {
 		return
 	}
@@ -195,7 +195,7 @@
 	for _, e := range last.Members {
 		since, isSuspected := m.suspectedSince[e.Incarnation]
 		isGone := m.undeclaredGone[e.Incarnation] || m.IsDeclaredGone(e.Incarnation)
-		if !isSuspected || !isGone || now.Before(since.Add(m.opt.Takeover)) {
+		if !isSuspected || !isGone || now.Before(since.Add(m.opt.TakeoverDelay)) {
 			return false
 		}
 	}
--- a/internal/roster/exhaustive_test.go
+++ b/internal/roster/exhaustive_test.go
@@ -31,9 +31,9 @@
 )
 
 var worldOptions = Options{
-	Period: time.Second, Horizon: 2 * time.Second, JoinLead: 2 * time.Second,
-	Lead: 6 * time.Second, Renew: 2 * time.Second, Retry: time.Second,
-	Takeover: time.Second, RankDelay: time.Millisecond, Retention: time.Hour,
+	PromiseInterval: time.Second, PromiseLead: 2 * time.Second, JoinLead: 2 * time.Second,
+	CeilingLead: 6 * time.Second, CeilingRenewAge: 2 * time.Second, StoreRetryDelay: time.Second,
+	TakeoverDelay: time.Second, RankDelay: time.Millisecond, Retention: time.Hour,
 }
 
 // mutation is a deliberate violation of the rules that the search must detect.
@@ -95,7 +95,7 @@
 	w := &world{mutation: mut, now: epoch}
 	value, err := History{Versions: []Version{{
 		Version: 1, FromMs: epoch.UnixMilli(), Members: []wire.EntryAddr{addr("a"), addr("b")},
-		CeilingMs: epoch.Add(worldOptions.Lead).UnixMilli(),
+		CeilingMs: epoch.Add(worldOptions.CeilingLead).UnixMilli(),
 	}}}.Encode()
 	qt.Assert(t, err, qt.IsNil)
 	w.storeHistory = []storeValue{{value, 1}}
@@ -188,7 +188,7 @@
 		case a.Announce != nil && !dropMessages:
 			w.sendVersions(i, a.Announce)
 		case a.Join != nil && !dropMessages:
-			w.deliverTo(a.Join.To, func(o *Machine, now time.Time) { o.JoinAsked(now, a.Join.Ask) })
+			w.deliverTo(a.Join.To, func(o *Machine, now time.Time) { o.HandleJoin(now, a.Join.Request) })
 		}
 	}
 }
@@ -209,7 +209,7 @@
 		if j != i && (a.To == "" || a.To == name) {
 			w.deliverTo(name, func(o *Machine, now time.Time) {
 				for _, r := range a.Versions {
-					o.Learned(now, r)
+					o.HandleRoster(now, r)
 				}
 			})
 		}
@@ -241,7 +241,7 @@
 	if stale && len(w.storeHistory) > 1 {
 		v = w.storeHistory[len(w.storeHistory)-2]
 	}
-	_ = w.machines[i].Stored(w.clock(i), v.value, v.revision)
+	_ = w.machines[i].HandleStoreValue(w.clock(i), v.value, v.revision)
 }
 
 // tick advances the time by tickInterval and calls Tick on entry i.
@@ -278,7 +278,7 @@
 		a.id = m.pending.swap.ID
 	}
 	if !w.crashed[a.to] {
-		m.Swapped(w.clock(a.to), a.id, a.outcome, a.revision)
+		m.HandleSwapResult(w.clock(a.to), a.id, a.outcome, a.revision)
 	}
 }
 
@@ -288,7 +288,7 @@
 	r.answered = true
 	w.requests = append(w.requests[1:], r)
 	if !w.crashed[r.from] {
-		w.machines[r.from].Swapped(w.clock(r.from), r.swap.ID, OutcomeUnknown, 0)
+		w.machines[r.from].HandleSwapResult(w.clock(r.from), r.swap.ID, OutcomeUnknown, 0)
 	}
 }
 
@@ -328,7 +328,7 @@
 	}
 	for j := range 2 {
 		if i != j && !w.machines[i].undeclaredGone[entryNames[j]] {
-			out = append(out, func(w *world) { w.machines[i].Gone(w.clock(i), entryNames[j]); w.runActions(i, true) })
+			out = append(out, func(w *world) { w.machines[i].ReportGone(w.clock(i), entryNames[j]); w.runActions(i, true) })
 		}
 	}
 	return out
@@ -404,16 +404,16 @@
 	"start": nil,
 	"append in flight": {
 		func(w *world) { w.tick(0, false) }, func(w *world) { w.tick(1, false) },
-		func(w *world) { w.readStore(0, false); w.machines[0].Gone(w.now, "b"); w.runActions(0, true) },
+		func(w *world) { w.readStore(0, false); w.machines[0].ReportGone(w.now, "b"); w.runActions(0, true) },
 	},
 	"append executed, answer lost": {
 		func(w *world) { w.tick(0, false) }, func(w *world) { w.tick(1, false) },
-		func(w *world) { w.readStore(0, false); w.machines[0].Gone(w.now, "b"); w.runActions(0, true) },
+		func(w *world) { w.readStore(0, false); w.machines[0].ReportGone(w.now, "b"); w.runActions(0, true) },
 		func(w *world) { w.executeSwap(true); w.deliverAnswer() },
 	},
 	"non-member considers both members gone": {
 		func(w *world) { w.tick(0, false) }, func(w *world) { w.tick(1, false) },
-		func(w *world) { w.machines[2].Gone(w.now, "a"); w.machines[2].Gone(w.now, "b") },
+		func(w *world) { w.machines[2].ReportGone(w.now, "a"); w.machines[2].ReportGone(w.now, "b") },
 		func(w *world) { w.tick(2, true) }, func(w *world) { w.readStore(2, false); w.runActions(2, true) },
 	},
 }
--- a/internal/roster/machine.go
+++ b/internal/roster/machine.go
@@ -84,10 +84,10 @@
 	return out
 }
 
-// Stored processes the store's value as read or watched; an absent key has revision 0
+// HandleStoreValue processes the store's value as read or watched; an absent key has revision 0
 // and no value. A value no newer than one seen before is ignored, since the store may
 // return stale data. It returns the error of DecodeHistory.
-func (m *Machine) Stored(now time.Time, value []byte, revision int64) error {
+func (m *Machine) HandleStoreValue(now time.Time, value []byte, revision int64) error {
 	m.answered = now
 	if m.hasReadStore && revision <= m.revision {
 		m.Tick(now)
@@ -135,8 +135,8 @@
 	}
 }
 
-// Learned processes a version received from a peer.
-func (m *Machine) Learned(now time.Time, r *wire.Roster) {
+// HandleRoster processes a version received from a peer.
+func (m *Machine) HandleRoster(now time.Time, r *wire.Roster) {
 	m.mergeVersion(now, versionFromMessage(r))
 	m.Tick(now)
 }
@@ -227,16 +227,16 @@
 	}
 }
 
-// Linked sends the known versions to a newly linked peer, so that an entry that was
+// HandleLinkUp sends the known versions to a newly linked peer, so that an entry that was
 // cut off, or that cannot reach the store, catches up.
-func (m *Machine) Linked(now time.Time, peer identity.Incarnation) {
+func (m *Machine) HandleLinkUp(now time.Time, peer identity.Incarnation) {
 	m.announceVersionsAfter(peer, math.MinInt64)
 	m.nextPromise = time.Time{}
 	m.Tick(now)
 }
 
-// JoinAsked processes a peer's request to become a member.
-func (m *Machine) JoinAsked(now time.Time, j *wire.Join) {
+// HandleJoin processes a peer's request to become a member.
+func (m *Machine) HandleJoin(now time.Time, j *wire.Join) {
 	if last, ok := m.last(); ok && !last.Has(j.Entry.Incarnation) && !m.IsDeclaredGone(j.Entry.Incarnation) {
 		m.joinRequests[j.Entry.Incarnation] = j.Entry
 	}
@@ -253,16 +253,16 @@
 	m.Tick(now)
 }
 
-// Trust clears a suspicion, and a Gone that no version has declared yet.
-func (m *Machine) Trust(now time.Time, peer identity.Incarnation) {
+// ClearSuspicion clears a suspicion, and a Gone that no version has declared yet.
+func (m *Machine) ClearSuspicion(now time.Time, peer identity.Incarnation) {
 	delete(m.suspectedSince, peer)
 	delete(m.undeclaredGone, peer)
 	m.Tick(now)
 }
 
-// Gone records that a peer's lease has expired and its link is down. The next version
+// ReportGone records that a peer's lease has expired and its link is down. The next version
 // declares it gone for good.
-func (m *Machine) Gone(now time.Time, peer identity.Incarnation) {
+func (m *Machine) ReportGone(now time.Time, peer identity.Incarnation) {
 	if !m.IsDeclaredGone(peer) {
 		m.undeclaredGone[peer] = true
 	}
@@ -294,11 +294,11 @@
 	return ok && !last.Has(m.self.Incarnation) && last.FromMs <= now.UnixMilli()
 }
 
-// Swapped processes the outcome of the Swap action id. A watch often delivers the
+// HandleSwapResult processes the outcome of the Swap action id. A watch often delivers the
 // effect of a write before the write's own answer arrives, and by then the next write
 // may be in flight. If the late answer were attributed to that write, this entry
 // would adopt a roster that the store does not hold.
-func (m *Machine) Swapped(now time.Time, id uint64, outcome Outcome, revision int64) {
+func (m *Machine) HandleSwapResult(now time.Time, id uint64, outcome Outcome, revision int64) {
 	p := m.pending
 	if p == nil || !p.isInFlight || p.swap.ID != id {
 		return
@@ -315,11 +315,11 @@
 		// Either another value was written or an unanswered attempt of this entry has
 		// succeeded; the stored value tells which. The promises stay limited until it
 		// is read.
-		p.nextAttempt = now.Add(m.opt.Retry)
+		p.nextAttempt = now.Add(m.opt.StoreRetryDelay)
 		m.nextRead = time.Time{}
 		m.requestRead(now)
 	case OutcomeUnknown:
-		p.nextAttempt = now.Add(m.opt.Retry)
+		p.nextAttempt = now.Add(m.opt.StoreRetryDelay)
 	}
 	m.Tick(now)
 }
@@ -346,7 +346,7 @@
 	if now.Before(m.nextRead) {
 		return
 	}
-	m.nextRead = now.Add(m.opt.Retry)
+	m.nextRead = now.Add(m.opt.StoreRetryDelay)
 	m.actions = append(m.actions, Action{Read: true})
 }
 
--- a/internal/roster/machine_test.go
+++ b/internal/roster/machine_test.go
@@ -66,16 +66,16 @@
 	b.order = append(b.order, inc)
 	for _, other := range b.order {
 		if other != inc && !b.unreachable[other] {
-			b.machines[other].Linked(b.now, inc)
-			m.Linked(b.now, other)
+			b.machines[other].HandleLinkUp(b.now, inc)
+			m.HandleLinkUp(b.now, other)
 		}
 	}
 	return m
 }
 
-// run advances the clock by d in steps of a quarter of DefaultPeriod.
+// run advances the clock by d in steps of a quarter of DefaultPromiseInterval.
 func (b *cluster) run(d time.Duration) {
-	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(DefaultPeriod / 4) {
+	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(DefaultPromiseInterval / 4) {
 		for _, inc := range b.order {
 			if !b.unreachable[inc] {
 				b.machines[inc].Tick(b.now)
@@ -93,9 +93,9 @@
 		case a.Announce != nil:
 			b.announce(from, a.Announce)
 		case a.Join != nil && !b.unreachable[a.Join.To]:
-			b.machines[a.Join.To].JoinAsked(b.now, a.Join.Ask)
+			b.machines[a.Join.To].HandleJoin(b.now, a.Join.Request)
 		case a.Read && !b.isStoreDown:
-			b.c.Assert(b.machines[from].Stored(b.now, b.value, b.revision), qt.IsNil)
+			b.c.Assert(b.machines[from].HandleStoreValue(b.now, b.value, b.revision), qt.IsNil)
 		case a.Swap != nil:
 			b.swap(from, a.Swap)
 		}
@@ -113,7 +113,7 @@
 func (b *cluster) announce(from identity.Incarnation, a *Announce) {
 	send := func(m *Machine) {
 		for _, r := range a.Versions {
-			m.Learned(b.now, r)
+			m.HandleRoster(b.now, r)
 		}
 	}
 	if a.To == "" {
@@ -127,17 +127,17 @@
 	m := b.machines[from]
 	switch {
 	case b.isStoreDown:
-		m.Swapped(b.now, s.ID, OutcomeUnknown, 0)
+		m.HandleSwapResult(b.now, s.ID, OutcomeUnknown, 0)
 	case s.Expect != b.revision:
-		m.Swapped(b.now, s.ID, OutcomeConflict, 0)
+		m.HandleSwapResult(b.now, s.ID, OutcomeConflict, 0)
 	default:
 		b.value, b.revision = s.Value, b.revision+1
 		b.writes++
 		if b.loseSwapAnswer != nil && b.loseSwapAnswer(from) {
-			m.Swapped(b.now, s.ID, OutcomeUnknown, 0)
+			m.HandleSwapResult(b.now, s.ID, OutcomeUnknown, 0)
 			return
 		}
-		m.Swapped(b.now, s.ID, OutcomeDone, b.revision)
+		m.HandleSwapResult(b.now, s.ID, OutcomeDone, b.revision)
 	}
 }
 
@@ -169,7 +169,7 @@
 	b := newCluster(t)
 	for i := range 3 {
 		b.add(identity.Incarnation(fmt.Sprintf("entry-%d", i)))
-		b.run(DefaultPeriod)
+		b.run(DefaultPromiseInterval)
 	}
 	b.run(DefaultJoinLead + 10*time.Second)
 	return b
@@ -203,15 +203,15 @@
 func TestCrashedMemberIsRemovedFromRoster(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	b.unreachable["entry-1"] = true
-	b.run(DefaultHorizon + time.Second)
+	b.run(DefaultPromiseLead + time.Second)
 	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 0)
-	b.machines["entry-0"].Gone(b.now, "entry-1")
-	b.machines["entry-2"].Gone(b.now, "entry-1")
+	b.machines["entry-0"].ReportGone(b.now, "entry-1")
+	b.machines["entry-2"].ReportGone(b.now, "entry-1")
 	b.run(2 * time.Second)
 	// Births before the new roster that the crashed entry owns stay refused.
 	beforeNewRoster := b.countStarters(b.now, 300)
 	b.c.Assert(total(beforeNewRoster) > 150 && total(beforeNewRoster) < 300, qt.IsTrue)
-	b.run(DefaultHorizon)
+	b.run(DefaultPromiseLead)
 	got := b.countStarters(b.now, 300)
 	b.c.Assert(total(got), qt.Equals, 300)
 	b.c.Assert(got["entry-1"], qt.Equals, 0)
@@ -223,9 +223,9 @@
 func TestStoreOutageIsToleratedUpToCeiling(t *testing.T) {
 	b := newThreeEntryCluster(t)
 	b.isStoreDown = true
-	b.run(DefaultLead - DefaultRenew - time.Minute)
+	b.run(DefaultCeilingLead - DefaultCeilingRenewAge - time.Minute)
 	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
-	b.run(2*DefaultRenew + time.Minute)
+	b.run(2*DefaultCeilingRenewAge + time.Minute)
 	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 0)
 	b.isStoreDown = false
 	b.run(10 * time.Second)
@@ -244,7 +244,7 @@
 	h, err := DecodeHistory(b.value)
 	b.c.Assert(err, qt.IsNil)
 	from := h.Versions[len(h.Versions)-1].FromMs
-	b.run(DefaultJoinLead + DefaultHorizon)
+	b.run(DefaultJoinLead + DefaultPromiseLead)
 	for _, inc := range b.order[:3] {
 		b.c.Assert(b.machines[inc].View().HorizonMs() <= from, qt.IsTrue)
 	}
@@ -266,11 +266,11 @@
 		CeilingMs: epoch.Add(time.Hour).UnixMilli(),
 	}}}.Encode()
 	c.Assert(err, qt.IsNil)
-	c.Assert(m.Stored(epoch, old, 7), qt.IsNil)
-	m.Gone(epoch, "b")
+	c.Assert(m.HandleStoreValue(epoch, old, 7), qt.IsNil)
+	m.ReportGone(epoch, "b")
 	promiseLimitMs := m.pending.promiseLimitMs
-	m.Swapped(epoch.Add(time.Second), m.pending.swap.ID, OutcomeUnknown, 0)
-	c.Assert(m.Stored(epoch.Add(2*time.Second), old, 7), qt.IsNil)
+	m.HandleSwapResult(epoch.Add(time.Second), m.pending.swap.ID, OutcomeUnknown, 0)
+	c.Assert(m.HandleStoreValue(epoch.Add(2*time.Second), old, 7), qt.IsNil)
 	m.Tick(epoch.Add(time.Minute))
 	c.Assert(m.ownPromiseMs <= promiseLimitMs, qt.IsTrue)
 }
@@ -287,9 +287,9 @@
 	}
 	e := b.add("entry-9")
 	for _, inc := range b.order[:3] {
-		e.Gone(b.now, inc)
+		e.ReportGone(b.now, inc)
 	}
-	b.run(DefaultTakeover + 2*time.Second)
+	b.run(DefaultTakeoverDelay + 2*time.Second)
 	last, _ := e.View().Last()
 	b.c.Assert(last.Members, qt.DeepEquals, []wire.EntryAddr{addr("entry-9")})
 	b.c.Assert(last.FromMs, qt.Equals, ceiling.CeilingMs)
@@ -306,7 +306,7 @@
 	for _, inc := range b.order {
 		b.machines[inc].Leave(b.now)
 	}
-	b.run(DefaultHorizon + 5*time.Second)
+	b.run(DefaultPromiseLead + 5*time.Second)
 	for _, inc := range b.order {
 		b.c.Assert(b.machines[inc].HasLeft(b.now), qt.IsTrue, qt.Commentf("%s", inc))
 		b.unreachable[inc] = true
@@ -364,8 +364,8 @@
 	b := newThreeEntryCluster(t)
 	b.unreachable["entry-1"] = true
 	b.run(3 * time.Second)
-	b.machines["entry-0"].Gone(b.now, "entry-1")
-	b.machines["entry-2"].Gone(b.now, "entry-1")
+	b.machines["entry-0"].ReportGone(b.now, "entry-1")
+	b.machines["entry-2"].ReportGone(b.now, "entry-1")
 	b.run(10 * time.Second)
 	b.countStarters(b.now, 1000) // no key may have two starters while the paused entry is still uninformed
 	b.unreachable["entry-1"] = false
@@ -392,7 +392,7 @@
 	f.Add([]byte(`{"versions":[{"version":9223372036854775807},{"version":-9223372036854775808}]}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		m := NewMachine(addr("a"), Options{})
-		if m.Stored(epoch, value, 1) != nil {
+		if m.HandleStoreValue(epoch, value, 1) != nil {
 			qt.Assert(t, m.View().Versions(), qt.HasLen, 0)
 			return
 		}
--- a/internal/roster/promise.go
+++ b/internal/roster/promise.go
@@ -14,7 +14,7 @@
 	if !ok || m.isFenced || now.Before(m.nextPromise) || !last.Has(m.self.Incarnation) {
 		return
 	}
-	m.nextPromise = now.Add(m.opt.Period)
+	m.nextPromise = now.Add(m.opt.PromiseInterval)
 	untilMs := m.maxPromiseMs(now, last)
 	if m.canResign(last) {
 		untilMs = resignedPromiseMs
@@ -44,7 +44,7 @@
 // entry outside the roster may append, and from the beginning of an unsettled append
 // on, births may have another owner.
 func (m *Machine) maxPromiseMs(now time.Time, last Version) int64 {
-	untilMs := min(now.Add(m.opt.Horizon).UnixMilli(), last.CeilingMs)
+	untilMs := min(now.Add(m.opt.PromiseLead).UnixMilli(), last.CeilingMs)
 	if m.pending != nil {
 		untilMs = min(untilMs, m.pending.promiseLimitMs)
 	}
@@ -118,10 +118,10 @@
 	if len(candidates) < len(last.Members) {
 		return // an unreachable member would never receive this entry's promises
 	}
-	m.nextJoin = now.Add(joinRetryMultiplier * m.opt.Retry)
+	m.nextJoin = now.Add(joinRetryMultiplier * m.opt.StoreRetryDelay)
 	m.joinAttempts++
 	request := &wire.Join{Entry: m.self}
-	m.actions = append(m.actions, Action{Join: &Join{To: candidates[m.joinAttempts%len(candidates)], Ask: request}})
+	m.actions = append(m.actions, Action{Join: &Join{To: candidates[m.joinAttempts%len(candidates)], Request: request}})
 }
 
 // unsuspectedMembers returns the members that are not suspected, sorted.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -36,31 +36,31 @@
 
 // Defaults of Options, and internal limits.
 const (
-	DefaultPeriod       = time.Second
-	DefaultHorizon      = 5 * time.Second
-	DefaultJoinLead     = 20 * time.Second
-	DefaultLead         = time.Hour
-	DefaultRenew        = 5 * time.Minute
-	DefaultRetry        = time.Second
-	DefaultTakeover     = 10 * time.Second
-	DefaultRankDelay    = 500 * time.Millisecond
-	DefaultRetention    = time.Hour
-	maxVersions         = 256
-	retryAfter          = time.Second
-	maxEstimatedWait    = time.Minute
-	resignedPromiseMs   = int64(math.MaxInt64) // a promise never to append again
-	noPromiseLimit      = int64(math.MaxInt64) // of a swap that only raises the ceiling
-	joinRetryMultiplier = 3                    // in units of Options.Retry: delay before another member is asked
+	DefaultPromiseInterval = time.Second
+	DefaultPromiseLead     = 5 * time.Second
+	DefaultJoinLead        = 20 * time.Second
+	DefaultCeilingLead     = time.Hour
+	DefaultCeilingRenewAge = 5 * time.Minute
+	DefaultStoreRetryDelay = time.Second
+	DefaultTakeoverDelay   = 10 * time.Second
+	DefaultRankDelay       = 500 * time.Millisecond
+	DefaultRetention       = time.Hour
+	maxVersions            = 256
+	retryAfter             = time.Second
+	maxEstimatedWait       = time.Minute
+	resignedPromiseMs      = int64(math.MaxInt64) // a promise never to append again
+	noPromiseLimit         = int64(math.MaxInt64) // of a swap that only raises the ceiling
+	joinRetryMultiplier    = 3                    // in units of Options.Retry: delay before another member is asked
 )
 
 // Options sets the timing of a Machine. Zero and negative fields take their defaults.
 type Options struct {
 	// Period is the interval at which a member repeats its promise.
-	Period time.Duration
+	PromiseInterval time.Duration
 	// Horizon is how far ahead of its own clock a member promises. A plain identity
 	// born further ahead, by a caller whose clock is fast, has to wait. After a
 	// member fails, it takes up to Horizon until a roster without it begins.
-	Horizon time.Duration
+	PromiseLead time.Duration
 	// JoinLead is how far ahead of now a roster begins that only adds members. If the
 	// store fails before it answers the append, the appender can promise up to that
 	// beginning and no further, so a long lead bridges a short store outage.
@@ -68,14 +68,14 @@
 	// Lead is how far ahead of now the ceiling is written. Plain identities are
 	// served through a store outage of at least Lead minus Renew; after the loss of
 	// all entries at once, they are refused for at most Lead.
-	Lead time.Duration
+	CeilingLead time.Duration
 	// Renew is the age at which a member raises the ceiling. It is limited to Lead/2.
-	Renew time.Duration
+	CeilingRenewAge time.Duration
 	// Retry is the delay after a failed store call.
-	Retry time.Duration
+	StoreRetryDelay time.Duration
 	// Takeover is how long all members must have been suspected before an entry
 	// outside the roster appends a version.
-	Takeover time.Duration
+	TakeoverDelay time.Duration
 	// RankDelay is the delay per rank among the members, so that they do not all
 	// write the same change at once.
 	RankDelay time.Duration
@@ -88,16 +88,16 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&o.Period, DefaultPeriod}, {&o.Horizon, DefaultHorizon}, {&o.JoinLead, DefaultJoinLead},
-		{&o.Lead, DefaultLead}, {&o.Renew, DefaultRenew}, {&o.Retry, DefaultRetry},
-		{&o.Takeover, DefaultTakeover}, {&o.RankDelay, DefaultRankDelay}, {&o.Retention, DefaultRetention},
+		{&o.PromiseInterval, DefaultPromiseInterval}, {&o.PromiseLead, DefaultPromiseLead}, {&o.JoinLead, DefaultJoinLead},
+		{&o.CeilingLead, DefaultCeilingLead}, {&o.CeilingRenewAge, DefaultCeilingRenewAge}, {&o.StoreRetryDelay, DefaultStoreRetryDelay},
+		{&o.TakeoverDelay, DefaultTakeoverDelay}, {&o.RankDelay, DefaultRankDelay}, {&o.Retention, DefaultRetention},
 	}
 	for _, d := range defaults {
 		if *d.field <= 0 {
 			*d.field = d.value
 		}
 	}
-	o.Renew = min(o.Renew, o.Lead/2) // a ceiling with a short lead would otherwise expire before it is raised
+	o.CeilingRenewAge = min(o.CeilingRenewAge, o.CeilingLead/2) // a ceiling with a short lead would otherwise expire before it is raised
 	return o
 }
 
@@ -127,8 +127,8 @@
 
 // Join asks the member To to add this entry to the roster.
 type Join struct {
-	To  identity.Incarnation
-	Ask *wire.Join
+	To      identity.Incarnation
+	Request *wire.Join
 }
 
 // Outcome is the result of a compare-and-swap as far as the caller can tell.
--- a/internal/runs/api.go
+++ b/internal/runs/api.go
@@ -48,11 +48,11 @@
 	Domain   string // failure domain
 	Rack     string
 	Labels   []string
-	Capacity sched.Room
+	Capacity sched.Resources
 	Cold     bool // temporarily slow after a start or a drain
 	// Recalled reports whether an earlier guard received and stored the report. The
 	// capacity may have shrunk since.
-	Recalled bool `json:"-"`
+	IsRecalled bool `json:"-"`
 }
 
 // Upper limits of a plausible capacity.
@@ -96,35 +96,35 @@
 // Start requests that the worker start a run. Pass the answer to Machine.Started.
 type Start struct {
 	Lease
-	Key      Key
-	Text     string        // description of the job's tasks, for the worker
-	AnswerIn time.Duration // timeout
+	Key     Key
+	Text    string        // description of the job's tasks, for the worker
+	Timeout time.Duration // timeout
 }
 
 // Fetch requests the text of a job from another guard. Pass the answer to
 // Machine.Fetched.
 type Fetch struct {
-	From     identity.Incarnation // the entry that sent the job
-	Job      string
-	Source   string        // address of the other guard
-	AnswerIn time.Duration // timeout
+	From    identity.Incarnation // the entry that sent the job
+	Job     string
+	Source  string        // address of the other guard
+	Timeout time.Duration // timeout
 }
 
 // Stop requests that the worker end a run, or never start it. Pass the answer to
 // Machine.Stopped.
 type Stop struct {
 	Lease
-	Key      Key
-	AnswerIn time.Duration // timeout
+	Key     Key
+	Timeout time.Duration // timeout
 }
 
 // Hold is a long poll that renews the lease and requests the lists of active and ended
 // runs. Pass the answer to Machine.Held. At most one Hold is in flight at a time.
 type Hold struct {
 	Lease
-	Ack      int64         // acknowledges the ends up to this number
-	Wait     time.Duration // the worker answers when a run ends, at the latest after Wait
-	AnswerIn time.Duration // timeout, counted from the end of Wait
+	Ack     int64         // acknowledges the ends up to this number
+	Wait    time.Duration // the worker answers when a run ends, at the latest after Wait
+	Timeout time.Duration // timeout, counted from the end of Wait
 }
 
 // Send is a frame to send to an entry.
@@ -148,15 +148,15 @@
 
 // Verdicts. All except Done and NoAnswer mean that the request had no effect.
 const (
-	Done        Verdict = iota
-	NoAnswer            // the request may have been carried out, or may still be
-	NoRoom              // the worker has too little free capacity for the run
-	Outdated            // the worker has seen this run or a later one of the task
-	LeaseOver           // the lease had expired when the request arrived
-	FencedOff           // the worker has seen a greater fencing token
-	OtherWorker         // another worker instance has the address
-	Unhealthy           // the worker accepts no requests at present
-	Malformed           // the worker cannot parse the request
+	Done          Verdict = iota
+	NoAnswer              // the request may have been carried out, or may still be
+	NoRoom                // the worker has too little free capacity for the run
+	Outdated              // the worker has seen this run or a later one of the task
+	LeaseExpired          // the lease had expired when the request arrived
+	FencedOff             // the worker has seen a greater fencing token
+	WrongInstance         // another worker instance has the address
+	Unhealthy             // the worker accepts no requests at present
+	Malformed             // the worker cannot parse the request
 )
 
 // String returns the name that logs show.
@@ -170,22 +170,22 @@
 	ClockMs int64 // the worker's clock; 0 if the answer has none
 }
 
-// How is the outcome of a run at the worker.
-type How uint8
+// Outcome is the outcome of a run at the worker.
+type Outcome uint8
 
 // Outcomes of a run.
 const (
-	EndDone How = iota
+	EndDone Outcome = iota
 	EndFailed
 	EndStopped
-	EndLapsed // the lease expired
+	EndLeaseExpired // the lease expired
 )
 
 // Ended is an entry in a worker's list of ended runs.
 type Ended struct {
-	Number int64 // counts the ended runs of a worker instance
-	Key    Key
-	How    How
+	Number  int64 // counts the ended runs of a worker instance
+	Key     Key
+	Outcome Outcome
 }
 
 // Active is an entry in a worker's list of active runs.
@@ -196,17 +196,17 @@
 
 // HoldAnswer is the answer to a Hold.
 type HoldAnswer struct {
-	Verdict Verdict
-	Gone    bool // with NoAnswer: the worker's address refused the connection
-	ClockMs int64
-	Active  []Active
-	Ended   []Ended
+	Verdict       Verdict
+	IsConnRefused bool // with NoAnswer: the worker's address refused the connection
+	ClockMs       int64
+	Active        []Active
+	Ended         []Ended
 }
 
 // Options configures a Machine.
 type Options struct {
-	Timing Timing     // the zero value selects the timing for DefaultResend
-	Off    policy.Set // disabled mechanisms
+	Timing   Timing     // the zero value selects the timing for DefaultResendDelay
+	Disabled policy.Set // disabled mechanisms
 }
 
 // Timeouts, intervals and limits of the machine.
--- a/internal/runs/capacity.go
+++ b/internal/runs/capacity.go
@@ -10,7 +10,7 @@
 // applyCapacity handles a change of the capacity of a running worker. Its runs continue.
 // Offers are withdrawn, because they were based on the previous capacity. Runs that are not
 // at the worker yet are refused as long as the allocated capacity exceeds the new one.
-func (m *Machine) applyCapacity(now time.Duration, previous sched.Room) {
+func (m *Machine) applyCapacity(now time.Duration, previous sched.Resources) {
 	if m.worker.Capacity == previous {
 		return
 	}
@@ -25,4 +25,4 @@
 }
 
 // isOverCapacity reports whether the allocated capacity exceeds that of the worker.
-func (m *Machine) isOverCapacity() bool { return !m.worker.Capacity.Holds(m.allocated) }
+func (m *Machine) isOverCapacity() bool { return !m.worker.Capacity.CanFit(m.allocated) }
--- a/internal/runs/capacity_test.go
+++ b/internal/runs/capacity_test.go
@@ -15,20 +15,20 @@
 // Guards against grown capacity that stays unused until the next run ends, and against entries that place tasks by the old capacity.
 func TestCapacityChangeIsAnnouncedImmediately(t *testing.T) {
 	model := newCapacityModel(t)
-	model.sendDemand(otherEntry, wire.RunDemand{CPU: 4 * taskCPU, LeastCPU: taskCPU, UrgentCPU: taskCPU})
+	model.sendDemand(otherEntry, wire.RunDemand{CPU: 4 * taskCPU, MinCPU: taskCPU, MinUrgentCPU: taskCPU})
 	model.checkActions()
 	model.reportCapacity(20000)
 	offered := int64(0)
 	announced := make(map[identity.Incarnation]int64)
 	for _, a := range model.actions() {
-		if a.Send == nil || a.Send.Frame.GuardBeat == nil {
+		if a.Send == nil || a.Send.Frame.GuardHeartbeat == nil {
 			continue
 		}
-		if worker := a.Send.Frame.GuardBeat.Worker; worker != nil {
+		if worker := a.Send.Frame.GuardHeartbeat.Worker; worker != nil {
 			announced[a.Send.To] = worker.Capacity.CPU
 		}
 		if a.Send.To == otherEntry {
-			offered = a.Send.Frame.GuardBeat.Load.Free.CPU
+			offered = a.Send.Frame.GuardHeartbeat.Load.Free.CPU
 		}
 	}
 	model.Check(announced[testEntry], qt.Equals, int64(20000))
@@ -42,13 +42,13 @@
 	valid.Domain = "z1"
 	valid.ClockMs = 1
 	qt.Check(t, valid.Check(), qt.IsNil)
-	for _, c := range []sched.Room{{CPU: -1, MemoryMB: 1}, {CPU: 1 << 40, MemoryMB: 1}, {CPU: 1, MemoryMB: -1}, {CPU: 1, MemoryMB: 1 << 50}, {CPU: 1, MemoryMB: 1, GPUs: -1}} {
+	for _, c := range []sched.Resources{{CPU: -1, MemoryMB: 1}, {CPU: 1 << 40, MemoryMB: 1}, {CPU: 1, MemoryMB: -1}, {CPU: 1, MemoryMB: 1 << 50}, {CPU: 1, MemoryMB: 1, GPUs: -1}} {
 		rep := *valid
 		rep.Capacity = c
 		qt.Check(t, rep.Check(), qt.IsNotNil, qt.Commentf("%+v", c))
 	}
 	empty := *valid
-	empty.Capacity = sched.Room{}
+	empty.Capacity = sched.Resources{}
 	qt.Check(t, empty.Check(), qt.IsNil)
 }
 
@@ -57,8 +57,8 @@
 	r := &rig{C: qt.New(t), m: New(Options{}), now: time.Minute}
 	r.m.LinkUp(r.now, testEntry)
 	rep := r.newReport(testWorker, 0)
-	rep.Recalled = true
-	r.m.Heard(r.now, rep)
+	rep.IsRecalled = true
+	r.m.HandleReport(r.now, rep)
 	r.nextHold()
 	r.answerHold(testWorker, HoldAnswer{})
 	r.Check(r.m.Worker().Usable, qt.IsTrue)
@@ -72,10 +72,10 @@
 	r.seq++
 	r.m.Run(r.now, testEntry, &wire.RunTasks{
 		Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Text: "text", LeftMs: 5000, SelfLimiting: true,
-		Tasks: []wire.RunTask{{Index: 2, Run: 1, Need: sched.Room{CPU: 3000}}},
+		Tasks: []wire.RunTask{{Index: 2, Run: 1, Need: sched.Resources{CPU: 3000}}},
 	})
 	r.Check(groupActions(r.actions()).starts, qt.DeepEquals, []Key{key(2)})
-	r.m.Heard(r.now, r.newReport(testWorker, 1))
+	r.m.HandleReport(r.now, r.newReport(testWorker, 1))
 	r.sendTasks(r.now, 3)
 	r.Check(groupActions(r.actions()).starts, qt.DeepEquals, []Key{key(3)})
 }
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -17,7 +17,7 @@
 		r := newRig(t)
 		r.m.LinkUp(r.now, otherEntry)
 		r.seq++
-		tasks := []wire.RunTask{{Index: 1, Run: 1, Need: sched.Room{CPU: 1000}}, {Index: 2, Run: 1, Need: sched.Room{CPU: 1000}}}
+		tasks := []wire.RunTask{{Index: 1, Run: 1, Need: sched.Resources{CPU: 1000}}, {Index: 2, Run: 1, Need: sched.Resources{CPU: 1000}}}
 		if hasSuspect {
 			tasks[1].Crashes = 1
 		}
@@ -26,8 +26,8 @@
 		r.answerStart(key(2), Done)
 		r.sendTasks(r.now, 3) // its start is unanswered and may arrive after the crash
 		r.actions()
-		r.m.Heard(r.now, r.newReport("worker-2", 1)) // a new instance has registered
-		r.answerHold(testWorker, HoldAnswer{Verdict: OtherWorker})
+		r.m.HandleReport(r.now, r.newReport("worker-2", 1)) // a new instance has registered
+		r.answerHold(testWorker, HoldAnswer{Verdict: WrongInstance})
 		var crashedFlags []bool
 		reportedTasks := 0
 		for _, a := range r.actions() {
@@ -54,7 +54,7 @@
 	r := newRig(t)
 	r.seq++
 	r.m.Run(r.now, testEntry, &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", LeftMs: 5000, Tasks: []wire.RunTask{
-		{Index: 1, Run: 1, Need: sched.Room{CPU: 1000}, Crashes: 1}, {Index: 2, Run: 1, Need: sched.Room{CPU: 1000}, Crashes: 1}, {Index: 3, Run: 1, Need: sched.Room{CPU: 1000}},
+		{Index: 1, Run: 1, Need: sched.Resources{CPU: 1000}, Crashes: 1}, {Index: 2, Run: 1, Need: sched.Resources{CPU: 1000}, Crashes: 1}, {Index: 3, Run: 1, Need: sched.Resources{CPU: 1000}},
 	}})
 	got := groupActions(r.actions())
 	r.Check(got.starts, qt.DeepEquals, []Key{key(1), key(3)})
@@ -68,7 +68,7 @@
 	r := newRig(t)
 	r.seq++
 	r.m.Run(r.now, testEntry, &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", LeftMs: 5000, Tasks: []wire.RunTask{
-		{Index: 1, Run: 1, Need: sched.Room{CPU: 1000}, Crashes: crashCount, ExpectMs: 100}, {Index: 2, Run: 1, Need: sched.Room{CPU: 1000}, ExpectMs: 100},
+		{Index: 1, Run: 1, Need: sched.Resources{CPU: 1000}, Crashes: crashCount, ExpectMs: 100}, {Index: 2, Run: 1, Need: sched.Resources{CPU: 1000}, ExpectMs: 100},
 	}})
 	r.actions()
 	r.answerStart(key(2), Done)
@@ -77,7 +77,7 @@
 
 // crashWorker answers as a new instance of the worker and returns the ends of the runs.
 func (r *rig) crashWorker() []wire.RunEnd {
-	r.answerHold(testWorker, HoldAnswer{Verdict: OtherWorker})
+	r.answerHold(testWorker, HoldAnswer{Verdict: WrongInstance})
 	return groupActions(r.actions()).ends
 }
 
@@ -98,7 +98,7 @@
 	r := newCrashRig(t, 0)
 	r.answerStart(key(1), Done)
 	crashed := func(after time.Duration) []wire.RunEnd {
-		r.m.Stopped(r.now, key(9), NoAnswer, 0) // the worker is lossy from now on
+		r.m.HandleStopAnswer(r.now, key(9), NoAnswer, 0) // the worker is lossy from now on
 		r.now += after
 		r.answerHold(testWorker, HoldAnswer{Active: []Active{{Key: key(1)}, {Key: key(2)}}})
 		r.now += 10 * time.Millisecond
@@ -153,7 +153,7 @@
 	r.answerHold(testWorker, HoldAnswer{Active: []Active{{Key: key(1)}}})
 	for i := range 2 * maxUnansweredHolds {
 		r.actions()
-		r.answerHold(testWorker, HoldAnswer{Verdict: NoAnswer, Gone: i == 0})
+		r.answerHold(testWorker, HoldAnswer{Verdict: NoAnswer, IsConnRefused: i == 0})
 		r.advance(requestRetryDelay)
 	}
 	r.advance(testTiming.Lease + clockSkewMargin)
@@ -167,7 +167,7 @@
 	r := newCrashRig(t, 0)
 	r.answerStart(key(1), Done)
 	r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
-	r.m.Stopped(r.now, key(1), Done, r.clockMs())
+	r.m.HandleStopAnswer(r.now, key(1), Done, r.clockMs())
 	ends := r.crashWorker()
 	r.Assert(ends, qt.HasLen, 2)
 	for _, e := range ends {
--- a/internal/runs/drain.go
+++ b/internal/runs/drain.go
@@ -24,7 +24,7 @@
 }
 
 // Drained reports whether the failure domain of the worker is being drained.
-func (m *Machine) Drained() bool { return m.worker.ID != "" && m.drains.Has(m.worker.Domain) }
+func (m *Machine) Drained() bool { return m.worker.ID != "" && m.drains.Contains(m.worker.Domain) }
 
 func (m *Machine) beginDrain(now time.Duration) {
 	m.setUsable(now, false)
--- a/internal/runs/drain_test.go
+++ b/internal/runs/drain_test.go
@@ -15,7 +15,7 @@
 	r := newRig(t)
 	rep := r.newReport(testWorker, 2)
 	rep.Domain = "z1"
-	r.m.Heard(r.now, rep)
+	r.m.HandleReport(r.now, rep)
 	r.actions()
 	return r
 }
@@ -34,7 +34,7 @@
 	r.Check(r.m.Worker().Usable, qt.IsTrue)
 	r.setDrains(2, "z1", "z2")
 	r.Check(r.m.Worker().Usable, qt.IsFalse)
-	r.Check(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Room{})
+	r.Check(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Resources{})
 	r.Check(groupActions(r.actions()).stops, qt.HasLen, 0)
 	r.sendTasks(r.now, 2)
 	got := groupActions(r.actions())
@@ -81,7 +81,7 @@
 	r.setDrains(1, "z1")
 	rep := r.newReport("worker-2", 1)
 	rep.Domain = "z1"
-	r.m.Heard(r.now, rep)
+	r.m.HandleReport(r.now, rep)
 	r.answerHold("worker-2", HoldAnswer{})
 	r.Check(r.m.Worker().ID, qt.Equals, "worker-2")
 	r.Check(r.m.Worker().Usable, qt.IsFalse)
--- a/internal/runs/exhaustive_test.go
+++ b/internal/runs/exhaustive_test.go
@@ -55,7 +55,7 @@
 	model.rig.seq++
 	frame := &wire.RunTasks{Seq: model.rig.seq, ClockMs: model.now.Milliseconds(), Job: strings.Repeat("j", model.sentJobs), Source: source, LeftMs: 5000}
 	for i := range 2 {
-		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: taskCPU}})
+		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Resources{CPU: taskCPU}})
 	}
 	model.m.Run(model.now, from, frame)
 }
@@ -66,7 +66,7 @@
 	model.capacity = cpu
 	rep := model.newReport(testWorker, model.seq)
 	rep.Capacity.CPU = cpu
-	model.m.Heard(model.now, rep)
+	model.m.HandleReport(model.now, rep)
 }
 
 func (model *capacityModel) answerOldestStart(v Verdict) {
@@ -111,7 +111,7 @@
 	func(model *capacityModel) { // a delayed report
 		rep := model.newReport(testWorker, model.seq-1)
 		rep.Capacity.CPU = 64000
-		model.m.Heard(model.now, rep)
+		model.m.HandleReport(model.now, rep)
 	},
 	func(model *capacityModel) { model.answerOldestStart(Done) },
 	func(model *capacityModel) { model.answerOldestStart(NoAnswer) },
@@ -120,11 +120,11 @@
 	func(model *capacityModel) {
 		for job := range model.pendingTexts {
 			delete(model.pendingTexts, job)
-			model.m.Fetched(model.now, otherEntry, job, "text", true)
+			model.m.HandleFetchAnswer(model.now, otherEntry, job, "text", true)
 		}
 	},
 	func(model *capacityModel) {
-		model.sendDemand(otherEntry, wire.RunDemand{CPU: 2 * taskCPU, LeastCPU: taskCPU, UrgentCPU: taskCPU})
+		model.sendDemand(otherEntry, wire.RunDemand{CPU: 2 * taskCPU, MinCPU: taskCPU, MinUrgentCPU: taskCPU})
 	},
 	func(model *capacityModel) {
 		model.m.StopJob(model.now, testEntry, &wire.StopRuns{ClockMs: model.now.Milliseconds(), Job: "j"})
--- a/internal/runs/fetch_test.go
+++ b/internal/runs/fetch_test.go
@@ -16,7 +16,7 @@
 	r.seq++
 	frame := &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Source: "guard-2", LeftMs: 5000}
 	for _, i := range indexes {
-		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: 3000}})
+		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Resources{CPU: 3000}})
 	}
 	r.m.Run(r.now, testEntry, frame)
 }
@@ -31,7 +31,7 @@
 	return count
 }
 
-func (r *rig) answerFetch(ok bool) { r.m.Fetched(r.now, testEntry, "job", "text", ok) }
+func (r *rig) answerFetch(ok bool) { r.m.HandleFetchAnswer(r.now, testEntry, "job", "text", ok) }
 
 // Guards against fetching the text once per task, and against accepting more tasks than fit while it is fetched.
 func TestTasksStartAfterTextIsFetched(t *testing.T) {
@@ -61,14 +61,14 @@
 	got := groupActions(r.actions())
 	r.Check(got.starts, qt.HasLen, 0)
 	r.Assert(got.ends, qt.HasLen, 1)
-	r.Check(got.ends[0].NoText, qt.IsTrue)
+	r.Check(got.ends[0].TextUnavailable, qt.IsTrue)
 	r.Check(got.ends[0].Ran, qt.Equals, errkind.RanNo)
 }
 
 // Guards against starting tasks that were withdrawn while their text was fetched.
 func TestTasksWithdrawnDuringFetchAreNotStarted(t *testing.T) {
 	for name, event := range map[string]func(r *rig){
-		"the entry is silent": func(r *rig) { r.advance(testTiming.Permit + 10*time.Millisecond) },
+		"the entry is silent": func(r *rig) { r.advance(testTiming.PeerTimeout + 10*time.Millisecond) },
 		"its link is lost":    func(r *rig) { r.m.LinkDown(r.now, testEntry) },
 		"it cancels the job": func(r *rig) {
 			r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
@@ -77,9 +77,9 @@
 		"the worker is draining": func(r *rig) {
 			rep := r.newReport(testWorker, 9)
 			rep.Draining = true
-			r.m.Heard(r.now, rep)
+			r.m.HandleReport(r.now, rep)
 		},
-		"the worker terminates": func(r *rig) { r.m.Left(r.now, testWorker) },
+		"the worker terminates": func(r *rig) { r.m.HandleTermination(r.now, testWorker) },
 		"the deadline passes":   func(r *rig) { r.advance(6 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 	got := sentLoads(r.actions())
 	r.Assert(got, qt.HasLen, 1)
 	r.Check(got[0].AgeMs, qt.Equals, int64(200))
-	r.Check(got[0].Seen, qt.Equals, uint64(3))
+	r.Check(got[0].SeenSeq, qt.Equals, uint64(3))
 }
 
 // sentLoads returns the loads that are sent to entries.
@@ -121,8 +121,8 @@
 			continue
 		}
 		switch frame := a.Send.Frame; {
-		case frame.GuardBeat != nil:
-			loads = append(loads, frame.GuardBeat.Load)
+		case frame.GuardHeartbeat != nil:
+			loads = append(loads, frame.GuardHeartbeat.Load)
 		case frame.RunsEnded != nil:
 			loads = append(loads, frame.RunsEnded.Load)
 		}
--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -31,7 +31,7 @@
 
 func (m *Machine) sendHold(now time.Duration) {
 	inst := &m.instance
-	h := &Hold{Lease: m.newLease(now), Ack: inst.endCursor, AnswerIn: m.holdTimeout(now, inst.unansweredHolds)}
+	h := &Hold{Lease: m.newLease(now), Ack: inst.endCursor, Timeout: m.holdTimeout(now, inst.unansweredHolds)}
 	switch {
 	case inst.hasLeft:
 		h.UntilMs, h.Wait = 0, m.holdWait(now) // do not renew: the worker is stopping
@@ -74,12 +74,12 @@
 	inst := &m.instance
 	inst.token = max(m.candidate.ClockMs, 1)
 	inst.hasHoldInFlight, inst.holdSentAt, inst.holdWait = true, now, 0
-	h := &Hold{Lease: Lease{Worker: m.candidate.ID, Token: inst.token}, AnswerIn: m.holdTimeout(now, inst.unansweredVerifications)}
+	h := &Hold{Lease: Lease{Worker: m.candidate.ID, Token: inst.token}, Timeout: m.holdTimeout(now, inst.unansweredVerifications)}
 	m.actions = append(m.actions, Action{Hold: h})
 }
 
-// Held handles the answer to a Hold that was sent to the given worker instance.
-func (m *Machine) Held(now time.Duration, worker string, a *HoldAnswer) {
+// HandleHoldAnswer handles the answer to a Hold that was sent to the given worker instance.
+func (m *Machine) HandleHoldAnswer(now time.Duration, worker string, a *HoldAnswer) {
 	m.instance.hasHoldInFlight = false
 	m.recordAnswer(now, a.Verdict)
 	if delay := now - m.instance.holdSentAt - m.instance.holdWait; a.Verdict != NoAnswer && delay > 0 {
@@ -101,7 +101,7 @@
 		m.adoptCandidate(now, a)
 	case FencedOff:
 		m.candidate.ClockMs = a.ClockMs
-	case OtherWorker:
+	case WrongInstance:
 		m.candidate = nil
 	default:
 		m.instance.unansweredVerifications++
@@ -119,7 +119,7 @@
 		m.reconcile(now, a.Active)
 		m.setUsable(now, !inst.hasOrphans)
 		m.endDepartedInstance(now)
-	case OtherWorker:
+	case WrongInstance:
 		m.endInstance(now)
 		m.announceWorker(now)
 	case FencedOff:
@@ -128,7 +128,7 @@
 		inst.token = max(inst.token, a.ClockMs)
 		inst.nextHoldAt = now + requestRetryDelay
 	default:
-		m.instance.hasRefusedConn = m.instance.hasRefusedConn || a.Gone
+		m.instance.hasRefusedConn = m.instance.hasRefusedConn || a.IsConnRefused
 		m.recordUnansweredHold(now)
 	}
 }
@@ -154,13 +154,13 @@
 		}
 		m.instance.endCursor = e.Number
 		if r := m.runs[e.Key]; r != nil {
-			m.endRun(now, r, runEndFor(r, e.How))
+			m.endRun(now, r, runEndFor(r, e.Outcome))
 		}
 	}
 }
 
 // runEndFor returns the end to report for a run that ended at the worker with the given outcome.
-func runEndFor(r *run, how How) wire.RunEnd {
+func runEndFor(r *run, how Outcome) wire.RunEnd {
 	switch how {
 	case EndDone:
 		return wire.RunEnd{Ran: errkind.RanYes}
--- a/internal/runs/left_test.go
+++ b/internal/runs/left_test.go
@@ -16,7 +16,7 @@
 	r.sendTasks(r.now, 0)
 	r.answerStart(key(0), Done)
 	r.actions()
-	r.m.Left(r.now, testWorker)
+	r.m.HandleTermination(r.now, testWorker)
 	got := groupActions(r.actions())
 	r.Check(got.ends, qt.HasLen, 0)
 	r.Check(got.stops, qt.DeepEquals, []Key{key(0)})
@@ -41,9 +41,9 @@
 	r.sendTasks(r.now, 0)
 	r.answerStart(key(0), Done)
 	r.actions()
-	r.m.Left(r.now, testWorker)
+	r.m.HandleTermination(r.now, testWorker)
 	r.actions()
-	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), How: EndStopped}}})
+	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), Outcome: EndStopped}}})
 	ends := groupActions(r.actions()).ends
 	r.Assert(ends, qt.HasLen, 1)
 	r.Check(ends[0].Kind, qt.Equals, errkind.WorkerLost)
@@ -53,6 +53,6 @@
 // Guards against keeping a worker without runs after it has announced its end.
 func TestIdleLeavingWorkerIsRemovedImmediately(t *testing.T) {
 	r := newRig(t)
-	r.m.Left(r.now, testWorker)
+	r.m.HandleTermination(r.now, testWorker)
 	r.Check(r.m.Worker().ID, qt.Equals, "")
 }
--- a/internal/runs/machine.go
+++ b/internal/runs/machine.go
@@ -25,7 +25,7 @@
 type run struct {
 	key             Key
 	entry           identity.Incarnation
-	need            sched.Room
+	need            sched.Resources
 	text            string
 	state           state
 	deadline        time.Duration // when the run is stopped because its result is no longer needed
@@ -67,7 +67,7 @@
 	disabled  policy.Set
 	entries   map[identity.Incarnation]*entryState
 	runs      map[Key]*run
-	allocated sched.Room // total need of runs
+	allocated sched.Resources // total need of runs
 
 	worker     wire.RunWorker // as announced
 	instance   instance
@@ -88,7 +88,7 @@
 func New(opt Options) *Machine {
 	return &Machine{
 		timing:      opt.Timing.OrDefault(),
-		disabled:    opt.Off,
+		disabled:    opt.Disabled,
 		entries:     make(map[identity.Incarnation]*entryState),
 		runs:        make(map[Key]*run),
 		pendingEnds: make(map[identity.Incarnation][]wire.RunEnd),
@@ -115,7 +115,7 @@
 		return wire.RunLoad{ClockMs: now.Milliseconds(), Free: m.freeRoomFor(nil)}
 	}
 	return wire.RunLoad{
-		ClockMs: now.Milliseconds(), Seen: ent.lastSeq, Free: m.freeRoomFor(ent),
+		ClockMs: now.Milliseconds(), SeenSeq: ent.lastSeq, Free: m.freeRoomFor(ent),
 		AgeMs: ent.tasksAge.Milliseconds(),
 	}
 }
@@ -124,15 +124,15 @@
 // their text.
 func (m *Machine) Running() int { return len(m.runs) }
 
-// Settled reports whether there are no runs and the worker has received an acknowledgement
+// IsSettled reports whether there are no runs and the worker has received an acknowledgement
 // of every end.
-func (m *Machine) Settled() bool {
+func (m *Machine) IsSettled() bool {
 	return len(m.runs) == 0 && m.instance.endCursor == m.instance.ackedCursor
 }
 
-func (m *Machine) freeRoom() sched.Room {
+func (m *Machine) freeRoom() sched.Resources {
 	if !m.worker.Usable {
-		return sched.Room{}
+		return sched.Resources{}
 	}
 	return m.worker.Capacity.Minus(m.allocated)
 }
@@ -188,7 +188,7 @@
 		case len(pendingEnds) > 0:
 			m.sendFrame(now, entry, &wire.Frame{RunsEnded: &wire.RunsEnded{Ends: pendingEnds, Load: m.Load(now, entry)}})
 		case offered[ent] || ent.needsLoad:
-			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry)}})
+			m.sendFrame(now, entry, &wire.Frame{GuardHeartbeat: &wire.GuardHeartbeat{Load: m.Load(now, entry)}})
 		}
 	}
 	clear(m.pendingEnds)
@@ -205,7 +205,7 @@
 		ent := m.entries[entry]
 		if ent.isLinked {
 			snapshot := m.worker
-			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry), Worker: &snapshot}})
+			m.sendFrame(now, entry, &wire.Frame{GuardHeartbeat: &wire.GuardHeartbeat{Load: m.Load(now, entry), Worker: &snapshot}})
 		}
 	}
 }
--- a/internal/runs/machine_test.go
+++ b/internal/runs/machine_test.go
@@ -20,7 +20,7 @@
 )
 
 // testTiming is the timing of the machine in a rig.
-var testTiming = TimingFor(DefaultResend)
+var testTiming = TimingFor(DefaultResendDelay)
 
 // rig is a test fixture: a machine with one linked entry and a worker that has registered.
 type rig struct {
@@ -33,7 +33,7 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{C: qt.New(t), m: New(Options{}), now: time.Minute}
 	r.m.LinkUp(r.now, testEntry)
-	r.m.Heard(r.now, r.newReport(testWorker, 1))
+	r.m.HandleReport(r.now, r.newReport(testWorker, 1))
 	r.Assert(r.nextHold().Worker, qt.Equals, testWorker)
 	r.answerHold(testWorker, HoldAnswer{})
 	r.Assert(r.m.Worker().Usable, qt.IsTrue)
@@ -44,7 +44,7 @@
 func (r *rig) clockMs() int64 { return (r.now + workerClockOffset).Milliseconds() }
 
 func (r *rig) newReport(id string, seq int64) *Report {
-	return &Report{ID: id, Seq: seq, ClockMs: r.clockMs(), Service: "svc", Capacity: sched.Room{CPU: 8000, MemoryMB: 1000}}
+	return &Report{ID: id, Seq: seq, ClockMs: r.clockMs(), Service: "svc", Capacity: sched.Resources{CPU: 8000, MemoryMB: 1000}}
 }
 
 func (r *rig) actions() []Action { return r.m.Actions(r.now) }
@@ -63,7 +63,7 @@
 
 func (r *rig) answerHold(worker string, a HoldAnswer) {
 	a.ClockMs = r.clockMs()
-	r.m.Held(r.now, worker, &a)
+	r.m.HandleHoldAnswer(r.now, worker, &a)
 }
 
 func (r *rig) advance(d time.Duration) {
@@ -78,13 +78,13 @@
 	r.seq++
 	frame := &wire.RunTasks{Seq: r.seq, ClockMs: clock.Milliseconds(), Job: "job", Text: "text", LeftMs: 5000}
 	for _, i := range indexes {
-		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: 3000}})
+		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Resources{CPU: 3000}})
 	}
 	r.m.Run(r.now, testEntry, frame)
 }
 
 func (r *rig) answerStart(k Key, v Verdict) {
-	r.m.Started(r.now, k, StartAnswer{Verdict: v, ClockMs: r.clockMs()})
+	r.m.HandleStartAnswer(r.now, k, StartAnswer{Verdict: v, ClockMs: r.clockMs()})
 }
 
 // groupedActions is a list of actions by kind, without fetches and loads.
@@ -120,11 +120,11 @@
 	r.sendTasks(r.now, 0)
 	r.answerStart(key(0), Done)
 	r.actions()
-	r.advance(testTiming.Permit / 2)
+	r.advance(testTiming.PeerTimeout / 2)
 	r.Assert(groupActions(r.actions()).stops, qt.HasLen, 0)
-	r.advance(testTiming.Permit)
+	r.advance(testTiming.PeerTimeout)
 	r.Assert(groupActions(r.actions()).stops, qt.DeepEquals, []Key{key(0)})
-	r.Assert(testTiming.Permit+MaxStopDelay < 1300*time.Millisecond, qt.IsTrue)
+	r.Assert(testTiming.PeerTimeout+MaxStopDelay < 1300*time.Millisecond, qt.IsTrue)
 }
 
 // Guards against overlapping runs when a network fault delays a frame with tasks by seconds. Its
@@ -156,7 +156,7 @@
 	r.Assert(got.ends, qt.HasLen, 0)
 	// The stop is confirmed, but only the answer to a Hold that was sent afterwards
 	// shows that the run is not active.
-	r.m.Stopped(r.now, key(0), Done, r.clockMs())
+	r.m.HandleStopAnswer(r.now, key(0), Done, r.clockMs())
 	r.now += 5 * time.Millisecond
 	r.answerHold(testWorker, HoldAnswer{})
 	r.Assert(groupActions(r.actions()).ends, qt.HasLen, 0)
@@ -190,7 +190,7 @@
 	r.answerStart(key(0), NoAnswer)
 	r.answerStart(key(0), Outdated)
 	r.Assert(groupActions(r.actions()).ends, qt.HasLen, 0)
-	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), How: EndDone}}})
+	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), Outcome: EndDone}}})
 	got := groupActions(r.actions())
 	r.Assert(got.ends, qt.HasLen, 1)
 	r.Assert(got.ends[0].Kind, qt.Equals, errkind.None)
@@ -204,7 +204,7 @@
 	r.answerStart(key(0), Done)
 	r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
 	r.Assert(groupActions(r.actions()).stops, qt.HasLen, 1)
-	r.m.Stopped(r.now, key(0), NoAnswer, 0)
+	r.m.HandleStopAnswer(r.now, key(0), NoAnswer, 0)
 	r.Assert(r.m.NextTick() <= r.now+requestRetryDelay, qt.IsTrue)
 	r.advance(requestRetryDelay)
 	r.Assert(groupActions(r.actions()).stops, qt.HasLen, 1)
@@ -217,7 +217,7 @@
 	c := qt.New(t)
 	r := &rig{C: c, m: New(Options{}), now: time.Minute}
 	r.m.LinkUp(r.now, testEntry)
-	r.m.Heard(r.now, r.newReport(testWorker, 1))
+	r.m.HandleReport(r.now, r.newReport(testWorker, 1))
 	h := r.nextHold()
 	r.Assert(h.Token, qt.Equals, r.clockMs())
 	// The earlier guard had a greater token; the worker answers with its clock.
@@ -231,7 +231,7 @@
 	r.Assert(got.stops, qt.DeepEquals, []Key{key(3)})
 	r.Assert(got.holds, qt.HasLen, 1)
 	r.Assert(got.holds[0].Ack, qt.Equals, int64(9))
-	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 10, Key: key(3), How: EndStopped}}})
+	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 10, Key: key(3), Outcome: EndStopped}}})
 	r.Assert(r.m.Worker().Usable, qt.IsTrue)
 }
 
@@ -240,15 +240,15 @@
 // and drop the runs of the present one.
 func TestLateReportOfAnEarlierInstanceIsIgnored(t *testing.T) {
 	r := newRig(t)
-	r.m.Heard(r.now, r.newReport("worker-0", 99))
+	r.m.HandleReport(r.now, r.newReport("worker-0", 99))
 	r.Assert(r.nextHold().Worker, qt.Equals, "worker-0")
-	r.answerHold("worker-0", HoldAnswer{Verdict: OtherWorker})
+	r.answerHold("worker-0", HoldAnswer{Verdict: WrongInstance})
 	r.Assert(r.m.Worker().ID, qt.Equals, testWorker)
 	r.Assert(r.m.Worker().Usable, qt.IsTrue)
 	// A delayed report of the present instance does not restore an older state.
 	late := r.newReport(testWorker, 1)
-	late.Capacity = sched.Room{}
-	r.m.Heard(r.now, late)
+	late.Capacity = sched.Resources{}
+	r.m.HandleReport(r.now, late)
 	r.Assert(r.m.Worker().Capacity.CPU, qt.Equals, int64(8000))
 }
 
@@ -260,8 +260,8 @@
 	r.answerStart(key(0), Done)
 	r.actions()
 	rep := r.newReport("worker-2", 1)
-	rep.Capacity = sched.Room{CPU: 4000}
-	r.m.Heard(r.now, rep)
+	rep.Capacity = sched.Resources{CPU: 4000}
+	r.m.HandleReport(r.now, rep)
 	r.answerHold(testWorker, HoldAnswer{Verdict: NoAnswer})
 	r.advance(requestRetryDelay)
 	r.Assert(r.nextHold().Worker, qt.Equals, "worker-2")
@@ -269,7 +269,7 @@
 	got := groupActions(r.actions())
 	r.Assert(got.ends, qt.HasLen, 1)
 	r.Assert(got.ends[0].Kind, qt.Equals, errkind.WorkerLost)
-	r.Assert(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Room{CPU: 4000})
+	r.Assert(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Resources{CPU: 4000})
 }
 
 // Guards against starting tasks on a worker that has announced that it drains. It would end them
@@ -278,13 +278,13 @@
 	r := newRig(t)
 	rep := r.newReport(testWorker, 2)
 	rep.Draining = true
-	r.m.Heard(r.now, rep)
+	r.m.HandleReport(r.now, rep)
 	r.actions()
 	r.sendTasks(r.now, 0)
 	got := groupActions(r.actions())
 	r.Assert(got.starts, qt.HasLen, 0)
 	r.Assert(got.ends[0].Kind, qt.Equals, errkind.Draining)
-	r.Assert(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Room{})
+	r.Assert(r.m.Load(r.now, testEntry).Free, qt.Equals, sched.Resources{})
 }
 
 // Guards against overcommitting a worker by freeing the capacity of a run that is being stopped
@@ -296,13 +296,13 @@
 	r.answerStart(key(1), Done)
 	r.actions()
 	r.m.StopJob(r.now, testEntry, &wire.StopRuns{ClockMs: r.now.Milliseconds(), Job: "job"})
-	r.m.Stopped(r.now, key(0), Done, r.clockMs())
-	r.m.Stopped(r.now, key(1), Done, r.clockMs())
+	r.m.HandleStopAnswer(r.now, key(0), Done, r.clockMs())
+	r.m.HandleStopAnswer(r.now, key(1), Done, r.clockMs())
 	r.sendTasks(r.now, 2)
 	got := groupActions(r.actions())
 	r.Assert(got.starts, qt.HasLen, 0)
 	r.Assert(got.ends[0].Kind, qt.Equals, errkind.Busy)
-	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), How: EndStopped}, {Number: 2, Key: key(1), How: EndStopped}}})
+	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), Outcome: EndStopped}, {Number: 2, Key: key(1), Outcome: EndStopped}}})
 	r.Assert(r.m.Load(r.now, testEntry).Free.CPU, qt.Equals, int64(8000))
 }
 
@@ -341,7 +341,7 @@
 	slowClockMs := (r.now + workerClockOffset - 600*time.Millisecond).Milliseconds()
 	rep := r.newReport(testWorker, 2)
 	rep.ClockMs = slowClockMs
-	r.m.Heard(r.now, rep)
+	r.m.HandleReport(r.now, rep)
 	r.sendTasks(r.now, 0)
 	for _, a := range r.actions() {
 		if a.Start != nil {
@@ -360,13 +360,13 @@
 	r.actions()
 	for i := range int64(5) {
 		r.now += 50 * time.Millisecond
-		r.m.Beat(r.now, testEntry, &wire.EntryBeat{ClockMs: r.now.Milliseconds()})
+		r.m.Beat(r.now, testEntry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds()})
 		r.answerHold(testWorker, HoldAnswer{Active: []Active{{Key: key(0), Percent: 7}, {Key: key(1), Percent: i}}})
 	}
 	r.Assert(groupActions(r.actions()).stops, qt.DeepEquals, []Key{key(0)})
-	r.m.Stopped(r.now, key(0), Done, r.clockMs())
+	r.m.HandleStopAnswer(r.now, key(0), Done, r.clockMs())
 	r.answerHold(testWorker, HoldAnswer{
-		Active: []Active{{Key: key(1), Percent: 9}}, Ended: []Ended{{Number: 1, Key: key(0), How: EndStopped}},
+		Active: []Active{{Key: key(1), Percent: 9}}, Ended: []Ended{{Number: 1, Key: key(0), Outcome: EndStopped}},
 	})
 	got := groupActions(r.actions())
 	r.Assert(got.ends, qt.HasLen, 1)
@@ -390,14 +390,14 @@
 	r.sendTasks(r.now, 0)
 	r.answerStart(key(0), Done)
 	r.actions()
-	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), How: EndDone}}})
+	r.answerHold(testWorker, HoldAnswer{Ended: []Ended{{Number: 1, Key: key(0), Outcome: EndDone}}})
 	got := groupActions(r.actions())
 	r.Assert(got.ends[0].Kind, qt.Equals, errkind.None)
 	r.Assert(got.holds, qt.HasLen, 1)
 	r.Assert(got.holds[0].Ack, qt.Equals, int64(1))
-	r.Assert(r.m.Settled(), qt.IsFalse)
+	r.Assert(r.m.IsSettled(), qt.IsFalse)
 	r.answerHold(testWorker, HoldAnswer{})
-	r.Assert(r.m.Settled(), qt.IsTrue)
+	r.Assert(r.m.IsSettled(), qt.IsTrue)
 	r.Assert(groupActions(r.actions()).holds, qt.HasLen, 0)
 }
 
--- a/internal/runs/offer.go
+++ b/internal/runs/offer.go
@@ -29,14 +29,14 @@
 
 // offer is capacity that is reserved for one entry.
 type offer struct {
-	room      sched.Room
+	room      sched.Resources
 	expiresAt time.Duration // end of the reservation; 0 if there is none
 	notBefore time.Duration // earliest time of the next offer; 0 for any time
 }
 
 // freeRoomFor returns the capacity that an entry may use: all free capacity except what is
 // offered to other entries. A nil entry excludes all offers.
-func (m *Machine) freeRoomFor(ent *entryState) sched.Room {
+func (m *Machine) freeRoomFor(ent *entryState) sched.Resources {
 	freeRoom := m.freeRoom()
 	for _, other := range m.entries {
 		if other != ent && other.offer.expiresAt > 0 {
@@ -71,7 +71,7 @@
 
 // extendedBy returns the offer enlarged by more. The expiry of an existing offer does not
 // change.
-func (o offer) extendedBy(now time.Duration, more sched.Room) offer {
+func (o offer) extendedBy(now time.Duration, more sched.Resources) offer {
 	if o.expiresAt == 0 {
 		return offer{room: more, expiresAt: now + offerTimeout}
 	}
@@ -80,11 +80,11 @@
 }
 
 // nextEntryToOffer returns the next entry that can use the free capacity, or nil.
-func (m *Machine) nextEntryToOffer(now time.Duration, free sched.Room) *entryState {
+func (m *Machine) nextEntryToOffer(now time.Duration, free sched.Resources) *entryState {
 	var best *entryState
 	for _, entry := range m.sortedEntries() {
 		ent := m.entries[entry]
-		if !m.canOffer(now, ent) || free.CPU < max(1, ent.demand.LeastCPU) {
+		if !m.canOffer(now, ent) || free.CPU < max(1, ent.demand.MinCPU) {
 			continue
 		}
 		if best == nil || m.isServedBefore(ent, best, free) {
@@ -109,8 +109,8 @@
 // their most urgent task, and equally urgent ones by turn. An entry whose most urgent task does
 // not fit into the free capacity comes after those whose task fits, because it would use the
 // capacity for a less urgent task.
-func (m *Machine) isServedBefore(ent, other *entryState, free sched.Room) bool {
-	entFits, otherFits := free.CPU >= ent.demand.UrgentCPU, free.CPU >= other.demand.UrgentCPU
+func (m *Machine) isServedBefore(ent, other *entryState, free sched.Resources) bool {
+	entFits, otherFits := free.CPU >= ent.demand.MinUrgentCPU, free.CPU >= other.demand.MinUrgentCPU
 	if entFits != otherFits && !m.disabled.Has(policy.UrgentOffers) {
 		return entFits
 	}
--- a/internal/runs/offer_test.go
+++ b/internal/runs/offer_test.go
@@ -20,7 +20,7 @@
 	r.m.LinkUp(r.now, otherEntry)
 	frame := &wire.RunTasks{Seq: 1, ClockMs: r.now.Milliseconds(), Job: "job", LeftMs: 5000}
 	for i := range 4 {
-		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: 2000}})
+		frame.Tasks = append(frame.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Resources{CPU: 2000}})
 	}
 	r.m.Run(r.now, testEntry, frame)
 	for i := range 4 {
@@ -31,7 +31,7 @@
 }
 
 func (r *rig) sendDemand(entry identity.Incarnation, demand wire.RunDemand) {
-	r.m.Beat(r.now, entry, &wire.EntryBeat{ClockMs: r.now.Milliseconds(), Demand: demand})
+	r.m.Beat(r.now, entry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds(), Demand: demand})
 }
 
 // finishTask lists a task as ended and returns the free CPU that is announced to each entry.
@@ -47,8 +47,8 @@
 		case a.Send == nil:
 		case a.Send.Frame.RunsEnded != nil:
 			free[a.Send.To] = a.Send.Frame.RunsEnded.Load.Free.CPU
-		case a.Send.Frame.GuardBeat != nil:
-			free[a.Send.To] = a.Send.Frame.GuardBeat.Load.Free.CPU
+		case a.Send.Frame.GuardHeartbeat != nil:
+			free[a.Send.To] = a.Send.Frame.GuardHeartbeat.Load.Free.CPU
 		}
 	}
 	return free
@@ -59,8 +59,8 @@
 // task that fits would be late.
 func TestRoomIsOfferedWhereTheMostUrgentTaskFits(t *testing.T) {
 	r := newFullRig(t)
-	r.sendDemand(testEntry, wire.RunDemand{CPU: 9000, LeastCPU: 1000, UrgentCPU: 4000})
-	r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, LeastCPU: 2000, UrgentCPU: 2000})
+	r.sendDemand(testEntry, wire.RunDemand{CPU: 9000, MinCPU: 1000, MinUrgentCPU: 4000})
+	r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, MinCPU: 2000, MinUrgentCPU: 2000})
 	free := r.finishTask(1, 0)
 	r.Check(free[otherEntry], qt.Equals, int64(2000))
 	r.Check(free[testEntry], qt.Equals, int64(0))
@@ -70,8 +70,8 @@
 // has not answered its first offer yet. Another entry would use it for a less urgent task.
 func TestUnansweredOfferIsExtended(t *testing.T) {
 	r := newFullRig(t)
-	r.sendDemand(testEntry, wire.RunDemand{CPU: 6000, LeastCPU: 2000, UrgentCPU: 2000, Priority: 1})
-	r.sendDemand(otherEntry, wire.RunDemand{CPU: 4000, LeastCPU: 2000, UrgentCPU: 2000})
+	r.sendDemand(testEntry, wire.RunDemand{CPU: 6000, MinCPU: 2000, MinUrgentCPU: 2000, Priority: 1})
+	r.sendDemand(otherEntry, wire.RunDemand{CPU: 4000, MinCPU: 2000, MinUrgentCPU: 2000})
 	r.Check(r.finishTask(1, 0)[otherEntry], qt.Equals, int64(2000))
 	r.Check(r.finishTask(2, 1)[otherEntry], qt.Equals, int64(4000))
 	free := r.finishTask(3, 2) // the offer covers its demand
@@ -82,11 +82,11 @@
 // task was placed elsewhere. The capacity must be offered to the next entry at once.
 func TestDeclinedOfferGoesToTheNextEntry(t *testing.T) {
 	r := newFullRig(t)
-	r.sendDemand(testEntry, wire.RunDemand{CPU: 2000, LeastCPU: 2000, UrgentCPU: 2000, Priority: 1})
-	r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, LeastCPU: 2000, UrgentCPU: 2000})
+	r.sendDemand(testEntry, wire.RunDemand{CPU: 2000, MinCPU: 2000, MinUrgentCPU: 2000, Priority: 1})
+	r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, MinCPU: 2000, MinUrgentCPU: 2000})
 	r.Check(r.finishTask(1, 0)[otherEntry], qt.Equals, int64(2000))
 	r.now += time.Millisecond
-	r.sendDemand(otherEntry, wire.RunDemand{CPU: 3000, LeastCPU: 3000, UrgentCPU: 3000})
+	r.sendDemand(otherEntry, wire.RunDemand{CPU: 3000, MinCPU: 3000, MinUrgentCPU: 3000})
 	r.Check(r.announcedFreeCPU()[testEntry], qt.Equals, int64(2000))
 }
 
@@ -95,13 +95,13 @@
 // refused.
 func TestFrozenEntryReservesLittleRoom(t *testing.T) {
 	r := newFullRig(t)
-	r.sendDemand(testEntry, wire.RunDemand{CPU: 8000, LeastCPU: 2000, UrgentCPU: 2000})
-	r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, LeastCPU: 2000, UrgentCPU: 2000, Priority: 1})
+	r.sendDemand(testEntry, wire.RunDemand{CPU: 8000, MinCPU: 2000, MinUrgentCPU: 2000})
+	r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, MinCPU: 2000, MinUrgentCPU: 2000, Priority: 1})
 	r.finishTask(1, 0)
 	reservedTicks, ticks := 0, 0
 	for r.now < time.Minute+time.Second {
 		r.advance(time.Millisecond)
-		r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, LeastCPU: 2000, UrgentCPU: 2000, Priority: 1})
+		r.sendDemand(otherEntry, wire.RunDemand{CPU: 2000, MinCPU: 2000, MinUrgentCPU: 2000, Priority: 1})
 		r.actions()
 		if r.m.entries[testEntry].offer.expiresAt > 0 {
 			reservedTicks++
--- a/internal/runs/pace_test.go
+++ b/internal/runs/pace_test.go
@@ -20,7 +20,7 @@
 		r.seq++
 		r.m.Run(r.now, testEntry, &wire.RunTasks{
 			Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: job, LeftMs: 60_000,
-			Tasks: []wire.RunTask{{Run: 1, Need: sched.Room{CPU: 500}, ExpectMs: paceExpectedTime.Milliseconds(), Moved: moved}},
+			Tasks: []wire.RunTask{{Run: 1, Need: sched.Resources{CPU: 500}, ExpectMs: paceExpectedTime.Milliseconds(), Relocated: moved}},
 		})
 		k := Key{Job: job, Run: 1}
 		r.answerStart(k, Done)
@@ -33,7 +33,7 @@
 // reportProgress advances the clock and lists the runs as active, all at the same percent.
 func (r *rig) reportProgress(after time.Duration, percent int64, keys ...Key) {
 	r.now += after
-	r.m.Beat(r.now, testEntry, &wire.EntryBeat{ClockMs: r.now.Milliseconds()})
+	r.m.Beat(r.now, testEntry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds()})
 	var a HoldAnswer
 	for _, k := range keys {
 		a.Active = append(a.Active, Active{Key: k, Percent: percent})
@@ -65,7 +65,7 @@
 	r.now += 20 * time.Millisecond
 	var a HoldAnswer
 	for i, k := range keys {
-		a.Ended = append(a.Ended, Ended{Number: int64(i + 1), Key: k, How: EndStopped})
+		a.Ended = append(a.Ended, Ended{Number: int64(i + 1), Key: k, Outcome: EndStopped})
 	}
 	r.answerHold(testWorker, a)
 	for _, e := range groupActions(r.actions()).ends {
@@ -81,7 +81,7 @@
 	tasks := &wire.RunTasks{Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", LeftMs: 60_000}
 	var keys []Key
 	for i := range 6 {
-		tasks.Tasks = append(tasks.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Room{CPU: 500}, ExpectMs: paceExpectedTime.Milliseconds()})
+		tasks.Tasks = append(tasks.Tasks, wire.RunTask{Index: i, Run: 1, Need: sched.Resources{CPU: 500}, ExpectMs: paceExpectedTime.Milliseconds()})
 		keys = append(keys, key(i))
 	}
 	r.m.Run(r.now, testEntry, tasks)
@@ -122,7 +122,7 @@
 	r.Assert(r.m.Worker().Slow, qt.IsTrue)
 	var a HoldAnswer
 	for i, k := range keys {
-		a.Ended = append(a.Ended, Ended{Number: int64(i + 1), Key: k, How: EndDone})
+		a.Ended = append(a.Ended, Ended{Number: int64(i + 1), Key: k, Outcome: EndDone})
 	}
 	r.answerHold(testWorker, a)
 	r.Check(r.m.Worker().Slow, qt.IsFalse)
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -47,7 +47,7 @@
 		needsText = needsText || r != nil && r.state == awaitingText
 	}
 	if needsText {
-		m.actions = append(m.actions, Action{Fetch: &Fetch{From: from, Job: frame.Job, Source: frame.Source, AnswerIn: fetchTimeout}})
+		m.actions = append(m.actions, Action{Fetch: &Fetch{From: from, Job: frame.Job, Source: frame.Source, Timeout: fetchTimeout}})
 	}
 }
 
@@ -64,7 +64,7 @@
 	ent.tasksAge = max(0, now-milliseconds(frame.ClockMs))
 	ent.needsLoad = frame.Seq == 1 || ent.tasksAge > lateTasksAge
 	switch {
-	case now-milliseconds(frame.ClockMs) > m.timing.Permit:
+	case now-milliseconds(frame.ClockMs) > m.timing.PeerTimeout:
 		return errkind.Fenced
 	case frame.LeftMs <= 0:
 		return errkind.DeadlineExpired
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case kind != errkind.None:
-	case !m.freeRoomFor(m.entries[from]).Holds(task.Need):
+	case !m.freeRoomFor(m.entries[from]).CanFit(task.Need):
 		kind = errkind.Busy
 	case m.hasOtherRun(k), task.Crashes > 0 && m.hasSuspect() && !m.disabled.Has(policy.SuspectsApart):
 		kind = errkind.Busy
@@ -110,7 +110,7 @@
 		return nil
 	}
 	timeLeft := milliseconds(frame.LeftMs)
-	r := &run{key: k, entry: from, need: task.Need, text: frame.Text, deadline: now + timeLeft, requestedAt: now, expectedTime: milliseconds(task.ExpectMs), hasMoved: task.Moved, crashCount: task.Crashes}
+	r := &run{key: k, entry: from, need: task.Need, text: frame.Text, deadline: now + timeLeft, requestedAt: now, expectedTime: milliseconds(task.ExpectMs), hasMoved: task.Relocated, crashCount: task.Crashes}
 	m.addRun(r)
 	if frame.Source != "" {
 		r.state = awaitingText
@@ -120,9 +120,9 @@
 	return r
 }
 
-// Fetched handles the answer to a Fetch: the text of an entry's job, or ok == false if it could
+// HandleFetchAnswer handles the answer to a Fetch: the text of an entry's job, or ok == false if it could
 // not be fetched. The runs that await the text have kept their capacity allocated.
-func (m *Machine) Fetched(now time.Duration, from identity.Incarnation, job, text string, ok bool) {
+func (m *Machine) HandleFetchAnswer(now time.Duration, from identity.Incarnation, job, text string, ok bool) {
 	for _, r := range m.sortedRuns() {
 		if r.state != awaitingText || r.entry != from || r.key.Job != job {
 			continue
@@ -130,7 +130,7 @@
 		switch kind := m.unavailableKind(); {
 		case !ok:
 			end := endNotRun(errkind.Busy)
-			end.NoText = true
+			end.TextUnavailable = true
 			m.endRun(now, r, end)
 		case kind != errkind.None:
 			m.endRun(now, r, endNotRun(kind))
@@ -147,7 +147,7 @@
 	r.startAttempts++
 	r.lastSentAt = now
 	m.extendLease(now)
-	m.actions = append(m.actions, Action{Start: &Start{Lease: m.newLease(now), Key: r.key, Text: r.text, AnswerIn: m.answerTimeout(now)}})
+	m.actions = append(m.actions, Action{Start: &Start{Lease: m.newLease(now), Key: r.key, Text: r.text, Timeout: m.answerTimeout(now)}})
 }
 
 // hasOtherRun reports whether another run of the same task may be at this worker.
@@ -173,11 +173,11 @@
 }
 
 // Beat handles a heartbeat from an entry.
-func (m *Machine) Beat(_ time.Duration, from identity.Incarnation, beat *wire.EntryBeat) {
+func (m *Machine) Beat(_ time.Duration, from identity.Incarnation, beat *wire.EntryHeartbeat) {
 	if ent := m.entries[from]; ent != nil {
 		ent.observeClock(beat.ClockMs)
 		ent.demand, ent.unusedOffers = beat.Demand, 0
-		if ent.offer.room.CPU < max(1, beat.Demand.LeastCPU) || beat.Demand.CPU == 0 {
+		if ent.offer.room.CPU < max(1, beat.Demand.MinCPU) || beat.Demand.CPU == 0 {
 			ent.offer = offer{} // the entry declines the offer
 		}
 	}
@@ -213,11 +213,11 @@
 	r.hasStopInFlight = true
 	lease := m.newLease(now)
 	lease.UntilMs = 0
-	m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: r.key, AnswerIn: m.answerTimeout(now)}})
+	m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: r.key, Timeout: m.answerTimeout(now)}})
 }
 
-// Started handles the answer to a Start.
-func (m *Machine) Started(now time.Duration, k Key, a StartAnswer) {
+// HandleStartAnswer handles the answer to a Start.
+func (m *Machine) HandleStartAnswer(now time.Duration, k Key, a StartAnswer) {
 	m.updateClockOffset(now, a.ClockMs)
 	m.recordAnswer(now, a.Verdict)
 	r := m.runs[k]
@@ -261,7 +261,7 @@
 		end.Renumber = true
 	case Malformed:
 		end.Kind = errkind.BadRequest
-	case FencedOff, OtherWorker:
+	case FencedOff, WrongInstance:
 		end.Kind = errkind.NoWorkers
 		m.recordLostControl(now)
 	case Unhealthy:
@@ -273,8 +273,8 @@
 	m.endRun(now, r, end)
 }
 
-// Stopped handles the answer to a Stop.
-func (m *Machine) Stopped(now time.Duration, k Key, v Verdict, clockMs int64) {
+// HandleStopAnswer handles the answer to a Stop.
+func (m *Machine) HandleStopAnswer(now time.Duration, k Key, v Verdict, clockMs int64) {
 	m.updateClockOffset(now, clockMs)
 	m.recordAnswer(now, v)
 	r := m.runs[k]
@@ -285,7 +285,7 @@
 	switch v {
 	case Done, Outdated:
 		r.stopConfirmedAt = now
-	case OtherWorker:
+	case WrongInstance:
 		m.endRun(now, r, r.endAfterStop)
 	default:
 		r.nextStopAt = now + requestRetryDelay
--- a/internal/runs/tick.go
+++ b/internal/runs/tick.go
@@ -59,11 +59,11 @@
 		if ent.runs == 0 {
 			continue
 		}
-		if now-ent.latestClock > m.timing.Permit {
+		if now-ent.latestClock > m.timing.PeerTimeout {
 			m.stopEntryRuns(now, entry, endWithdrawn(errkind.Fenced))
 		}
-		if ent.isLinked && now-ent.loadSentAt >= m.timing.Beat {
-			m.sendFrame(now, entry, &wire.Frame{GuardBeat: &wire.GuardBeat{Load: m.Load(now, entry)}})
+		if ent.isLinked && now-ent.loadSentAt >= m.timing.BeatInterval {
+			m.sendFrame(now, entry, &wire.Frame{GuardHeartbeat: &wire.GuardHeartbeat{Load: m.Load(now, entry)}})
 		}
 	}
 }
@@ -80,14 +80,14 @@
 		switch {
 		case r.state != stopping:
 			consider(r.deadline)
-			consider(m.entries[r.entry].latestClock + m.timing.Permit + time.Millisecond)
+			consider(m.entries[r.entry].latestClock + m.timing.PeerTimeout + time.Millisecond)
 		case !r.hasStopInFlight && r.stopConfirmedAt == 0:
 			consider(r.nextStopAt)
 		}
 	}
 	for _, ent := range m.entries {
 		if ent.runs > 0 && ent.isLinked {
-			consider(ent.loadSentAt + m.timing.Beat)
+			consider(ent.loadSentAt + m.timing.BeatInterval)
 		}
 		if ent.offer.expiresAt > 0 {
 			consider(ent.offer.expiresAt)
--- a/internal/runs/timing.go
+++ b/internal/runs/timing.go
@@ -11,48 +11,50 @@
 	Lease time.Duration
 	// Permit is the maximum age of the newest frame from an entry for which the guard
 	// executes tasks. It is longer than two heartbeats of the entry.
-	Permit time.Duration
+	PeerTimeout time.Duration
 	// Beat is the heartbeat interval of both ends of a link with tasks.
-	Beat time.Duration
+	BeatInterval time.Duration
 }
 
-// DefaultResend is the delay after which callers resend an unanswered job, unless the
+// DefaultResendDelay is the delay after which callers resend an unanswered job, unless the
 // settings give another one.
-const DefaultResend = 1300 * time.Millisecond
+const DefaultResendDelay = 1300 * time.Millisecond
 
-// LeastResend is the shortest resend delay for which runs can be guaranteed to end within
+// MinResendDelay is the shortest resend delay for which runs can be guaranteed to end within
 // Loss, because a lease must be longer than two renewals. Callers that resend sooner get the
-// timing for LeastResend: the run of a lost process may then overlap with the run of the
+// timing for MinResendDelay: the run of a lost process may then overlap with the run of the
 // resent job for the rest of Loss.
-const LeastResend = 600 * time.Millisecond
+const MinResendDelay = 600 * time.Millisecond
 
 // lossMargin is the difference between the resend delay and Loss.
 const lossMargin = 50 * time.Millisecond
 
 // TimingFor returns the timing for callers that resend a job after resendDelay. A delay above
-// DefaultResend changes nothing, because a loss is better detected early. For a shorter delay
+// DefaultResendDelay changes nothing, because a loss is better detected early. For a shorter delay
 // all durations shrink in proportion, because a job that is resent during its first run would
 // run twice at the same time.
 func TimingFor(resendDelay time.Duration) Timing {
-	available := min(max(resendDelay, LeastResend), DefaultResend) - lossMargin - clockSkewMargin - MaxStopDelay
+	available := min(max(resendDelay, MinResendDelay), DefaultResendDelay) - lossMargin - clockSkewMargin - MaxStopDelay
 	permit := available * 6 / 11
-	return Timing{Lease: available - permit, Permit: permit, Beat: permit / 3}
+	return Timing{Lease: available - permit, PeerTimeout: permit, BeatInterval: permit / 3}
 }
 
-// OrDefault returns t, or the timing for DefaultResend if t is the zero value.
+// OrDefault returns t, or the timing for DefaultResendDelay if t is the zero value.
 func (t Timing) OrDefault() Timing {
 	if t == (Timing{}) {
-		return TimingFor(DefaultResend)
+		return TimingFor(DefaultResendDelay)
 	}
 	return t
 }
 
-// Loss is the longest time for which runs may continue after their guard was lost. A guard that
+// MaxOrphanAge is the longest time for which runs may continue after their guard was lost. A guard that
 // is cut off from an entry stops the runs after Permit; if the guard has failed, the lease
 // expires.
-func (t Timing) Loss() time.Duration { return t.Permit + t.Lease + clockSkewMargin + MaxStopDelay }
+func (t Timing) MaxOrphanAge() time.Duration {
+	return t.PeerTimeout + t.Lease + clockSkewMargin + MaxStopDelay
+}
 
-// Stall is the pause after which an entry assumes that its process was frozen, so that callers
+// FreezeThreshold is the pause after which an entry assumes that its process was frozen, so that callers
 // may have disconnected and resent their jobs elsewhere. It is shorter than Permit and longer
 // than the pauses of a busy processor.
-func (t Timing) Stall() time.Duration { return t.Permit * 5 / 6 }
+func (t Timing) FreezeThreshold() time.Duration { return t.PeerTimeout * 5 / 6 }
--- a/internal/runs/timing_test.go
+++ b/internal/runs/timing_test.go
@@ -15,11 +15,11 @@
 	for _, resend := range []time.Duration{600, 700, 1000, 1299, 1300, 5000} {
 		resend *= time.Millisecond
 		timing := TimingFor(resend)
-		c.Check(timing.Loss() < resend, qt.IsTrue, qt.Commentf("%v: %+v", resend, timing))
-		c.Check(timing.Permit > 2*timing.Beat, qt.IsTrue)
-		c.Check(timing.Stall() < timing.Permit, qt.IsTrue)
+		c.Check(timing.MaxOrphanAge() < resend, qt.IsTrue, qt.Commentf("%v: %+v", resend, timing))
+		c.Check(timing.PeerTimeout > 2*timing.BeatInterval, qt.IsTrue)
+		c.Check(timing.FreezeThreshold() < timing.PeerTimeout, qt.IsTrue)
 		c.Check(timing.Lease > 2*renewInterval+requestTimeout, qt.IsTrue, qt.Commentf("%v: %+v", resend, timing))
 	}
-	c.Check(TimingFor(time.Millisecond), qt.Equals, TimingFor(LeastResend))
-	c.Check(TimingFor(DefaultResend), qt.Equals, Timing{Lease: 500 * time.Millisecond, Permit: 600 * time.Millisecond, Beat: 200 * time.Millisecond})
+	c.Check(TimingFor(time.Millisecond), qt.Equals, TimingFor(MinResendDelay))
+	c.Check(TimingFor(DefaultResendDelay), qt.Equals, Timing{Lease: 500 * time.Millisecond, PeerTimeout: 600 * time.Millisecond, BeatInterval: 200 * time.Millisecond})
 }
--- a/internal/runs/worker.go
+++ b/internal/runs/worker.go
@@ -36,10 +36,10 @@
 	sentAck                 int64         // Ack of the last Hold
 }
 
-// Heard handles a report of a worker. A report of an instance other than the present one is
+// HandleReport handles a report of a worker. A report of an instance other than the present one is
 // verified with the worker first, because a delayed report may arrive after its sender has
 // crashed and a new instance has registered.
-func (m *Machine) Heard(now time.Duration, report *Report) {
+func (m *Machine) HandleReport(now time.Duration, report *Report) {
 	if report.ID == "" {
 		return
 	}
@@ -81,11 +81,11 @@
 	m.worker.Capacity, m.worker.Cold = report.Capacity, report.Cold
 }
 
-// Left handles the announcement of a worker that it is terminating. Its runs may continue
+// HandleTermination handles the announcement of a worker that it is terminating. Its runs may continue
 // until it has terminated; when tasks were restarted elsewhere at once, they ran twice during
 // that time. The lease is therefore no longer renewed, and the runs end when the worker lists
 // them as ended, a new instance answers at its address, or the lease has expired.
-func (m *Machine) Left(now time.Duration, id string) {
+func (m *Machine) HandleTermination(now time.Duration, id string) {
 	if m.candidate != nil && m.candidate.ID == id {
 		m.candidate = nil
 	}
@@ -132,7 +132,7 @@
 	report, token := m.candidate, m.instance.token
 	m.candidate = nil
 	m.endInstance(now)
-	m.instance = instance{id: report.ID, seq: report.Seq, token: token, isRecalled: report.Recalled, lastAnswerAt: now}
+	m.instance = instance{id: report.ID, seq: report.Seq, token: token, isRecalled: report.IsRecalled, lastAnswerAt: now}
 	m.worker = wire.RunWorker{ID: report.ID, Leaving: m.isLeaving || report.Draining}
 	m.applyReport(report)
 	m.updateClockOffset(now, a.ClockMs)
@@ -156,7 +156,7 @@
 		m.instance.hasOrphans = true
 		lease := m.newLease(now)
 		lease.UntilMs = 0
-		m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: a.Key, AnswerIn: m.answerTimeout(now)}})
+		m.actions = append(m.actions, Action{Stop: &Stop{Lease: lease, Key: a.Key, Timeout: m.answerTimeout(now)}})
 	}
 }
 
--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -88,9 +88,9 @@
 	u.unhealthy = !healthy
 }
 
-// Starts returns how often each task was started, keyed by the value of
+// StartCounts returns how often each task was started, keyed by the value of
 // TaskHeader.
-func (u *Upstream) Starts() map[string]int {
+func (u *Upstream) StartCounts() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make(map[string]int, len(u.startCounts))
@@ -100,10 +100,10 @@
 	return out
 }
 
-// Twice returns the tasks that were started more than once.
-func (u *Upstream) Twice() []string {
+// RepeatedTasks returns the tasks that were started more than once.
+func (u *Upstream) RepeatedTasks() []string {
 	var out []string
-	for task, n := range u.Starts() {
+	for task, n := range u.StartCounts() {
 		if n > 1 {
 			out = append(out, task)
 		}
@@ -111,8 +111,8 @@
 	return out
 }
 
-// Peak returns the highest number of tasks that ran concurrently.
-func (u *Upstream) Peak() int {
+// MaxConcurrency returns the highest number of tasks that ran concurrently.
+func (u *Upstream) MaxConcurrency() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.maxRunning
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -36,7 +36,7 @@
 		estimate += capacity.RunTimes.P10 // the job starts at once; refuse it only if even a quick run is too long
 	default:
 		// The queue orders small jobs before the last tasks of a large one.
-		estimate += capacity.RunTimes.EstimateLongest(req.Tasks) + time.Duration(req.Tasks-1)*Spacing(req.TimeLeft, req.Tasks)
+		estimate += capacity.RunTimes.EstimateLongest(req.Tasks) + time.Duration(req.Tasks-1)*TaskSpacing(req.TimeLeft, req.Tasks)
 	}
 	return estimate <= req.TimeLeft, estimate - req.TimeLeft
 }
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -30,18 +30,18 @@
 	isOnProbation      bool // a quarantine has ended and full use is not restored yet
 }
 
-// Failed records a failed task. Several failed tasks of one job count once,
+// RecordFailure records a failed task. Several failed tasks of one job count once,
 // because the job itself may be the cause.
-func (h *Health) Failed(jobKey string) {
+func (h *Health) RecordFailure(jobKey string) {
 	if jobKey != h.lastFailedJob {
 		h.lastFailedJob = jobKey
 		h.failedJobs++
 	}
 }
 
-// Ran records a completed task. isSlow reports whether its run time exceeded
+// RecordRun records a completed task. isSlow reports whether its run time exceeded
 // the fleet's 90th percentile.
-func (h *Health) Ran(isSlow bool) {
+func (h *Health) RecordRun(isSlow bool) {
 	h.failedJobs, h.lastFailedJob = 0, ""
 	h.slowBits <<= 1
 	if isSlow {
@@ -50,8 +50,8 @@
 	h.observedRuns = min(h.observedRuns+1, slowWindow)
 }
 
-// Sick reports whether the worker should be quarantined.
-func (h *Health) Sick() bool {
+// ShouldQuarantine reports whether the worker should be quarantined.
+func (h *Health) ShouldQuarantine() bool {
 	slowRuns := bits.OnesCount16(h.slowBits & (1<<slowWindow - 1))
 	if h.isOnProbation && slowRuns >= slowProbeThreshold {
 		return true
@@ -70,10 +70,10 @@
 	return now.Add(h.quarantineInterval)
 }
 
-// Probed records a completed run during probation and returns the new limit on
+// RecordProbe records a completed run during probation and returns the new limit on
 // concurrent tasks. The limit doubles up to the number of slots and is 0 when
 // probation is over. A slow run leaves it unchanged.
-func (h *Health) Probed(limit, slots int32, isSlow bool) int32 {
+func (h *Health) RecordProbe(limit, slots int32, isSlow bool) int32 {
 	if isSlow {
 		return limit
 	}
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -258,20 +258,20 @@
 func TestQuarantineRequiresDistinctFailedJobs(t *testing.T) {
 	var h Health
 	for range 50 {
-		h.Failed("one bad job")
+		h.RecordFailure("one bad job")
 	}
-	qt.Assert(t, h.Sick(), qt.IsFalse)
-	h.Failed("second")
-	h.Failed("third")
-	qt.Assert(t, h.Sick(), qt.IsTrue)
+	qt.Assert(t, h.ShouldQuarantine(), qt.IsFalse)
+	h.RecordFailure("second")
+	h.RecordFailure("third")
+	qt.Assert(t, h.ShouldQuarantine(), qt.IsTrue)
 	firstUntil := h.Quarantine(epoch)
-	qt.Assert(t, h.Sick(), qt.IsFalse)
-	h.Failed("probe")
-	qt.Assert(t, h.Sick(), qt.IsTrue)
+	qt.Assert(t, h.ShouldQuarantine(), qt.IsFalse)
+	h.RecordFailure("probe")
+	qt.Assert(t, h.ShouldQuarantine(), qt.IsTrue)
 	qt.Assert(t, h.Quarantine(epoch).Sub(epoch), qt.Equals, 2*firstUntil.Sub(epoch))
 	limit := int32(1)
 	for range 3 {
-		limit = h.Probed(limit, 8, false)
+		limit = h.RecordProbe(limit, 8, false)
 	}
 	qt.Assert(t, limit, qt.Equals, int32(0))
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -37,7 +37,7 @@
 	Usable             // accepts tasks
 	Quarantined        // failing or slow; gets no tasks until its quarantine ends
 	Unresponsive       // has tasks of this entry but has sent nothing for too long
-	Leaving            // draining, or its link or its upstream is down
+	Unavailable        // draining, or its link or its upstream is down
 )
 
 // FreeSlots returns the estimated number of slots that this entry may use now.
--- a/internal/settings/batch.go
+++ b/internal/settings/batch.go
@@ -15,24 +15,24 @@
 	Metrics       string // listening address; empty for none
 	Store         string // address of the platform's store
 	Stop          time.Duration
-	Resend        time.Duration // delay after which callers without an answer resend a job
+	ResendDelay   time.Duration // delay after which callers without an answer resend a job
 	Memory        int64         // megabytes
 	Log           BoundedLog
 }
 
 // BatchGuard holds the settings of a guard whose worker runs tasks under leases.
 type BatchGuard struct {
-	Name    string
-	Entries []string // addresses of entries
-	Reports string   // listening address for the worker's reports
-	Worker  string   // address of the worker
-	Metrics string   // listening address; empty for none
-	Texts   string   // listening address for other guards; empty for none
-	Store   string   // address of the platform's store
-	Stop    time.Duration
-	Resend  time.Duration // delay after which callers without an answer resend a job
-	Memory  int64         // megabytes
-	Log     BoundedLog
+	Name        string
+	Entries     []string // addresses of entries
+	Reports     string   // listening address for the worker's reports
+	Worker      string   // address of the worker
+	Metrics     string   // listening address; empty for none
+	Texts       string   // listening address for other guards; empty for none
+	Store       string   // address of the platform's store
+	Stop        time.Duration
+	ResendDelay time.Duration // delay after which callers without an answer resend a job
+	Memory      int64         // megabytes
+	Log         BoundedLog
 }
 
 // BoundedLog holds the settings of a log with a limited volume.
@@ -59,7 +59,9 @@
 		addressField("listen", "metrics", "", "Address for counters; none if left out.", func(e *BatchEntry) *string { return &e.Metrics }),
 		addressField("store", "address", "", "Address of the platform's store.", func(e *BatchEntry) *string { return &e.Store }).markRequired(),
 	},
-	batchLimitFields(func(e *BatchEntry) (stop, resend *time.Duration, memory *int64) { return &e.Stop, &e.Resend, &e.Memory }),
+	batchLimitFields(func(e *BatchEntry) (stop, resend *time.Duration, memory *int64) {
+		return &e.Stop, &e.ResendDelay, &e.Memory
+	}),
 	boundedLogFields(func(e *BatchEntry) *BoundedLog { return &e.Log }),
 )
 
@@ -73,7 +75,9 @@
 		addressField("worker", "address", "", "Address of the worker on this VM.", func(g *BatchGuard) *string { return &g.Worker }).markRequired(),
 		addressField("store", "address", "", "Address of the platform's store.", func(g *BatchGuard) *string { return &g.Store }).markRequired(),
 	},
-	batchLimitFields(func(g *BatchGuard) (stop, resend *time.Duration, memory *int64) { return &g.Stop, &g.Resend, &g.Memory }),
+	batchLimitFields(func(g *BatchGuard) (stop, resend *time.Duration, memory *int64) {
+		return &g.Stop, &g.ResendDelay, &g.Memory
+	}),
 	boundedLogFields(func(g *BatchGuard) *BoundedLog { return &g.Log }),
 )
 
--- a/internal/settings/guard.go
+++ b/internal/settings/guard.go
@@ -27,23 +27,23 @@
 
 // Upstream holds the settings of the connection to the member's service beside the guard.
 type Upstream struct {
-	URL          string // base URL
-	Path         string // overrides the path in the service record; empty for none
-	HealthPath   string // empty for no health checks
-	HealthPeriod time.Duration
-	Service      string // "member/service"
-	Slots        int64
-	Connections  int64
+	URL            string // base URL
+	Path           string // overrides the path in the service record; empty for none
+	HealthPath     string // empty for no health checks
+	HealthInterval time.Duration
+	Service        string // "member/service"
+	Slots          int64
+	Connections    int64
 }
 
 // GuardLimits bounds the resources of a guard.
 type GuardLimits struct {
-	HeaderTimeout time.Duration
-	AnswerBytes   int64         // maximum bytes of one answer of the upstream
-	HeldBytes     int64         // maximum bytes of all results held for collection
-	Retention     time.Duration // of the record of a start
-	Memory        int64         // soft memory limit of the process, in bytes
-	DrainTimeout  time.Duration
+	HeaderTimeout  time.Duration
+	MaxAnswerBytes int64         // maximum bytes of one answer of the upstream
+	HeldBytes      int64         // maximum bytes of all results held for collection
+	Retention      time.Duration // of the record of a start
+	Memory         int64         // soft memory limit of the process, in bytes
+	DrainTimeout   time.Duration
 }
 
 // defaultGuardMemory is the default soft memory limit. A guard may use 32 MB of its worker's
@@ -63,7 +63,7 @@
 		upstreamURLField(),
 		pathField("upstream", "path", "Path of requests at the upstream; the service record's if left out.", func(g *Guard) *string { return &g.Upstream.Path }),
 		pathField("upstream", "health_path", "Path that answers 2xx while the upstream can serve; no health checks if left out.", func(g *Guard) *string { return &g.Upstream.HealthPath }),
-		millisField("upstream", "health_period_ms", 1000, 100, 60_000, "Time between health checks.", func(g *Guard) *time.Duration { return &g.Upstream.HealthPeriod }),
+		millisField("upstream", "health_period_ms", 1000, 100, 60_000, "Time between health checks.", func(g *Guard) *time.Duration { return &g.Upstream.HealthInterval }),
 		serviceField("upstream", "service", "Service that the upstream serves.", func(g *Guard) *string { return &g.Upstream.Service }).markRequired(),
 		integerField("upstream", "slots", "tasks", 8, 1, 1024, "Tasks that the upstream runs at once.", func(g *Guard) *int64 { return &g.Upstream.Slots }),
 		integerField("upstream", "connections", "connections", 64, 1, 4096, "Most connections to the upstream.", func(g *Guard) *int64 { return &g.Upstream.Connections }),
@@ -74,7 +74,7 @@
 		func(g *Guard) *Fleet { return &g.Fleet }),
 	[]field[Guard]{
 		headerTimeoutField(func(g *Guard) *time.Duration { return &g.Limits.HeaderTimeout }),
-		integerField("limits", "answer_bytes", "bytes", 4*mib, kib, 4*mib, "Largest answer of the upstream to one task.", func(g *Guard) *int64 { return &g.Limits.AnswerBytes }),
+		integerField("limits", "answer_bytes", "bytes", 4*mib, kib, 4*mib, "Largest answer of the upstream to one task.", func(g *Guard) *int64 { return &g.Limits.MaxAnswerBytes }),
 		integerField("limits", "held_bytes", "bytes", 2*mib, mib, 1<<30, "Memory for results that an entry may still collect.", func(g *Guard) *int64 { return &g.Limits.HeldBytes }),
 		millisField("limits", "retention_ms", 900_000, 1000, 86_400_000, "Time for which a start is remembered. It must exceed the entries' `retention_ms`.", func(g *Guard) *time.Duration { return &g.Limits.Retention }),
 		memoryField(defaultGuardMemory, func(g *Guard) *int64 { return &g.Limits.Memory }),
--- a/internal/store/answer.go
+++ b/internal/store/answer.go
@@ -63,7 +63,7 @@
 	kind := ErrUnavailable
 	switch {
 	case body.Code == etcdjson.CodeNotFound && strings.Contains(body.Message, "lease"):
-		kind = ErrLeaseGone
+		kind = ErrLeaseNotFound
 	case body.Code == etcdjson.CodeOutOfRange && strings.Contains(body.Message, "compacted"):
 		kind = ErrCompacted
 	case body.Code == etcdjson.CodeInvalidArgument, rejectedStatuses[status]:
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -28,8 +28,8 @@
 // Unwrap returns ErrConflict, for errors.Is.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// Latest summarizes the state of a prefix without its keys and values.
-type Latest struct {
+// PrefixState summarizes the state of a prefix without its keys and values.
+type PrefixState struct {
 	ModRevision int64 // highest among the existing keys
 	Count       int64 // number of existing keys
 	Revision    int64 // store revision at the time of the response
--- a/internal/store/etcd.go
+++ b/internal/store/etcd.go
@@ -115,18 +115,18 @@
 	return kvs, resp.Header.Revision, nil
 }
 
-// Latest returns a summary of a prefix. It costs one call with a small
+// PrefixState returns a summary of a prefix. It costs one call with a small
 // response, so that callers can check cheaply whether the prefix changed.
-func (e *Etcd) Latest(ctx context.Context, prefix string) (Latest, error) {
+func (e *Etcd) PrefixState(ctx context.Context, prefix string) (PrefixState, error) {
 	req := etcdjson.RangeRequest{
 		Key: []byte(prefix), RangeEnd: etcdjson.PrefixEnd(prefix), Limit: 1, KeysOnly: true,
 		SortTarget: etcdjson.TargetMod, SortOrder: etcdjson.SortDescend,
 	}
 	var resp etcdjson.RangeResponse
 	if err := e.callIdempotent(ctx, "latest", etcdjson.PathRange, req, &resp); err != nil {
-		return Latest{}, err
+		return PrefixState{}, err
 	}
-	l := Latest{Count: resp.Count, Revision: resp.Header.Revision}
+	l := PrefixState{Count: resp.Count, Revision: resp.Header.Revision}
 	if len(resp.KVs) > 0 {
 		l.ModRevision = resp.KVs[0].ModRevision
 	}
@@ -195,7 +195,7 @@
 		return err
 	}
 	if msg.Result.TTL <= 0 {
-		return fmt.Errorf("store keepalive: %w", ErrLeaseGone)
+		return fmt.Errorf("store keepalive: %w", ErrLeaseNotFound)
 	}
 	return nil
 }
--- a/internal/store/etcd_test.go
+++ b/internal/store/etcd_test.go
@@ -51,9 +51,9 @@
 	c.Assert(err, qt.IsNil)
 	_, err = e.Delete(ctx, "/a/1", first)
 	c.Assert(err, qt.ErrorIs, store.ErrConflict)
-	latest, err := e.Latest(ctx, "/a/")
+	latest, err := e.PrefixState(ctx, "/a/")
 	c.Assert(err, qt.IsNil)
-	c.Assert(latest, qt.Equals, store.Latest{ModRevision: second, Count: 1, Revision: second + 1})
+	c.Assert(latest, qt.Equals, store.PrefixState{ModRevision: second, Count: 1, Revision: second + 1})
 }
 
 func TestWatchDeliversPastAndNewEvents(t *testing.T) {
@@ -108,12 +108,12 @@
 		kvs, _, _ := e.Range(ctx, "/entries/")
 		c.Assert(kvs, qt.HasLen, 1)
 		time.Sleep(2 * time.Second)
-		c.Assert(e.KeepAlive(ctx, id), qt.ErrorIs, store.ErrLeaseGone)
-		c.Assert(e.Revoke(ctx, id), qt.ErrorIs, store.ErrLeaseGone)
+		c.Assert(e.KeepAlive(ctx, id), qt.ErrorIs, store.ErrLeaseNotFound)
+		c.Assert(e.Revoke(ctx, id), qt.ErrorIs, store.ErrLeaseNotFound)
 		kvs, _, _ = e.Range(ctx, "/entries/")
 		c.Assert(kvs, qt.HasLen, 0)
 		_, err = e.Put(ctx, "/entries/a", []byte("x"), 0, id)
-		c.Assert(err, qt.ErrorIs, store.ErrLeaseGone)
+		c.Assert(err, qt.ErrorIs, store.ErrLeaseNotFound)
 	})
 }
 
@@ -137,7 +137,7 @@
 func TestLostResponseIsUnavailable(t *testing.T) {
 	c := qt.New(t)
 	e, server := newEmbedded(t)
-	server.LoseAnswers(1)
+	server.DropResponses(1)
 	_, err := e.Put(t.Context(), "/a", []byte("x"), 0, 0)
 	c.Assert(err, qt.ErrorIs, store.ErrUnavailable)
 	kvs, _, err := e.Range(t.Context(), "/a")
@@ -213,7 +213,7 @@
 	c.Assert(counter("store.calls.range"), qt.Equals, int64(1)) // the unreachable endpoint is now tried last
 
 	dropping, second := standin.New(), standin.New()
-	dropping.LoseAnswers(1)
+	dropping.DropResponses(1)
 	a, b := httptest.NewServer(dropping), httptest.NewServer(second)
 	defer a.Close()
 	defer b.Close()
--- a/internal/store/standin/faults.go
+++ b/internal/store/standin/faults.go
@@ -77,9 +77,9 @@
 	s.faults.delay = d
 }
 
-// LoseAnswers executes the next n writes and closes the connection instead of
+// DropResponses executes the next n writes and closes the connection instead of
 // sending their responses.
-func (s *Server) LoseAnswers(n int) {
+func (s *Server) DropResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.dropResponses = n
@@ -93,9 +93,9 @@
 	s.faults.writeDelays = writeDelays
 }
 
-// AnswerFrom makes reads return the content at a past revision, as a lagging
+// ServeStaleReads makes reads return the content at a past revision, as a lagging
 // replica does. 0 ends the fault.
-func (s *Server) AnswerFrom(revision int64) {
+func (s *Server) ServeStaleReads(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.staleRevision = revision
@@ -109,8 +109,8 @@
 	s.notifyWatches()
 }
 
-// DropWatches closes all open watches.
-func (s *Server) DropWatches() {
+// CloseWatches closes all open watches.
+func (s *Server) CloseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streamGeneration++
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,8 +21,8 @@
 	// ErrCompacted means that a watch requested revisions that the store has
 	// compacted. The watcher must read the whole prefix again.
 	ErrCompacted = errors.New("store: revision compacted")
-	// ErrLeaseGone means that the lease expired or was revoked.
-	ErrLeaseGone = errors.New("store: lease gone")
+	// ErrLeaseNotFound means that the lease expired or was revoked.
+	ErrLeaseNotFound = errors.New("store: lease gone")
 )
 
 // KV is a key with its value. ModRevision is the store-wide revision of the
@@ -67,7 +67,7 @@
 	Watch(ctx context.Context, prefix string, revision int64, out chan<- Batch) error
 	// Grant creates a lease that expires ttl after its last KeepAlive.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease. It returns ErrLeaseGone if the lease no longer
+	// KeepAlive renews a lease. It returns ErrLeaseNotFound if the lease no longer
 	// exists.
 	KeepAlive(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and deletes the keys attached to it.
--- a/internal/telemetry/families.go
+++ b/internal/telemetry/families.go
@@ -21,9 +21,9 @@
 	LinksLost
 	LinksRefused
 	TextsFetched
-	TextsMissed
-	CopiesSent
-	CopiesDelayed
+	TextFetchesFailed
+	ConfigCopiesSent
+	ConfigCopiesDelayed
 	LinksRevoked
 	HandshakesFailed
 	FramesOut
@@ -33,9 +33,9 @@
 	FramesUnknown
 	FramesRefused
 	ConfigsApplied
-	ForeignItems
-	CallersGone
-	OrdersUnknown
+	MalformedItems
+	CallersDisconnected
+	UnknownOrders
 	counterCount
 )
 
@@ -52,7 +52,7 @@
 	JobsHeld
 	RosterVersion
 	Waiters
-	LinkRate
+	LinkBandwidth
 	DomainsDrained
 	gaugeCount
 )
@@ -92,36 +92,36 @@
 )
 
 var counterFamilies = [counterCount]Family{
-	JobsAccepted:     {Name: "wigeontray_jobs_accepted_total", Help: "Jobs admitted."},
-	JobsAnswered:     {Name: "wigeontray_jobs_answered_total", Help: "Jobs that ended with every task's result."},
-	JobsFailed:       {Name: "wigeontray_jobs_failed_total", Help: "Admitted jobs that ended marked failed."},
-	JobsCancelled:    {Name: "wigeontray_jobs_cancelled_total", Help: "Admitted jobs that their caller cancelled."},
-	JobsResubmitted:  {Name: "wigeontray_jobs_resubmitted_total", Help: "Submissions of an identity that was known already; nothing was started for them."},
-	JobsForwarded:    {Name: "wigeontray_jobs_forwarded_total", Help: "Requests passed to the entry that owns their identity."},
-	TasksStarted:     {Name: "wigeontray_tasks_started_total", Help: "Starts sent to guards, repeated ones among them."},
-	TasksAnswered:    {Name: "wigeontray_tasks_answered_total", Help: "Tasks whose upstream answered."},
-	TasksNotStarted:  {Name: "wigeontray_tasks_not_started_total", Help: "Tasks of which a guard said that it will never start them."},
-	GuardsLost:       {Name: "wigeontray_guards_lost_total", Help: "Guards whose link broke without a planned stop."},
-	GuardsLeft:       {Name: "wigeontray_guards_left_total", Help: "Guards that announced a planned stop."},
-	LinksOpened:      {Name: "wigeontray_links_opened_total", Help: "Links opened to guards, entries or peers."},
-	LinksLost:        {Name: "wigeontray_links_lost_total", Help: "Links that ended for any reason."},
-	TextsFetched:     {Name: "wigeontray_texts_fetched_total", Help: "Texts of jobs that a guard got from another guard."},
-	TextsMissed:      {Name: "wigeontray_texts_missed_total", Help: "Texts of jobs that a guard did not get from another guard; their entry sends them."},
-	CopiesSent:       {Name: "wigeontray_config_copies_sent_total", Help: "Copies of the configuration that an entry sent to guards."},
-	CopiesDelayed:    {Name: "wigeontray_config_copies_delayed_total", Help: "Requests of guards for a copy of the configuration that were not answered, as too many copies were sent lately; the guard asks again."},
-	LinksRefused:     {Name: "wigeontray_links_refused_total", Help: "Links that ended at their first frame: a wrong key, a version too far away or claims beyond the limits."},
-	LinksRevoked:     {Name: "wigeontray_links_revoked_total", Help: "Links of guards that were closed because their member's record no longer lists their key."},
-	HandshakesFailed: {Name: "wigeontray_tls_handshakes_failed_total", Help: "Connections that ended in their TLS handshake, such as those with a certificate of another authority."},
-	FramesOut:        {Name: "wigeontray_frames_out_total", Help: "Frames sent on links."},
-	FramesIn:         {Name: "wigeontray_frames_in_total", Help: "Frames received on links."},
-	BytesOut:         {Name: "wigeontray_bytes_out_total", Help: "Payload bytes sent on links."},
-	BytesIn:          {Name: "wigeontray_bytes_in_total", Help: "Payload bytes received on links."},
-	FramesUnknown:    {Name: "wigeontray_frames_unknown_total", Help: "Frames of a kind that only a newer version knows; they were passed over."},
-	FramesRefused:    {Name: "wigeontray_frames_refused_total", Help: "Frames that their sender may not send: of a guard whose key is not verified yet, of the other kind of link, or about another member's job. They had no effect."},
-	ConfigsApplied:   {Name: "wigeontray_configs_applied_total", Help: "Configuration snapshots put in force."},
-	ForeignItems:     {Name: "wigeontray_foreign_items_total", Help: "Reports of workers, stored reports and listed addresses that are not of the expected form; they were passed over."},
-	OrdersUnknown:    {Name: "wigeontray_orders_unknown_total", Help: "Orders of the operators that were read and that this version has no meaning for; the log names their keys."},
-	CallersGone:      {Name: "wigeontray_callers_gone_total", Help: "Requests that were read after their caller had ended the connection; nothing was started for them."},
+	JobsAccepted:        {Name: "wigeontray_jobs_accepted_total", Help: "Jobs admitted."},
+	JobsAnswered:        {Name: "wigeontray_jobs_answered_total", Help: "Jobs that ended with every task's result."},
+	JobsFailed:          {Name: "wigeontray_jobs_failed_total", Help: "Admitted jobs that ended marked failed."},
+	JobsCancelled:       {Name: "wigeontray_jobs_cancelled_total", Help: "Admitted jobs that their caller cancelled."},
+	JobsResubmitted:     {Name: "wigeontray_jobs_resubmitted_total", Help: "Submissions of an identity that was known already; nothing was started for them."},
+	JobsForwarded:       {Name: "wigeontray_jobs_forwarded_total", Help: "Requests passed to the entry that owns their identity."},
+	TasksStarted:        {Name: "wigeontray_tasks_started_total", Help: "Starts sent to guards, repeated ones among them."},
+	TasksAnswered:       {Name: "wigeontray_tasks_answered_total", Help: "Tasks whose upstream answered."},
+	TasksNotStarted:     {Name: "wigeontray_tasks_not_started_total", Help: "Tasks of which a guard said that it will never start them."},
+	GuardsLost:          {Name: "wigeontray_guards_lost_total", Help: "Guards whose link broke without a planned stop."},
+	GuardsLeft:          {Name: "wigeontray_guards_left_total", Help: "Guards that announced a planned stop."},
+	LinksOpened:         {Name: "wigeontray_links_opened_total", Help: "Links opened to guards, entries or peers."},
+	LinksLost:           {Name: "wigeontray_links_lost_total", Help: "Links that ended for any reason."},
+	TextsFetched:        {Name: "wigeontray_texts_fetched_total", Help: "Texts of jobs that a guard got from another guard."},
+	TextFetchesFailed:   {Name: "wigeontray_texts_missed_total", Help: "Texts of jobs that a guard did not get from another guard; their entry sends them."},
+	ConfigCopiesSent:    {Name: "wigeontray_config_copies_sent_total", Help: "Copies of the configuration that an entry sent to guards."},
+	ConfigCopiesDelayed: {Name: "wigeontray_config_copies_delayed_total", Help: "Requests of guards for a copy of the configuration that were not answered, as too many copies were sent lately; the guard asks again."},
+	LinksRefused:        {Name: "wigeontray_links_refused_total", Help: "Links that ended at their first frame: a wrong key, a version too far away or claims beyond the limits."},
+	LinksRevoked:        {Name: "wigeontray_links_revoked_total", Help: "Links of guards that were closed because their member's record no longer lists their key."},
+	HandshakesFailed:    {Name: "wigeontray_tls_handshakes_failed_total", Help: "Connections that ended in their TLS handshake, such as those with a certificate of another authority."},
+	FramesOut:           {Name: "wigeontray_frames_out_total", Help: "Frames sent on links."},
+	FramesIn:            {Name: "wigeontray_frames_in_total", Help: "Frames received on links."},
+	BytesOut:            {Name: "wigeontray_bytes_out_total", Help: "Payload bytes sent on links."},
+	BytesIn:             {Name: "wigeontray_bytes_in_total", Help: "Payload bytes received on links."},
+	FramesUnknown:       {Name: "wigeontray_frames_unknown_total", Help: "Frames of a kind that only a newer version knows; they were passed over."},
+	FramesRefused:       {Name: "wigeontray_frames_refused_total", Help: "Frames that their sender may not send: of a guard whose key is not verified yet, of the other kind of link, or about another member's job. They had no effect."},
+	ConfigsApplied:      {Name: "wigeontray_configs_applied_total", Help: "Configuration snapshots put in force."},
+	MalformedItems:      {Name: "wigeontray_foreign_items_total", Help: "Reports of workers, stored reports and listed addresses that are not of the expected form; they were passed over."},
+	UnknownOrders:       {Name: "wigeontray_orders_unknown_total", Help: "Orders of the operators that were read and that this version has no meaning for; the log names their keys."},
+	CallersDisconnected: {Name: "wigeontray_callers_gone_total", Help: "Requests that were read after their caller had ended the connection; nothing was started for them."},
 }
 
 var gaugeFamilies = [gaugeCount]Family{
@@ -134,7 +134,7 @@
 	RosterVersion:  {Name: "wigeontray_roster_version", Help: "Version of the newest roster known."},
 	Waiters:        {Name: "wigeontray_waiters", Help: "Callers' requests open now."},
 	DomainsDrained: {Name: "wigeontray_domains_drained", Help: "Failure domains that the operators drain, as far as this process knows."},
-	LinkRate:       {Name: "wigeontray_link_bytes_per_second", Help: "Bandwidth from this entry to its guards in bytes a second, once it has been found to be thin; 0 before."},
+	LinkBandwidth:  {Name: "wigeontray_link_bytes_per_second", Help: "Bandwidth from this entry to its guards in bytes a second, once it has been found to be thin; 0 before."},
 }
 
 var latencyFamilies = [latencyCount]Family{
--- a/internal/telemetry/logqueue.go
+++ b/internal/telemetry/logqueue.go
@@ -55,8 +55,8 @@
 	return len(line), nil
 }
 
-// Routine returns a writer for routine lines, which are dropped first.
-func (q *LogQueue) Routine() io.Writer { return routineWriter{q} }
+// RoutineWriter returns a writer for routine lines, which are dropped first.
+func (q *LogQueue) RoutineWriter() io.Writer { return routineWriter{q} }
 
 type routineWriter struct{ q *LogQueue }
 
--- a/internal/telemetry/logqueue_test.go
+++ b/internal/telemetry/logqueue_test.go
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		q := NewLogQueue(&out, LogLimits{BytesPerSecond: 1000, QueueBytes: 2000})
-		routine := q.Routine()
+		routine := q.RoutineWriter()
 		for range 100 {
 			_, _ = routine.Write([]byte(strings.Repeat("r", 99) + "\n"))
 		}
--- a/internal/telemetry/registry.go
+++ b/internal/telemetry/registry.go
@@ -81,15 +81,15 @@
 // Observe adds a duration to l.
 func (r *Registry) Observe(l Latency, d time.Duration) { r.latencies[l].Update(int64(d)) }
 
-// Refused counts a request that was not admitted. A kind that this build does not define
+// CountRefusal counts a request that was not admitted. A kind that this build does not define
 // counts as Internal, which is also the response to it.
-func (r *Registry) Refused(k errkind.Kind) { counterFor(r.refusals, k).Inc(1) }
+func (r *Registry) CountRefusal(k errkind.Kind) { counterFor(r.refusals, k).Inc(1) }
 
-// Failed counts a task of an admitted job that ended without a result.
-func (r *Registry) Failed(k errkind.Kind) { counterFor(r.failures, k).Inc(1) }
+// CountFailure counts a task of an admitted job that ended without a result.
+func (r *Registry) CountFailure(k errkind.Kind) { counterFor(r.failures, k).Inc(1) }
 
-// Retried counts a retry.
-func (r *Registry) Retried(reason RetryReason) { r.retries[reason].Inc(1) }
+// CountRetry counts a retry.
+func (r *Registry) CountRetry(reason RetryReason) { r.retries[reason].Inc(1) }
 
 // Refusals returns the number of requests refused with k.
 func (r *Registry) Refusals(k errkind.Kind) int64 { return counterFor(r.refusals, k).Count() }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -24,9 +24,9 @@
 func TestExposition(t *testing.T) {
 	c := qt.New(t)
 	r := New()
-	r.Refused(errkind.Busy)
-	r.Failed(errkind.WorkerLost)
-	r.Retried(RetryDraining)
+	r.CountRefusal(errkind.Busy)
+	r.CountFailure(errkind.WorkerLost)
+	r.CountRetry(RetryDraining)
 	r.Inc(JobsAccepted)
 	r.Set(Peers, 88)
 	r.Observe(JobLatency, 3*time.Millisecond)
@@ -70,8 +70,8 @@
 	c := qt.New(t)
 	r := New()
 	allocs := testing.AllocsPerRun(100, func() {
-		r.Refused(errkind.Busy)
-		r.Retried(RetryBusy)
+		r.CountRefusal(errkind.Busy)
+		r.CountRetry(RetryBusy)
 		r.Inc(TasksStarted)
 		r.Observe(TaskRunLatency, time.Second)
 	})
@@ -81,7 +81,7 @@
 func TestUnknownKindCountsAsInternal(t *testing.T) {
 	c := qt.New(t)
 	r := New()
-	r.Refused(errkind.Kind(250))
+	r.CountRefusal(errkind.Kind(250))
 	c.Assert(r.Refusals(errkind.Internal), qt.Equals, int64(1))
 }
 
--- a/internal/tlsconf/generate.go
+++ b/internal/tlsconf/generate.go
@@ -17,12 +17,12 @@
 
 // Names of the files that GenerateFleet writes.
 const (
-	AuthorityCert = "ca.pem"
-	AuthorityKey  = "ca-key.pem" // needed only to issue more certificates; must not be stored on a VM of the fleet
-	EntryCert     = "entry.pem"
-	EntryKey      = "entry-key.pem"
-	GuardCert     = "guard.pem"
-	GuardKey      = "guard-key.pem"
+	CACertFile    = "ca.pem"
+	CAKeyFile     = "ca-key.pem" // needed only to issue more certificates; must not be stored on a VM of the fleet
+	EntryCertFile = "entry.pem"
+	EntryKeyFile  = "entry-key.pem"
+	GuardCertFile = "guard.pem"
+	GuardKeyFile  = "guard-key.pem"
 )
 
 const (
@@ -73,9 +73,9 @@
 		cert, key string
 		pair      *issuedCert
 	}{
-		{AuthorityCert, AuthorityKey, ca},
-		{EntryCert, EntryKey, entry},
-		{GuardCert, GuardKey, guard},
+		{CACertFile, CAKeyFile, ca},
+		{EntryCertFile, EntryKeyFile, entry},
+		{GuardCertFile, GuardKeyFile, guard},
 	}
 	for _, f := range files {
 		if err := writeCertAndKey(filepath.Join(dir, f.cert), filepath.Join(dir, f.key), f.pair); err != nil {
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -81,10 +81,10 @@
 	return &tls.Config{MinVersion: minInternalVersion, Certificates: []tls.Certificate{cert}, RootCAs: pool}, nil
 }
 
-// OutsideClient returns the configuration for dialing the platform's store, or an
+// ExternalClient returns the configuration for dialing the platform's store, or an
 // entry as a caller. With an empty CA the system's root certificates are used;
 // with empty Cert and Key no client certificate is presented.
-func OutsideClient(f Files) (*tls.Config, error) {
+func ExternalClient(f Files) (*tls.Config, error) {
 	c := &tls.Config{MinVersion: minExternalVersion}
 	if f.CA != "" {
 		pool, err := loadCertPool(f.CA)
--- a/internal/tlsconf/tlsconf_test.go
+++ b/internal/tlsconf/tlsconf_test.go
@@ -18,7 +18,7 @@
 	dir := c.TempDir()
 	c.Assert(GenerateFleet(dir, []string{"127.0.0.1", "entry-1.example"}, time.Now()), qt.IsNil)
 	pathOf := func(name string) string { return filepath.Join(dir, name) }
-	return Files{pathOf(EntryCert), pathOf(EntryKey), pathOf(AuthorityCert)}, Files{pathOf(GuardCert), pathOf(GuardKey), pathOf(AuthorityCert)}
+	return Files{pathOf(EntryCertFile), pathOf(EntryKeyFile), pathOf(CACertFile)}, Files{pathOf(GuardCertFile), pathOf(GuardKeyFile), pathOf(CACertFile)}
 }
 
 // handshake connects a client and a server over loopback and returns the error of
@@ -73,7 +73,7 @@
 	entry, _ := generateTestFleet(c)
 	server, err := InnerServer(entry)
 	c.Assert(err, qt.IsNil)
-	withoutCert, err := OutsideClient(Files{CA: entry.CA})
+	withoutCert, err := ExternalClient(Files{CA: entry.CA})
 	c.Assert(err, qt.IsNil)
 	serverErr, clientErr := handshake(c, server, withoutCert)
 	c.Assert(serverErr, qt.IsNotNil)
@@ -113,7 +113,7 @@
 
 	callers, err := CallerServer(entry)
 	c.Assert(err, qt.IsNil)
-	caller, err := OutsideClient(Files{CA: entry.CA})
+	caller, err := ExternalClient(Files{CA: entry.CA})
 	c.Assert(err, qt.IsNil)
 	caller.MaxVersion = tls.VersionTLS12
 	serverErr, clientErr := handshake(c, callers, caller)
@@ -129,7 +129,7 @@
 	entry.CA = ""
 	_, err = InnerServer(entry)
 	c.Assert(err, qt.ErrorIs, errNoCA)
-	_, err = OutsideClient(Files{CA: "absent.pem"})
+	_, err = ExternalClient(Files{CA: "absent.pem"})
 	c.Assert(err, qt.ErrorMatches, ".*absent.pem.*")
 }
 
@@ -139,13 +139,13 @@
 	c := qt.New(t)
 	dir := c.TempDir()
 	c.Assert(GenerateFleet(dir, []string{"127.0.0.1"}, time.Now()), qt.IsNil)
-	before, err := os.ReadFile(filepath.Join(dir, AuthorityCert))
+	before, err := os.ReadFile(filepath.Join(dir, CACertFile))
 	c.Assert(err, qt.IsNil)
 	c.Assert(GenerateFleet(dir, []string{"127.0.0.1"}, time.Now()), qt.ErrorMatches, ".*file exists")
-	after, err := os.ReadFile(filepath.Join(dir, AuthorityCert))
+	after, err := os.ReadFile(filepath.Join(dir, CACertFile))
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(after), qt.Equals, string(before))
-	info, err := os.Stat(filepath.Join(dir, GuardKey))
+	info, err := os.Stat(filepath.Join(dir, GuardKeyFile))
 	c.Assert(err, qt.IsNil)
 	c.Assert(info.Mode().Perm(), qt.Equals, os.FileMode(keyMode))
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// connectTimeoutKey is the context key of the timeout set by ConnectWithin.
+// connectTimeoutKey is the context key of the timeout set by WithConnectTimeout.
 type connectTimeoutKey struct{}
 
-// ConnectWithin limits the time that a link dialed with ctx may take to establish its TCP
+// WithConnectTimeout limits the time that a link dialed with ctx may take to establish its TCP
 // connection, in addition to the deadline of ctx for the whole handshake. A powered-off VM
 // does not respond at all; waiting out the full handshake timeout would delay the next
 // attempt although the VM may be back meanwhile.
-func ConnectWithin(ctx context.Context, timeout time.Duration) context.Context {
+func WithConnectTimeout(ctx context.Context, timeout time.Duration) context.Context {
 	return context.WithValue(ctx, connectTimeoutKey{}, timeout)
 }
 
-// ConnectTime returns the timeout set by ConnectWithin, and false if there is none.
-func ConnectTime(ctx context.Context) (time.Duration, bool) {
+// ConnectTimeout returns the timeout set by WithConnectTimeout, and false if there is none.
+func ConnectTimeout(ctx context.Context) (time.Duration, bool) {
 	timeout, ok := ctx.Value(connectTimeoutKey{}).(time.Duration)
 	return timeout, ok
 }
@@ -32,7 +32,7 @@
 func NewClient(tlsConfig *tls.Config) *http.Client {
 	dialer := &net.Dialer{KeepAlive: -1}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		if timeout, ok := ConnectTime(ctx); ok {
+		if timeout, ok := ConnectTimeout(ctx); ok {
 			var cancel context.CancelFunc
 			ctx, cancel = context.WithTimeout(ctx, timeout)
 			defer cancel()
--- a/internal/wire/link_test.go
+++ b/internal/wire/link_test.go
@@ -150,7 +150,7 @@
 				qt.Assert(t, link.Send(&Frame{Start: &Start{LeftMs: 1000}}), qt.IsNil)
 				elapsed, ended := timeUntilDone(link, time.Hour)
 				qt.Assert(t, ended, qt.IsTrue)
-				qt.Assert(t, elapsed, qt.Equals, NoticeWithin)
+				qt.Assert(t, elapsed, qt.Equals, FailureDetectionTime)
 				_, err := link.Recv(t.Context())
 				qt.Assert(t, err, qt.IsNotNil)
 			})
@@ -189,7 +189,7 @@
 		p.partitioned.Store(true)
 		elapsed, ended = timeUntilDone(p.dialed, time.Hour)
 		qt.Assert(t, ended, qt.IsTrue)
-		qt.Assert(t, elapsed, qt.Equals, PingEvery+pingTimeout)
+		qt.Assert(t, elapsed, qt.Equals, PingInterval+pingTimeout)
 	})
 }
 
@@ -202,7 +202,7 @@
 		synctest.Wait()
 		before := p.writes.Load()
 		const periods = 10
-		time.Sleep(periods*PingEvery + time.Second)
+		time.Sleep(periods*PingInterval + time.Second)
 		const pingAndAnswer = 2
 		qt.Assert(t, p.writes.Load()-before, qt.Equals, int64(periods*pingAndAnswer))
 	})
--- a/internal/wire/liveness.go
+++ b/internal/wire/liveness.go
@@ -7,8 +7,8 @@
 
 // Timing of the liveness check.
 const (
-	// PingEvery is the idle time after which the dialing end sends a ping.
-	PingEvery = 30 * time.Second
+	// PingInterval is the idle time after which the dialing end sends a ping.
+	PingInterval = 30 * time.Second
 	// idleTimeout is the idle time after which the accepting end closes the link. It leaves
 	// room for one ping of the dialing end.
 	idleTimeout = 45 * time.Second
@@ -17,9 +17,9 @@
 	responseTimeout = time.Second
 	// pingTimeout bounds the wait for a pong.
 	pingTimeout = 2 * time.Second
-	// NoticeWithin is the time in which a failed peer is detected after a frame was sent to
+	// FailureDetectionTime is the time in which a failed peer is detected after a frame was sent to
 	// it.
-	NoticeWithin = responseTimeout + pingTimeout
+	FailureDetectionTime = responseTimeout + pingTimeout
 )
 
 // action is the result of a liveness check.
@@ -104,7 +104,7 @@
 	}
 	l.awaitingSince = l.lastReceived
 	l.pingDelay *= 2
-	if l.dialed || l.pingDelay > PingEvery {
+	if l.dialed || l.pingDelay > PingInterval {
 		l.awaitingSince = time.Time{}
 	}
 }
@@ -141,7 +141,7 @@
 // idleDeadline returns when a link without traffic has to be checked. l.mu must be held.
 func (l *liveness) idleDeadline() time.Time {
 	if l.dialed {
-		return l.lastReceived.Add(PingEvery)
+		return l.lastReceived.Add(PingInterval)
 	}
 	return l.lastReceived.Add(idleTimeout)
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -23,50 +23,50 @@
 
 // Protocol versions in which features were introduced.
 const (
-	PackedSince = 2 // compressed job texts
-	AsksSince   = 2 // an entry requests a configuration whose version is announced to it
-	PiecesSince = 3 // a guard accepts a configuration in pieces
+	PackedTextVersion    = 2 // compressed job texts
+	ConfigRequestVersion = 2 // an entry requests a configuration whose version is announced to it
+	ConfigPiecesVersion  = 3 // a guard accepts a configuration in pieces
 )
 
 // Frame is the content of one WebSocket message. Exactly one of its fields is set. A frame
 // with none set has a type that only newer versions define; it is counted and ignored.
 type Frame struct {
-	Hello       *Hello       `cbor:"1,keyasint,omitempty"`
-	Welcome     *Welcome     `cbor:"2,keyasint,omitempty"`
-	Start       *Start       `cbor:"3,keyasint,omitempty"`
-	Result      *Result      `cbor:"4,keyasint,omitempty"`
-	Cancel      *Cancel      `cbor:"5,keyasint,omitempty"`
-	Load        *Load        `cbor:"6,keyasint,omitempty"`
-	Reserve     *Reserve     `cbor:"7,keyasint,omitempty"`
-	Offer       *Offer       `cbor:"8,keyasint,omitempty"`
-	Fence       *Fence       `cbor:"9,keyasint,omitempty"`
-	FenceReport *FenceReport `cbor:"10,keyasint,omitempty"`
-	Config      *Config      `cbor:"11,keyasint,omitempty"`
-	ConfigAck   *ConfigAck   `cbor:"12,keyasint,omitempty"`
-	PeerHello   *PeerHello   `cbor:"13,keyasint,omitempty"`
-	Promise     *Promise     `cbor:"14,keyasint,omitempty"`
-	Roster      *Roster      `cbor:"15,keyasint,omitempty"`
-	Join        *Join        `cbor:"16,keyasint,omitempty"`
-	Forward     *Forward     `cbor:"17,keyasint,omitempty"`
-	Forwarded   *Forwarded   `cbor:"18,keyasint,omitempty"`
-	Collect     *Collect     `cbor:"19,keyasint,omitempty"`
-	Collected   *Collected   `cbor:"20,keyasint,omitempty"`
-	Goodbye     *Goodbye     `cbor:"21,keyasint,omitempty"`
-	Witness     *Witness     `cbor:"22,keyasint,omitempty"`
-	Witnessed   *Witnessed   `cbor:"23,keyasint,omitempty"`
-	RunHello    *RunHello    `cbor:"24,keyasint,omitempty"`
-	RunWelcome  *RunWelcome  `cbor:"25,keyasint,omitempty"`
-	RunTasks    *RunTasks    `cbor:"26,keyasint,omitempty"`
-	RunsEnded   *RunsEnded   `cbor:"27,keyasint,omitempty"`
-	StopRuns    *StopRuns    `cbor:"28,keyasint,omitempty"`
-	EntryBeat   *EntryBeat   `cbor:"29,keyasint,omitempty"`
-	GuardBeat   *GuardBeat   `cbor:"30,keyasint,omitempty"`
-	Desired     *Desired     `cbor:"31,keyasint,omitempty"`
-	Entries     *Entries     `cbor:"32,keyasint,omitempty"`
-	JobQuery    *JobQuery    `cbor:"33,keyasint,omitempty"`
-	JobReport   *JobReport   `cbor:"34,keyasint,omitempty"`
-	Drains      *Drains      `cbor:"35,keyasint,omitempty"`
-	WorkerCrash *WorkerCrash `cbor:"36,keyasint,omitempty"`
+	Hello          *Hello          `cbor:"1,keyasint,omitempty"`
+	Welcome        *Welcome        `cbor:"2,keyasint,omitempty"`
+	Start          *Start          `cbor:"3,keyasint,omitempty"`
+	Result         *Result         `cbor:"4,keyasint,omitempty"`
+	Cancel         *Cancel         `cbor:"5,keyasint,omitempty"`
+	Load           *Load           `cbor:"6,keyasint,omitempty"`
+	Reserve        *Reserve        `cbor:"7,keyasint,omitempty"`
+	Offer          *Offer          `cbor:"8,keyasint,omitempty"`
+	Fence          *Fence          `cbor:"9,keyasint,omitempty"`
+	FenceReport    *FenceReport    `cbor:"10,keyasint,omitempty"`
+	Config         *Config         `cbor:"11,keyasint,omitempty"`
+	ConfigAck      *ConfigAck      `cbor:"12,keyasint,omitempty"`
+	PeerHello      *PeerHello      `cbor:"13,keyasint,omitempty"`
+	Promise        *Promise        `cbor:"14,keyasint,omitempty"`
+	Roster         *Roster         `cbor:"15,keyasint,omitempty"`
+	Join           *Join           `cbor:"16,keyasint,omitempty"`
+	Forward        *Forward        `cbor:"17,keyasint,omitempty"`
+	Forwarded      *Forwarded      `cbor:"18,keyasint,omitempty"`
+	Collect        *Collect        `cbor:"19,keyasint,omitempty"`
+	Collected      *Collected      `cbor:"20,keyasint,omitempty"`
+	StopNotice     *StopNotice     `cbor:"21,keyasint,omitempty"`
+	Witness        *Witness        `cbor:"22,keyasint,omitempty"`
+	WitnessAck     *WitnessAck     `cbor:"23,keyasint,omitempty"`
+	RunHello       *RunHello       `cbor:"24,keyasint,omitempty"`
+	RunWelcome     *RunWelcome     `cbor:"25,keyasint,omitempty"`
+	RunTasks       *RunTasks       `cbor:"26,keyasint,omitempty"`
+	RunsEnded      *RunsEnded      `cbor:"27,keyasint,omitempty"`
+	StopRuns       *StopRuns       `cbor:"28,keyasint,omitempty"`
+	EntryHeartbeat *EntryHeartbeat `cbor:"29,keyasint,omitempty"`
+	GuardHeartbeat *GuardHeartbeat `cbor:"30,keyasint,omitempty"`
+	DesiredConfig  *DesiredConfig  `cbor:"31,keyasint,omitempty"`
+	Entries        *Entries        `cbor:"32,keyasint,omitempty"`
+	JobQuery       *JobQuery       `cbor:"33,keyasint,omitempty"`
+	JobReport      *JobReport      `cbor:"34,keyasint,omitempty"`
+	Drains         *Drains         `cbor:"35,keyasint,omitempty"`
+	WorkerCrash    *WorkerCrash    `cbor:"36,keyasint,omitempty"`
 }
 
 // Hello opens a link from a guard to an entry and describes the guard's upstream.
@@ -121,7 +121,7 @@
 	LeftMs  int64                `cbor:"4,keyasint"`           // time left until the deadline
 	WaitMs  int64                `cbor:"5,keyasint,omitempty"` // how long the task may wait for a slot; 0 means refuse with Busy if none is free
 	Body    []byte               `cbor:"6,keyasint"`
-	Offered uint64               `cbor:"7,keyasint,omitempty"` // ID of the Offer that this start uses
+	OfferID uint64               `cbor:"7,keyasint,omitempty"` // ID of the Offer that this start uses
 }
 
 // Result reports the outcome of a task.
@@ -173,15 +173,15 @@
 // Fence instructs a guard to ignore the entry Gone permanently. The guard responds with all
 // tasks that it ever started for that entry.
 type Fence struct {
-	Gone identity.Incarnation `cbor:"1,keyasint"`
+	FencedEntry identity.Incarnation `cbor:"1,keyasint"`
 	// SinceMs limits the report to identities created at or after this time.
 	SinceMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
 // FenceReport is the response to a Fence.
 type FenceReport struct {
-	Gone    identity.Incarnation `cbor:"1,keyasint"`
-	Started []Started            `cbor:"2,keyasint,omitempty"`
+	FencedEntry identity.Incarnation `cbor:"1,keyasint"`
+	Started     []Started            `cbor:"2,keyasint,omitempty"`
 	// FloorMs is the creation time below which the guard no longer stores starts, or the
 	// requested SinceMs, whichever is greater.
 	FloorMs int64 `cbor:"3,keyasint,omitempty"`
@@ -223,14 +223,14 @@
 }
 
 // DroppedGuard is a guard at which the sender starts no more tasks. Identities created at
-// or after AfterMs were never sent to it.
+// or after RetryAfterMs were never sent to it.
 type DroppedGuard struct {
 	Guard   identity.Incarnation `cbor:"1,keyasint"`
 	AfterMs int64                `cbor:"2,keyasint"`
 }
 
-// Witnessed acknowledges a Witness.
-type Witnessed struct {
+// WitnessAck acknowledges a Witness.
+type WitnessAck struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
@@ -308,11 +308,11 @@
 	Status int          `cbor:"2,keyasint"`
 	Body   []byte       `cbor:"3,keyasint,omitempty"`
 	Kind   errkind.Kind `cbor:"4,keyasint,omitempty"`
-	// AfterMs is the Retry-After time of the response; 0 if there is none.
-	AfterMs int64 `cbor:"5,keyasint,omitempty"`
+	// RetryAfterMs is the Retry-After time of the response; 0 if there is none.
+	RetryAfterMs int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Goodbye announces a planned stop. The sender starts no more tasks.
-type Goodbye struct {
+// StopNotice announces a planned stop. The sender starts no more tasks.
+type StopNotice struct {
 	Reason string `cbor:"1,keyasint,omitempty"`
 }
