--- a/internal/wire/runs.go
+++ b/internal/wire/runs.go
@@ -36,24 +36,24 @@
 
 // RunWorker describes the worker of a guard.
 type RunWorker struct {
-	ID       string     `cbor:"1,keyasint,omitempty"` // identifies one incarnation of the worker process; empty while there is none
-	Service  string     `cbor:"2,keyasint,omitempty"`
-	Domain   string     `cbor:"3,keyasint,omitempty"` // failure domain
-	Rack     string     `cbor:"4,keyasint,omitempty"`
-	Labels   []string   `cbor:"5,keyasint,omitempty"`
-	Capacity sched.Room `cbor:"6,keyasint"`
-	Usable   bool       `cbor:"7,keyasint,omitempty"`  // accepts new tasks
-	Leaving  bool       `cbor:"8,keyasint,omitempty"`  // the worker or its guard has announced that it stops
-	Slow     bool       `cbor:"9,keyasint,omitempty"`  // its runs progress much more slowly than expected
-	Cold     bool       `cbor:"10,keyasint,omitempty"` // it reports that it is slow for now, after its start or a drain
+	ID       string          `cbor:"1,keyasint,omitempty"` // identifies one incarnation of the worker process; empty while there is none
+	Service  string          `cbor:"2,keyasint,omitempty"`
+	Domain   string          `cbor:"3,keyasint,omitempty"` // failure domain
+	Rack     string          `cbor:"4,keyasint,omitempty"`
+	Labels   []string        `cbor:"5,keyasint,omitempty"`
+	Capacity sched.Resources `cbor:"6,keyasint"`
+	Usable   bool            `cbor:"7,keyasint,omitempty"`  // accepts new tasks
+	Leaving  bool            `cbor:"8,keyasint,omitempty"`  // the worker or its guard has announced that it stops
+	Slow     bool            `cbor:"9,keyasint,omitempty"`  // its runs progress much more slowly than expected
+	Cold     bool            `cbor:"10,keyasint,omitempty"` // it reports that it is slow for now, after its start or a drain
 }
 
 // RunLoad is the state of a guard at one moment, as reported to one entry.
 type RunLoad struct {
-	ClockMs int64      `cbor:"1,keyasint"`           // the guard's clock, which includes time in suspension
-	Seen    uint64     `cbor:"2,keyasint,omitempty"` // Seq of the last RunTasks of the entry that this report accounts for
-	Free    sched.Room `cbor:"3,keyasint"`           // free capacity, without what is offered to other entries
-	AgeMs   int64      `cbor:"4,keyasint,omitempty"` // age of the RunTasks with Seq Seen when it arrived
+	ClockMs int64           `cbor:"1,keyasint"`           // the guard's clock, which includes time in suspension
+	SeenSeq uint64          `cbor:"2,keyasint,omitempty"` // Seq of the last RunTasks of the entry that this report accounts for
+	Free    sched.Resources `cbor:"3,keyasint"`           // free capacity, without what is offered to other entries
+	AgeMs   int64           `cbor:"4,keyasint,omitempty"` // age of the RunTasks with Seq Seen when it arrived
 }
 
 // RunTasks asks a guard to start tasks of one job. Tasks that do not fit are refused at
@@ -83,23 +83,23 @@
 // means that no task waits.
 type RunDemand struct {
 	CPU      int64 `cbor:"1,keyasint,omitempty"` // total, in thousandths of a core
-	LeastCPU int64 `cbor:"2,keyasint,omitempty"` // of the smallest task
+	MinCPU   int64 `cbor:"2,keyasint,omitempty"` // of the smallest task
 	Priority int   `cbor:"3,keyasint,omitempty"` // of the most urgent task; 0 is the most urgent
-	// UrgentCPU is the CPU need of the smallest of the most urgent tasks.
-	UrgentCPU int64 `cbor:"4,keyasint,omitempty"`
+	// MinUrgentCPU is the CPU need of the smallest of the most urgent tasks.
+	MinUrgentCPU int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // RunTask is one task to start. Run numbers the starts of the task, from 1.
 type RunTask struct {
-	Step  int        `cbor:"1,keyasint"`
-	Index int        `cbor:"2,keyasint"`
-	Run   int64      `cbor:"3,keyasint"`
-	Need  sched.Room `cbor:"4,keyasint"`
+	Step  int             `cbor:"1,keyasint"`
+	Index int             `cbor:"2,keyasint"`
+	Run   int64           `cbor:"3,keyasint"`
+	Need  sched.Resources `cbor:"4,keyasint"`
 	// ExpectMs is the expected run time; 0 if unknown.
 	ExpectMs int64 `cbor:"5,keyasint,omitempty"`
 	// Moved reports that an earlier run was returned because it was too slow; this run must
 	// not be returned again.
-	Moved bool `cbor:"6,keyasint,omitempty"`
+	Relocated bool `cbor:"6,keyasint,omitempty"`
 	// Crashes counts the worker crashes during which the task was running or may have been.
 	Crashes int `cbor:"7,keyasint,omitempty"`
 }
@@ -123,8 +123,8 @@
 	RunMs int64        `cbor:"7,keyasint,omitempty"` // from start to end
 	// Renumber asks for a greater Run: the worker has already seen this one or a later one.
 	Renumber bool `cbor:"8,keyasint,omitempty"`
-	// NoText reports that the text could not be fetched from its Source.
-	NoText bool `cbor:"9,keyasint,omitempty"`
+	// TextUnavailable reports that the text could not be fetched from its Source.
+	TextUnavailable bool `cbor:"9,keyasint,omitempty"`
 	// Crashed reports that the worker crashed while the run was on it.
 	Crashed bool `cbor:"10,keyasint,omitempty"`
 	// Suspected reports that the worker crashed and that the run may have been on it.
@@ -137,25 +137,25 @@
 	Job     string `cbor:"2,keyasint"`
 }
 
-// EntryBeat is the heartbeat of an entry: it is alive and still needs its tasks at the
+// EntryHeartbeat is the heartbeat of an entry: it is alive and still needs its tasks at the
 // guard.
-type EntryBeat struct {
+type EntryHeartbeat struct {
 	ClockMs int64 `cbor:"1,keyasint"` // as in RunTasks
 	// Demand covers the tasks for which the entry sees no capacity. The guard offers
 	// capacity to the entry when some becomes free.
 	Demand RunDemand `cbor:"2,keyasint"`
 }
 
-// GuardBeat is the heartbeat of a guard, with its state.
-type GuardBeat struct {
+// GuardHeartbeat is the heartbeat of a guard, with its state.
+type GuardHeartbeat struct {
 	Load   RunLoad    `cbor:"1,keyasint"`
 	Worker *RunWorker `cbor:"2,keyasint,omitempty"` // set if it has changed
 }
 
-// Desired carries the operators' configuration document as they wrote it. A process applies
+// DesiredConfig carries the operators' configuration document as they wrote it. A process applies
 // the highest version that it has received. Without a document it announces the version
 // that the sender holds.
-type Desired struct {
+type DesiredConfig struct {
 	Version  int64  `cbor:"1,keyasint"`
 	Document []byte `cbor:"2,keyasint,omitempty"`
 	Ask      bool   `cbor:"3,keyasint,omitempty"` // the sender requests a newer version
@@ -172,11 +172,11 @@
 	Domains  []string `cbor:"2,keyasint,omitempty"` // sorted
 }
 
-// Has reports whether a failure domain is drained.
-func (d *Drains) Has(domain string) bool { return slices.Contains(d.Domains, domain) }
+// Contains reports whether a failure domain is drained.
+func (d *Drains) Contains(domain string) bool { return slices.Contains(d.Domains, domain) }
 
-// Same reports whether both list the same domains, regardless of the revision.
-func (d *Drains) Same(o *Drains) bool { return slices.Equal(d.Domains, o.Domains) }
+// SameDomains reports whether both list the same domains, regardless of the revision.
+func (d *Drains) SameDomains(o *Drains) bool { return slices.Equal(d.Domains, o.Domains) }
 
 // WorkerCrash reports to an entry which tasks of other entries were on a worker when it
 // crashed, since their jobs may be submitted to this entry next.
@@ -210,8 +210,8 @@
 
 // JobReport is the response to a JobQuery. The guard relays it to the entry To.
 type JobReport struct {
-	Seq   uint64               `cbor:"1,keyasint"`
-	To    identity.Incarnation `cbor:"2,keyasint"`
-	State int                  `cbor:"3,keyasint,omitempty"` // a batch.State; 0 if the job is unknown to the sender
-	Asked *int                 `cbor:"4,keyasint,omitempty"` // set by the guard: number of entries that were asked
+	Seq            uint64               `cbor:"1,keyasint"`
+	To             identity.Incarnation `cbor:"2,keyasint"`
+	State          int                  `cbor:"3,keyasint,omitempty"` // a batch.State; 0 if the job is unknown to the sender
+	QueriedEntries *int                 `cbor:"4,keyasint,omitempty"` // set by the guard: number of entries that were asked
 }
