--- a/internal/runs/api.go
+++ b/internal/runs/api.go
@@ -50,8 +50,8 @@
 	Labels   []string
 	Capacity sched.Resources
 	Cold     bool // temporarily slow after a start or a drain
-	// Recalled reports whether an earlier guard received and stored the report. The
-	// capacity may have shrunk since.
+	// IsRecalled reports whether an earlier process of the guard received and stored the
+	// report. The capacity may have shrunk since.
 	IsRecalled bool `json:"-"`
 }
 
@@ -62,11 +62,10 @@
 	maxGPUs     = 1 << 16
 )
 
-// Check returns an error if the report does not describe a usable worker. The report may
-// come from a foreign writer: without a clock, the worker would get a fencing token below
-// those of earlier guards, and an implausible capacity would allow more tasks than the
-// worker has room for. A capacity of zero is valid, because a worker may temporarily have
-// none left.
+// Check returns an error if the report does not describe a usable worker. The report may come from
+// another program than a worker: without a clock, the worker would get a fencing token below those
+// of earlier guards, and an implausible capacity would allow more tasks than the worker has room
+// for. A capacity of zero is valid, because a worker may temporarily have none left.
 func (r *Report) Check() error {
 	switch {
 	case r.ID == "":
@@ -93,38 +92,39 @@
 	UntilMs int64  // end of the lease on the worker's clock; 0 leaves it unchanged
 }
 
-// Start requests that the worker start a run. Pass the answer to Machine.Started.
+// Start requests that the worker start a run. Pass the answer to
+// Machine.HandleStartAnswer.
 type Start struct {
 	Lease
 	Key     Key
 	Text    string        // description of the job's tasks, for the worker
-	Timeout time.Duration // timeout
+	Timeout time.Duration // after this time the verdict is NoAnswer
 }
 
 // Fetch requests the text of a job from another guard. Pass the answer to
-// Machine.Fetched.
+// Machine.HandleFetchAnswer.
 type Fetch struct {
 	From    identity.Incarnation // the entry that sent the job
 	Job     string
 	Source  string        // address of the other guard
-	Timeout time.Duration // timeout
+	Timeout time.Duration // after this time the text counts as unavailable
 }
 
 // Stop requests that the worker end a run, or never start it. Pass the answer to
-// Machine.Stopped.
+// Machine.HandleStopAnswer.
 type Stop struct {
 	Lease
 	Key     Key
-	Timeout time.Duration // timeout
+	Timeout time.Duration // after this time the verdict is NoAnswer
 }
 
 // Hold is a long poll that renews the lease and requests the lists of active and ended
-// runs. Pass the answer to Machine.Held. At most one Hold is in flight at a time.
+// runs. Pass the answer to Machine.HandleHoldAnswer. At most one Hold is in flight at a time.
 type Hold struct {
 	Lease
 	Ack     int64         // acknowledges the ends up to this number
 	Wait    time.Duration // the worker answers when a run ends, at the latest after Wait
-	Timeout time.Duration // timeout, counted from the end of Wait
+	Timeout time.Duration // after Wait and this time the verdict is NoAnswer
 }
 
 // Send is a frame to send to an entry.
--- a/internal/runs/capacity_test.go
+++ b/internal/runs/capacity_test.go
@@ -12,7 +12,8 @@
 	"wigeontray/internal/wire"
 )
 
-// Guards against grown capacity that stays unused until the next run ends, and against entries that place tasks by the old capacity.
+// Guards against grown capacity that stays unused until the next run ends, and against entries that
+// place tasks by the old capacity.
 func TestCapacityChangeIsAnnouncedImmediately(t *testing.T) {
 	model := newCapacityModel(t)
 	model.sendDemand(otherEntry, wire.RunDemand{CPU: 4 * taskCPU, MinCPU: taskCPU, MinUrgentCPU: taskCPU})
@@ -52,7 +53,8 @@
 	qt.Check(t, empty.Check(), qt.IsNil)
 }
 
-// Guards against a restarted guard that uses a stored capacity although the worker's capacity has shrunk since.
+// Guards against a restarted guard that uses a stored capacity although the worker's capacity has
+// shrunk since.
 func TestRecalledCapacityIsNotTrusted(t *testing.T) {
 	r := &rig{C: qt.New(t), m: New(Options{}), now: time.Minute}
 	r.m.LinkUp(r.now, testEntry)
@@ -68,7 +70,7 @@
 	r.Check(got.starts, qt.HasLen, 0)
 	r.Assert(got.ends, qt.HasLen, 1)
 	r.Check(got.ends[0].Kind, qt.Equals, errkind.Busy)
-	// A worker that itself refuses tasks that do not fit gets them all the same.
+	// A self-limiting worker refuses what does not fit, so that tasks are sent to it at once.
 	r.seq++
 	r.m.Run(r.now, testEntry, &wire.RunTasks{
 		Seq: r.seq, ClockMs: r.now.Milliseconds(), Job: "job", Text: "text", LeftMs: 5000, SelfLimiting: true,
--- a/internal/runs/crash.go
+++ b/internal/runs/crash.go
@@ -7,7 +7,7 @@
 // isExitUnannounced reports whether the worker has not announced that it stops, so that its
 // end now would be a crash.
 func (m *Machine) isExitUnannounced() bool {
-	return m.instance.id != "" && !m.instance.hasLeft && !m.worker.Leaving
+	return m.instance.id != "" && !m.instance.isTerminating && !m.worker.Leaving
 }
 
 // crashBlame is the degree to which a run is suspected of a crash of the worker.
--- a/internal/runs/crash_test.go
+++ b/internal/runs/crash_test.go
@@ -11,7 +11,8 @@
 	"wigeontray/internal/wire"
 )
 
-// Guards against a crash of the worker that is not reported as one, and against blaming other tasks for it if one is suspected of an earlier crash.
+// Guards against a crash of the worker that is not reported as one, and against blaming other tasks
+// for it if one is suspected of an earlier crash.
 func TestCrashIsBlamedOnSuspectsFirst(t *testing.T) {
 	crashed := func(hasSuspect bool) []bool {
 		r := newRig(t)
@@ -63,7 +64,8 @@
 	r.Check(got.ends[0].Kind, qt.Equals, errkind.Busy)
 }
 
-// newCrashRig returns a rig with two tasks. Task 1 has run during crashCount earlier crashes and its start is unanswered; task 2 is running.
+// newCrashRig returns a rig with two tasks. Task 1 has run during crashCount earlier crashes and
+// its start is unanswered; task 2 is running.
 func newCrashRig(t *testing.T, crashCount int) *rig {
 	r := newRig(t)
 	r.seq++
@@ -81,7 +83,8 @@
 	return groupActions(r.actions()).ends
 }
 
-// Guards against ignoring a suspect whose start is unanswered and blaming another task on the worker for the crash.
+// Guards against ignoring a suspect whose start is unanswered, and failing a different task on the
+// same worker for the crash.
 func TestUnansweredStartIsSuspectedOfACrash(t *testing.T) {
 	for crashCount, isOtherBlamed := range []bool{true, false} {
 		ends := newCrashRig(t, crashCount).crashWorker()
@@ -93,7 +96,8 @@
 	}
 }
 
-// Guards against failing a job for a crash that happened after its run had ended, when the answer that listed the end was lost.
+// Guards against failing a job for a crash that happened after its run had ended, when the answer
+// that listed the end was lost.
 func TestRunThatMayHaveEndedIsOnlySuspected(t *testing.T) {
 	r := newCrashRig(t, 0)
 	r.answerStart(key(1), Done)
@@ -115,7 +119,8 @@
 	}
 }
 
-// Guards against a crash during a Hold that the next instance of the worker answers: the runs were reported as lost without a suspect.
+// Guards against a crash during a Hold that the next instance of the worker answers: the runs were
+// reported as lost without a suspect.
 func TestCrashDuringHoldIsDetected(t *testing.T) {
 	newRigWithMissingRun := func() *rig {
 		r := newRig(t)
@@ -145,7 +150,8 @@
 	r.Check(ends[0].Kind, qt.Equals, errkind.WorkerLost)
 }
 
-// Guards against a crash that is treated as a timeout because the last of the unanswered requests timed out and only an earlier one was refused.
+// Guards against a crash that is treated as a timeout because the last of the unanswered requests
+// timed out and only an earlier one was refused.
 func TestRefusedConnectionMakesLaterTimeoutACrash(t *testing.T) {
 	r := newRig(t)
 	r.sendTasks(r.now, 1)
--- a/internal/runs/drain_test.go
+++ b/internal/runs/drain_test.go
@@ -24,7 +24,8 @@
 	r.m.SetDrains(r.now, &wire.Drains{Revision: revision, Domains: domains})
 }
 
-// Guards against starts and offers in a drained failure domain, and against stopping its active runs.
+// Guards against starts and offers in a drained failure domain, and against stopping its active
+// runs.
 func TestDrainedWorkerRefusesTasksAndFinishesRuns(t *testing.T) {
 	r := newDomainRig(t)
 	r.sendTasks(r.now, 1)
@@ -53,7 +54,8 @@
 	r.Check(groupActions(r.actions()).starts, qt.DeepEquals, []Key{key(3)})
 }
 
-// Guards against starting tasks after a drain began while their text or the answer to their start was awaited.
+// Guards against starting tasks after a drain began while their text or the answer to their start
+// was awaited.
 func TestDrainReturnsTasksNotYetAtTheWorker(t *testing.T) {
 	r := newDomainRig(t)
 	r.sendTasksWithoutText(1)
--- a/internal/runs/exhaustive_test.go
+++ b/internal/runs/exhaustive_test.go
@@ -134,7 +134,8 @@
 // modelSteps is the number of events in each sequence.
 const modelSteps = 4
 
-// Guards against starts that exceed a capacity that has shrunk, for every order of offers, starts, stops and reports.
+// Guards against starts that exceed a capacity that has shrunk, for every order of offers, starts,
+// stops and reports.
 func TestCapacityIsNeverExceededForAnyEventOrder(t *testing.T) {
 	orders := 1
 	for range modelSteps {
--- a/internal/runs/fetch_test.go
+++ b/internal/runs/fetch_test.go
@@ -33,7 +33,8 @@
 
 func (r *rig) answerFetch(ok bool) { r.m.HandleFetchAnswer(r.now, testEntry, "job", "text", ok) }
 
-// Guards against fetching the text once per task, and against accepting more tasks than fit while it is fetched.
+// Guards against fetching the text once per task, and against accepting more tasks than fit while
+// it is fetched.
 func TestTasksStartAfterTextIsFetched(t *testing.T) {
 	r := newRig(t)
 	r.sendTasksWithoutText(1, 2, 3)
@@ -52,7 +53,8 @@
 	}
 }
 
-// Guards against tasks that are resent without the missing text: the entry must be notified that it is missing.
+// Guards against tasks that are resent without the missing text: the entry must be notified that it
+// is missing.
 func TestTasksWithMissingTextAreReturned(t *testing.T) {
 	r := newRig(t)
 	r.sendTasksWithoutText(1)
--- a/internal/runs/hold.go
+++ b/internal/runs/hold.go
@@ -33,8 +33,8 @@
 	inst := &m.instance
 	h := &Hold{Lease: m.newLease(now), Ack: inst.endCursor, Timeout: m.holdTimeout(now, inst.unansweredHolds)}
 	switch {
-	case inst.hasLeft:
-		h.UntilMs, h.Wait = 0, m.holdWait(now) // do not renew: the worker is stopping
+	case inst.isTerminating:
+		h.UntilMs, h.Wait = 0, m.holdWait(now) // do not renew: the worker is terminating
 	case inst.unansweredHolds > 0:
 		// The worker may receive requests while its answers are lost. If its lease
 		// were renewed, it would never expire, and its tasks could not be moved to
@@ -93,8 +93,8 @@
 	m.sendHoldIfDue(now)
 }
 
-// handleCandidateAnswer handles the answer to a Hold that verifies the candidate. If the candidate
-// has seen a greater fencing token, the next Hold uses its current clock as the token.
+// handleCandidateAnswer handles the answer to a Hold that verifies the candidate. If the
+// candidate has seen a greater fencing token, the next Hold uses its current clock as the token.
 func (m *Machine) handleCandidateAnswer(now time.Duration, a *HoldAnswer) {
 	switch a.Verdict {
 	case Done:
@@ -118,7 +118,7 @@
 		m.settleEndedRuns(now, a.Ended)
 		m.reconcile(now, a.Active)
 		m.setUsable(now, !inst.hasOrphans)
-		m.endDepartedInstance(now)
+		m.endTerminatedInstance(now)
 	case WrongInstance:
 		m.endInstance(now)
 		m.announceWorker(now)
@@ -159,9 +159,10 @@
 	}
 }
 
-// runEndFor returns the end to report for a run that ended at the worker with the given outcome.
-func runEndFor(r *run, how Outcome) wire.RunEnd {
-	switch how {
+// runEndFor returns the end to report for a run that ended at the worker with the given
+// outcome.
+func runEndFor(r *run, outcome Outcome) wire.RunEnd {
+	switch outcome {
 	case EndDone:
 		return wire.RunEnd{Ran: errkind.RanYes}
 	case EndFailed:
@@ -214,8 +215,8 @@
 
 // trackProgress records the progress of a run and stops the run if it is stalled. A stalled
 // run would occupy its worker for as long as the caller waits, which may be ten times the
-// run time. On another worker the task may still finish in time, and the entry is informed which
-// worker hangs.
+// run time. On another worker the task may still finish in time, and the entry is informed
+// which worker hangs.
 func (m *Machine) trackProgress(now time.Duration, a Active) {
 	r := m.runs[a.Key]
 	if r == nil || r.state != running {
--- a/internal/runs/machine.go
+++ b/internal/runs/machine.go
@@ -54,7 +54,7 @@
 	tasksAge      time.Duration  // age of that frame on arrival
 	needsLoad     bool           // tasksAge must be sent to the entry without delay
 	loadSentAt    time.Duration  // when a load was last sent to the entry
-	demand        wire.RunDemand // of the tasks for which the entry has found no room
+	demand        wire.RunDemand // of the tasks for which the entry has found no capacity
 	offer         offer
 	unusedOffers  int    // consecutive offers that expired unanswered, at most maxUnusedOffers
 	lastOfferTurn uint64 // Machine.offerTurns at the last offer
@@ -69,12 +69,12 @@
 	runs      map[Key]*run
 	allocated sched.Resources // total need of runs
 
-	worker     wire.RunWorker // as announced
-	instance   instance
-	candidate  *Report // report of another worker instance, to be verified
-	isLeaving  bool    // the guard is draining
-	drains     wire.Drains
-	paceWindow paceWindow
+	worker          wire.RunWorker // as announced
+	instance        instance
+	candidate       *Report // report of another worker instance, to be verified
+	isGuardDraining bool    // Drain has begun a planned stop of the guard
+	drains          wire.Drains
+	paceWindow      paceWindow
 	// The worker counts as lossy from lossySince until lossyUntil.
 	lossySince, lossyUntil time.Duration
 	answerDelay            time.Duration // longest recent delay of an answer, decaying
@@ -108,14 +108,15 @@
 // Worker returns the description of the worker that entries receive.
 func (m *Machine) Worker() wire.RunWorker { return m.worker }
 
-// Load returns the guard's load as it is sent to the given entry.
+// Load returns the guard's load as it is sent to the given entry. The free capacity excludes what
+// is offered to other entries.
 func (m *Machine) Load(now time.Duration, entry identity.Incarnation) wire.RunLoad {
 	ent := m.entries[entry]
 	if ent == nil {
-		return wire.RunLoad{ClockMs: now.Milliseconds(), Free: m.freeRoomFor(nil)}
+		return wire.RunLoad{ClockMs: now.Milliseconds(), Free: m.freeCapacityFor(nil)}
 	}
 	return wire.RunLoad{
-		ClockMs: now.Milliseconds(), SeenSeq: ent.lastSeq, Free: m.freeRoomFor(ent),
+		ClockMs: now.Milliseconds(), SeenSeq: ent.lastSeq, Free: m.freeCapacityFor(ent),
 		AgeMs: ent.tasksAge.Milliseconds(),
 	}
 }
@@ -130,7 +131,7 @@
 	return len(m.runs) == 0 && m.instance.endCursor == m.instance.ackedCursor
 }
 
-func (m *Machine) freeRoom() sched.Resources {
+func (m *Machine) freeCapacity() sched.Resources {
 	if !m.worker.Usable {
 		return sched.Resources{}
 	}
@@ -213,7 +214,7 @@
 // setUsable sets whether the worker accepts new tasks, and announces a change. A worker that
 // is leaving or drained, or whose guard is draining, stays unusable.
 func (m *Machine) setUsable(now time.Duration, isUsable bool) {
-	isUsable = isUsable && !m.isLeaving && !m.worker.Leaving && !m.Drained()
+	isUsable = isUsable && !m.isGuardDraining && !m.worker.Leaving && !m.Drained()
 	if m.worker.Usable == isUsable {
 		return
 	}
@@ -223,10 +224,10 @@
 
 // Drain begins a planned stop of the guard: active runs may finish, new tasks are refused.
 func (m *Machine) Drain(now time.Duration) {
-	if m.isLeaving {
+	if m.isGuardDraining {
 		return
 	}
-	m.isLeaving = true
+	m.isGuardDraining = true
 	m.worker.Leaving, m.worker.Usable = true, false
 	m.announceWorker(now)
 }
--- a/internal/runs/offer.go
+++ b/internal/runs/offer.go
@@ -13,11 +13,11 @@
 //
 // The entry with the most urgent task that fits is served first.
 
-// After an entry lets an offer expire it gets no other one for offerBackoffDelay. The delay
-// doubles with each consecutive expired offer, up to maxUnusedOffers times (320 ms), until the
-// entry sends a frame. An entry that has found capacity elsewhere declines at once. A frozen one
-// sends nothing, and with a short constant delay it would reserve most of the freed capacity
-// until it resumes.
+// After an entry lets an offer expire it gets no other one for offerBackoffDelay. The delay doubles
+// with each consecutive expired offer, up to maxUnusedOffers times (320 ms), until the entry sends
+// a heartbeat or tasks. An entry that has found capacity elsewhere declines at once. A frozen one
+// sends nothing, and with a short constant delay it would reserve most of the freed capacity until
+// it resumes.
 const (
 	offerBackoffDelay = 5 * time.Millisecond
 	maxUnusedOffers   = 6
@@ -29,21 +29,21 @@
 
 // offer is capacity that is reserved for one entry.
 type offer struct {
-	room      sched.Resources
+	capacity  sched.Resources
 	expiresAt time.Duration // end of the reservation; 0 if there is none
 	notBefore time.Duration // earliest time of the next offer; 0 for any time
 }
 
-// freeRoomFor returns the capacity that an entry may use: all free capacity except what is
+// freeCapacityFor returns the capacity that an entry may use: all free capacity except what is
 // offered to other entries. A nil entry excludes all offers.
-func (m *Machine) freeRoomFor(ent *entryState) sched.Resources {
-	freeRoom := m.freeRoom()
+func (m *Machine) freeCapacityFor(ent *entryState) sched.Resources {
+	freeCapacity := m.freeCapacity()
 	for _, other := range m.entries {
 		if other != ent && other.offer.expiresAt > 0 {
-			freeRoom = freeRoom.Minus(other.offer.room)
+			freeCapacity = freeCapacity.Minus(other.offer.capacity)
 		}
 	}
-	return freeRoom
+	return freeCapacity
 }
 
 // makeOffers offers free capacity to waiting entries, the most urgent first and in turn among
@@ -54,12 +54,12 @@
 	}
 	var offered map[*entryState]bool
 	for {
-		free := m.freeRoomFor(nil)
+		free := m.freeCapacityFor(nil)
 		ent := m.nextEntryToOffer(now, free)
 		if ent == nil {
 			return offered
 		}
-		free.CPU = min(free.CPU, ent.demand.CPU-ent.offer.room.CPU)
+		free.CPU = min(free.CPU, ent.demand.CPU-ent.offer.capacity.CPU)
 		m.offerTurns++
 		ent.offer, ent.lastOfferTurn = ent.offer.extendedBy(now, free), m.offerTurns
 		if offered == nil {
@@ -73,9 +73,9 @@
 // change.
 func (o offer) extendedBy(now time.Duration, more sched.Resources) offer {
 	if o.expiresAt == 0 {
-		return offer{room: more, expiresAt: now + offerTimeout}
+		return offer{capacity: more, expiresAt: now + offerTimeout}
 	}
-	o.room = o.room.Plus(more)
+	o.capacity = o.capacity.Plus(more)
 	return o
 }
 
@@ -102,7 +102,7 @@
 	if !ent.isLinked || now < ent.offer.notBefore || ent.demand.CPU == 0 || ent.tasksAge > offerTimeout {
 		return false
 	}
-	return ent.offer.expiresAt == 0 || ent.offer.room.CPU < ent.demand.CPU && !m.disabled.Has(policy.UrgentOffers)
+	return ent.offer.expiresAt == 0 || ent.offer.capacity.CPU < ent.demand.CPU && !m.disabled.Has(policy.UrgentOffers)
 }
 
 // isServedBefore reports whether ent is offered capacity before other. Entries are ordered by
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -9,7 +9,7 @@
 	"wigeontray/internal/wire"
 )
 
-// LinkUp handles a new link to an entry.
+// LinkUp handles a new link to an entry. Demand and offers of an earlier link are dropped.
 func (m *Machine) LinkUp(now time.Duration, entry identity.Incarnation) {
 	ent := m.entries[entry]
 	if ent == nil {
@@ -57,8 +57,8 @@
 const lateTasksAge = 30 * time.Millisecond
 
 // refusalKind returns the reason why no task of the frame may start, or None. A frame that was
-// delayed for longer than Timing.Permit is refused, because its job may have been resent and be
-// running elsewhere.
+// delayed for longer than Timing.PeerTimeout is refused, because its job may have been resent
+// and be running elsewhere.
 func (m *Machine) refusalKind(now time.Duration, ent *entryState, frame *wire.RunTasks) errkind.Kind {
 	ent.observeClock(frame.ClockMs)
 	ent.tasksAge = max(0, now-milliseconds(frame.ClockMs))
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case kind != errkind.None:
-	case !m.freeRoomFor(m.entries[from]).CanFit(task.Need):
+	case !m.freeCapacityFor(m.entries[from]).CanFit(task.Need):
 		kind = errkind.Busy
 	case m.hasOtherRun(k), task.Crashes > 0 && m.hasSuspect() && !m.disabled.Has(policy.SuspectsApart):
 		kind = errkind.Busy
@@ -120,8 +120,8 @@
 	return r
 }
 
-// HandleFetchAnswer handles the answer to a Fetch: the text of an entry's job, or ok == false if it could
-// not be fetched. The runs that await the text have kept their capacity allocated.
+// HandleFetchAnswer handles the answer to a Fetch: the text of an entry's job, or ok == false if
+// it could not be fetched. The runs that await the text have kept their capacity allocated.
 func (m *Machine) HandleFetchAnswer(now time.Duration, from identity.Incarnation, job, text string, ok bool) {
 	for _, r := range m.sortedRuns() {
 		if r.state != awaitingText || r.entry != from || r.key.Job != job {
@@ -172,12 +172,13 @@
 	}
 }
 
-// Beat handles a heartbeat from an entry.
+// Beat handles a heartbeat from an entry. The demand in it replaces the earlier one; if the
+// pending offer does not fit it, the entry has declined the offer.
 func (m *Machine) Beat(_ time.Duration, from identity.Incarnation, beat *wire.EntryHeartbeat) {
 	if ent := m.entries[from]; ent != nil {
 		ent.observeClock(beat.ClockMs)
 		ent.demand, ent.unusedOffers = beat.Demand, 0
-		if ent.offer.room.CPU < max(1, beat.Demand.MinCPU) || beat.Demand.CPU == 0 {
+		if ent.offer.capacity.CPU < max(1, beat.Demand.MinCPU) || beat.Demand.CPU == 0 {
 			ent.offer = offer{} // the entry declines the offer
 		}
 	}
@@ -273,7 +274,8 @@
 	m.endRun(now, r, end)
 }
 
-// HandleStopAnswer handles the answer to a Stop.
+// HandleStopAnswer handles the answer to a Stop. clockMs is the worker's clock, 0 if the answer
+// has none.
 func (m *Machine) HandleStopAnswer(now time.Duration, k Key, v Verdict, clockMs int64) {
 	m.updateClockOffset(now, clockMs)
 	m.recordAnswer(now, v)
--- a/internal/runs/tick.go
+++ b/internal/runs/tick.go
@@ -29,7 +29,7 @@
 	if m.instance.unansweredHolds >= maxUnansweredHolds && now >= m.instance.leaseEnd {
 		m.endAllRuns(now, m.instance.hasRefusedConn && m.isExitUnannounced())
 	}
-	m.endDepartedInstance(now)
+	m.endTerminatedInstance(now)
 }
 
 // endAllRuns ends all runs. It is called when the lease of an unreachable worker has expired or
@@ -98,7 +98,7 @@
 	if !m.instance.hasHoldInFlight && m.needsHold() {
 		consider(m.instance.nextHoldAt)
 	}
-	if (m.instance.hasLeft || m.instance.unansweredHolds >= maxUnansweredHolds) && len(m.runs) > 0 {
+	if (m.instance.isTerminating || m.instance.unansweredHolds >= maxUnansweredHolds) && len(m.runs) > 0 {
 		consider(m.instance.leaseEnd)
 	}
 	return next
--- a/internal/runs/timing.go
+++ b/internal/runs/timing.go
@@ -3,16 +3,16 @@
 import "time"
 
 // Timing holds the durations that all entries and guards of a fleet share. The runs of a lost
-// entry or guard have ended within Loss, before callers resend their jobs to another entry.
+// entry or guard end within MaxOrphanAge, before callers resend their jobs to another entry.
 type Timing struct {
 	// Lease is how long the worker continues its runs without a renewal by the guard. A
 	// shorter lease frees the tasks of a lost guard sooner. It must be longer than two
 	// renewals plus a pause of the guard's processor of about 100 ms.
 	Lease time.Duration
-	// Permit is the maximum age of the newest frame from an entry for which the guard
+	// PeerTimeout is the maximum age of the newest frame from an entry for which the guard
 	// executes tasks. It is longer than two heartbeats of the entry.
 	PeerTimeout time.Duration
-	// Beat is the heartbeat interval of both ends of a link with tasks.
+	// BeatInterval is the heartbeat interval of both ends of a link with tasks.
 	BeatInterval time.Duration
 }
 
@@ -20,23 +20,23 @@
 // settings give another one.
 const DefaultResendDelay = 1300 * time.Millisecond
 
-// MinResendDelay is the shortest resend delay for which runs can be guaranteed to end within
-// Loss, because a lease must be longer than two renewals. Callers that resend sooner get the
-// timing for MinResendDelay: the run of a lost process may then overlap with the run of the
-// resent job for the rest of Loss.
+// MinResendDelay is the shortest resend delay for which runs can be guaranteed to end before
+// the job is resent, because a lease must be longer than two renewals. Callers that resend sooner
+// get the timing for MinResendDelay: the run of a lost process may then overlap with the run of
+// the resent job until MaxOrphanAge has passed.
 const MinResendDelay = 600 * time.Millisecond
 
-// lossMargin is the difference between the resend delay and Loss.
-const lossMargin = 50 * time.Millisecond
+// resendMargin is the time between MaxOrphanAge and the resend delay.
+const resendMargin = 50 * time.Millisecond
 
 // TimingFor returns the timing for callers that resend a job after resendDelay. A delay above
-// DefaultResendDelay changes nothing, because a loss is better detected early. For a shorter delay
-// all durations shrink in proportion, because a job that is resent during its first run would
-// run twice at the same time.
+// DefaultResendDelay gives the same timing as DefaultResendDelay, because a loss is better detected
+// early. For a shorter delay all durations shrink in proportion, because a job that is resent
+// during its first run would run twice at the same time.
 func TimingFor(resendDelay time.Duration) Timing {
-	available := min(max(resendDelay, MinResendDelay), DefaultResendDelay) - lossMargin - clockSkewMargin - MaxStopDelay
-	permit := available * 6 / 11
-	return Timing{Lease: available - permit, PeerTimeout: permit, BeatInterval: permit / 3}
+	available := min(max(resendDelay, MinResendDelay), DefaultResendDelay) - resendMargin - clockSkewMargin - MaxStopDelay
+	peerTimeout := available * 6 / 11
+	return Timing{Lease: available - peerTimeout, PeerTimeout: peerTimeout, BeatInterval: peerTimeout / 3}
 }
 
 // OrDefault returns t, or the timing for DefaultResendDelay if t is the zero value.
@@ -47,14 +47,14 @@
 	return t
 }
 
-// MaxOrphanAge is the longest time for which runs may continue after their guard was lost. A guard that
-// is cut off from an entry stops the runs after Permit; if the guard has failed, the lease
-// expires.
+// MaxOrphanAge returns the longest time for which runs may continue after their guard was lost. A
+// guard that is cut off from an entry stops the runs after PeerTimeout; if the guard has failed,
+// the lease expires.
 func (t Timing) MaxOrphanAge() time.Duration {
 	return t.PeerTimeout + t.Lease + clockSkewMargin + MaxStopDelay
 }
 
-// FreezeThreshold is the pause after which an entry assumes that its process was frozen, so that callers
-// may have disconnected and resent their jobs elsewhere. It is shorter than Permit and longer
-// than the pauses of a busy processor.
+// FreezeThreshold returns the pause after which an entry assumes that its process was frozen, so
+// that callers may have disconnected and resent their jobs elsewhere. It is shorter than
+// PeerTimeout and longer than the pauses of a busy processor.
 func (t Timing) FreezeThreshold() time.Duration { return t.PeerTimeout * 5 / 6 }
--- a/internal/runs/worker.go
+++ b/internal/runs/worker.go
@@ -19,8 +19,8 @@
 	ackedCursor    int64         // number of the last end whose acknowledgement the worker has received
 	leaseEnd       time.Duration // when the lease has certainly expired unless it is renewed
 	hasOrphans     bool          // runs of an earlier guard may be at the worker
-	hasLeft        bool          // has announced its end; runs may continue briefly
-	isRecalled     bool          // has not reported to this guard yet, see Report.Recalled
+	isTerminating  bool          // has announced that it terminates; runs may continue until then
+	isRecalled     bool          // has not reported to this guard yet, see Report.IsRecalled
 	hasRefusedConn bool          // its address has refused a connection since the last answer
 
 	hasHoldInFlight bool // a Hold is unanswered
@@ -36,8 +36,8 @@
 	sentAck                 int64         // Ack of the last Hold
 }
 
-// HandleReport handles a report of a worker. A report of an instance other than the present one is
-// verified with the worker first, because a delayed report may arrive after its sender has
+// HandleReport handles a report of a worker. A report of an instance other than the present one
+// is verified with the worker first, because a delayed report may arrive after its sender has
 // crashed and a new instance has registered.
 func (m *Machine) HandleReport(now time.Duration, report *Report) {
 	if report.ID == "" {
@@ -81,10 +81,11 @@
 	m.worker.Capacity, m.worker.Cold = report.Capacity, report.Cold
 }
 
-// HandleTermination handles the announcement of a worker that it is terminating. Its runs may continue
-// until it has terminated; when tasks were restarted elsewhere at once, they ran twice during
-// that time. The lease is therefore no longer renewed, and the runs end when the worker lists
-// them as ended, a new instance answers at its address, or the lease has expired.
+// HandleTermination handles the announcement of a worker that it is terminating. id identifies the
+// worker instance. Its runs may continue until it has terminated; when tasks were restarted
+// elsewhere at once, they ran twice during that time. The lease is therefore no longer renewed, and
+// the runs end when the worker lists them as ended, a new instance answers at its address, or the
+// lease has expired.
 func (m *Machine) HandleTermination(now time.Duration, id string) {
 	if m.candidate != nil && m.candidate.ID == id {
 		m.candidate = nil
@@ -92,19 +93,19 @@
 	if id == "" || id != m.instance.id {
 		return
 	}
-	m.instance.hasLeft = true
+	m.instance.isTerminating = true
 	m.worker.Leaving, m.worker.Usable = true, false
 	m.announceWorker(now)
 	for _, r := range m.sortedRuns() {
 		m.stopRun(now, r, wire.RunEnd{Kind: errkind.WorkerLost, Ran: errkind.RanYes})
 	}
-	m.endDepartedInstance(now)
+	m.endTerminatedInstance(now)
 }
 
-// endDepartedInstance removes a worker instance that has announced its end, once none of its
-// runs can be active.
-func (m *Machine) endDepartedInstance(now time.Duration) {
-	if !m.instance.hasLeft || len(m.runs) > 0 && now < m.instance.leaseEnd {
+// endTerminatedInstance removes a worker instance that has announced its termination, once none of
+// its runs can be active.
+func (m *Machine) endTerminatedInstance(now time.Duration) {
+	if !m.instance.isTerminating || len(m.runs) > 0 && now < m.instance.leaseEnd {
 		return
 	}
 	m.endInstance(now)
@@ -116,7 +117,7 @@
 func (m *Machine) endInstance(now time.Duration) {
 	m.endAllRuns(now, m.isExitUnannounced())
 	m.instance = instance{}
-	m.worker = wire.RunWorker{Leaving: m.isLeaving}
+	m.worker = wire.RunWorker{Leaving: m.isGuardDraining}
 }
 
 // recordLostControl marks the worker as unusable because another guard controls it or it is
@@ -133,7 +134,7 @@
 	m.candidate = nil
 	m.endInstance(now)
 	m.instance = instance{id: report.ID, seq: report.Seq, token: token, isRecalled: report.IsRecalled, lastAnswerAt: now}
-	m.worker = wire.RunWorker{ID: report.ID, Leaving: m.isLeaving || report.Draining}
+	m.worker = wire.RunWorker{ID: report.ID, Leaving: m.isGuardDraining || report.Draining}
 	m.applyReport(report)
 	m.updateClockOffset(now, a.ClockMs)
 	for _, e := range a.Ended {
