--- a/internal/batchnode/config_test.go
+++ b/internal/batchnode/config_test.go
@@ -44,35 +44,35 @@
 	return f, err
 }
 
-func (d *documentCounter) count(counts map[string]int, address string, f *wire.Frame) {
+func (c *documentCounter) count(counts map[string]int, address string, f *wire.Frame) {
 	if f.DesiredConfig != nil && len(f.DesiredConfig.Document) > 0 && f.DesiredConfig.Offset == 0 {
-		d.mu.Lock()
-		defer d.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		counts[address]++
 	}
 }
 
-func (d *documentCounter) addBytes(address string, f *wire.Frame) {
+func (c *documentCounter) addBytes(address string, f *wire.Frame) {
 	if f.DesiredConfig != nil {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.sentBytes[address] += len(f.DesiredConfig.Document)
-		d.largestBytes = max(d.largestBytes, len(f.DesiredConfig.Document))
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.sentBytes[address] += len(f.DesiredConfig.Document)
+		c.largestBytes = max(c.largestBytes, len(f.DesiredConfig.Document))
 	}
 }
 
 // sent returns the total size in bytes of the documents that an entry has sent.
-func (d *documentCounter) sent(address string) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.sentBytes[address]
+func (c *documentCounter) sent(address string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.sentBytes[address]
 }
 
 // documents returns how many documents an entry has sent and received.
-func (d *documentCounter) documents(address string) (sent, got int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.sentCounts[address], d.receivedCounts[address]
+func (c *documentCounter) documents(address string) (sent, received int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.sentCounts[address], c.receivedCounts[address]
 }
 
 const (
--- a/internal/batchnode/copies.go
+++ b/internal/batchnode/copies.go
@@ -67,8 +67,8 @@
 
 // sendCopy sends the current configuration to a guard, unless a copy is already being sent
 // on its link. Above the rate limit it sends nothing, and the guard requests the copy again
-// later. Guards with a protocol version below wire.ConfigRequestVersion request it only once and always
-// get it; those below wire.ConfigPiecesVersion get it in a single frame.
+// later. Guards with a protocol version below wire.ConfigRequestVersion request it only once and
+// always get it; those below wire.ConfigPiecesVersion get it in a single frame.
 func (e *Entry) sendCopy(link wire.Link, protocolVersion int) {
 	version, document := e.Config()
 	e.mu.Lock()
--- a/internal/batchnode/entry.go
+++ b/internal/batchnode/entry.go
@@ -18,10 +18,10 @@
 
 // EntryOptions configures an Entry.
 type EntryOptions struct {
-	Name       string // process name, part of the incarnation
-	Domain     string // failure domain of this VM
-	Address    string // host and port at which guards connect
-	Seed       uint64
+	Name       string      // process name, part of the incarnation
+	Domain     string      // failure domain of this VM
+	Address    string      // host and port at which guards connect
+	Seed       uint64      // of the machine's random choices
 	Timing     runs.Timing // the default if zero
 	Clock      Clock
 	Metrics    *telemetry.Registry
@@ -99,7 +99,7 @@
 
 func (e *Entry) stepLocked(event func(now time.Duration, m *batch.Machine)) {
 	now := e.opt.Clock()
-	e.detectStall(now)
+	e.detectFreeze(now)
 	before := e.machine.LinkRate()
 	event(now, e.machine)
 	if rate := e.machine.LinkRate(); rate != before {
@@ -204,7 +204,8 @@
 
 // Submit runs a job and returns its outcome. timeout is how long the caller waits. If the
 // job is already queued or running, the request joins it; if it is complete or has failed
-// permanently, the same outcome is returned again. If ctx ends first, Submit returns nil and
+// permanently, the same outcome is returned again. A job whose request may have been delayed
+// (HeldUp) is refused if another entry runs it. If ctx ends first, Submit returns nil and
 // the job is cancelled, unless another request waits for it.
 func (e *Entry) Submit(ctx context.Context, job *batch.Job, timeout time.Duration) *batch.Outcome {
 	if !e.waitAfterResume(ctx) {
--- a/internal/batchnode/entryconfig.go
+++ b/internal/batchnode/entryconfig.go
@@ -41,7 +41,8 @@
 // version to the guards, each of which fetches it from one entry and relays it to entries that
 // cannot read the store.
 // An older document is ignored, so that the version never decreases. Until the drains are
-// known, the newest document is stored and not activated.
+// known, the newest document is stored and not activated. The error is that of
+// EntryOptions.Apply; the previous document then stays active.
 func (e *Entry) OfferConfig(version int64, document []byte) error {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
--- a/internal/batchnode/fleet_test.go
+++ b/internal/batchnode/fleet_test.go
@@ -184,7 +184,7 @@
 	return runs.StartAnswer{ClockMs: w.clockMs()}
 }
 
-func (w *worker) finish(k runs.Key, how runs.Outcome) {
+func (w *worker) finish(k runs.Key, outcome runs.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.active[k] == nil {
@@ -192,7 +192,7 @@
 	}
 	delete(w.active, k)
 	w.lastNumber++
-	w.ended = append(w.ended, runs.Ended{Number: w.lastNumber, Key: k, Outcome: how})
+	w.ended = append(w.ended, runs.Ended{Number: w.lastNumber, Key: k, Outcome: outcome})
 	select {
 	case w.changed <- struct{}{}:
 	default:
--- a/internal/batchnode/guard.go
+++ b/internal/batchnode/guard.go
@@ -54,11 +54,11 @@
 type Memory interface {
 	// Load returns the report that was saved last, nil if there is none.
 	Load(ctx context.Context) (*runs.Report, error)
+	// Save replaces the stored report.
 	Save(ctx context.Context, rep *runs.Report) error
 }
 
-// Guard runs tasks on one worker, next to which it is deployed. All methods are safe for
-// concurrent use.
+// Guard runs the tasks of linked entries on one worker. All methods are safe for concurrent use.
 type Guard struct {
 	opt GuardOptions
 	id  identity.Incarnation
@@ -225,7 +225,8 @@
 	g.step(func(now time.Duration, m *runs.Machine) { m.HandleHoldAnswer(now, h.Worker, answer) })
 }
 
-// HandleReport handles a report of the worker, and stores it if its content has changed.
+// HandleReport handles a report of the worker, and queues it for saving if its content has
+// changed.
 func (g *Guard) HandleReport(rep *runs.Report) {
 	g.step(func(now time.Duration, m *runs.Machine) {
 		g.hasReport = true
@@ -234,7 +235,8 @@
 	g.queueReport(rep)
 }
 
-// HandleTermination handles the announcement of a worker that it terminates.
+// HandleTermination handles the announcement of a worker that it is terminating. id identifies
+// the worker instance.
 func (g *Guard) HandleTermination(id string) {
 	g.step(func(now time.Duration, m *runs.Machine) { m.HandleTermination(now, id) })
 }
--- a/internal/batchnode/guardconfig.go
+++ b/internal/batchnode/guardconfig.go
@@ -25,7 +25,7 @@
 	relayDelay = 300 * time.Millisecond
 )
 
-// handleConfig handles a Desired frame of an entry: a request for the configuration, the
+// handleConfig handles a DesiredConfig frame of an entry: a request for the configuration, the
 // announcement of a version, or a document. It stores the newest document and relays it to
 // entries with an older one, which may be unable to reach the store.
 func (g *Guard) handleConfig(from *guardLink, d *wire.DesiredConfig) {
--- a/internal/batchnode/memory.go
+++ b/internal/batchnode/memory.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// ErrUnexpectedForm marks an item of the store that is not in the form in which this program writes it.
+// ErrUnexpectedForm marks an item of the store that is not in the form in which this program
+// writes it.
 var ErrUnexpectedForm = errors.New("unexpected form")
 
 // StoredReport implements Memory with one key of the platform's store.
@@ -129,8 +130,8 @@
 	return nil, nil
 }
 
-// decodeStored decodes and validates a stored report. The error is ErrUnexpectedForm if the report
-// does not describe a usable worker.
+// decodeStored decodes and validates a stored report. The error wraps ErrUnexpectedForm if the
+// report does not describe a usable worker.
 func decodeStored(value []byte) (*runs.Report, error) {
 	rep := new(runs.Report)
 	err := json.Unmarshal(value, rep)
--- a/internal/batchnode/query.go
+++ b/internal/batchnode/query.go
@@ -49,7 +49,7 @@
 	return q.lastSeq, added
 }
 
-// handleReport handles the report of a guard (with Asked) or of an entry.
+// handleReport handles the report of a guard (with QueriedEntries) or of an entry.
 func (q *queries) handleReport(r *wire.JobReport) {
 	pendingQuery := q.pending[r.Seq]
 	switch {
--- a/internal/batchnode/query_test.go
+++ b/internal/batchnode/query_test.go
@@ -94,10 +94,10 @@
 		defer f.stop()
 		go a.Submit(f.ctx, testJob("1", 1), 9*time.Second)
 		time.Sleep(100 * time.Millisecond)
-		held := testJob("1", 1)
-		held.HeldUp = true
+		delayedJob := testJob("1", 1)
+		delayedJob.HeldUp = true
 		began := time.Now()
-		out := b.Submit(f.ctx, held, 9*time.Second)
+		out := b.Submit(f.ctx, delayedJob, 9*time.Second)
 		f.Assert(out, qt.IsNotNil)
 		f.Check(out.Err.Kind, qt.Equals, errkind.OutcomeUnknown)
 		f.Check(out.Err.Ran, qt.Equals, errkind.RanUnknown)
--- a/internal/batchnode/stall.go
+++ b/internal/batchnode/stall.go
@@ -25,11 +25,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lastHeartbeat = 0 // heartbeats have ended; disables detectStall
+	e.lastHeartbeat = 0 // heartbeats have ended; disables detectFreeze
 }
 
-// detectStall fails all jobs if this process was frozen since the last heartbeat. mu must be held.
-func (e *Entry) detectStall(now time.Duration) {
+// detectFreeze has the machine answer every open job if this process was frozen since the last
+// heartbeat, see batch.Machine.HandleResume. mu must be held.
+func (e *Entry) detectFreeze(now time.Duration) {
 	if e.lastHeartbeat == 0 || now-e.lastHeartbeat < e.opt.Timing.FreezeThreshold() {
 		return
 	}
@@ -43,7 +44,7 @@
 func (e *Entry) waitAfterResume(ctx context.Context) bool {
 	e.mu.Lock()
 	now := e.opt.Clock()
-	e.detectStall(now)
+	e.detectFreeze(now)
 	remaining := time.Duration(0)
 	if e.resumedAt > 0 {
 		remaining = e.resumedAt + batch.ResumeDelay - now
--- a/internal/batchnode/texts.go
+++ b/internal/batchnode/texts.go
@@ -24,8 +24,8 @@
 	// textWaitTimeout is how long a request waits for a text that this guard has not received
 	// yet.
 	textWaitTimeout = 60 * time.Millisecond
-	// maxCachedTextBytes is the maximum size of all cached texts; above it the oldest one is
-	// evicted.
+	// maxCachedTextBytes is the total size of cached texts above which the oldest ones are
+	// evicted before another text is added.
 	maxCachedTextBytes = 1 << 20
 	// maxFetchedTextBytes is the maximum size of a text fetched from another guard.
 	maxFetchedTextBytes = 1 << 20
