--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -58,7 +58,8 @@
 	Results  []TaskResult
 	Err      *errkind.Error
 	Failures []TaskFailure
-	// Slowest is the longest run time of a task on its upstream.
+	// LongestRunTime is the longest run time of any completed task on its
+	// upstream.
 	LongestRunTime time.Duration
 }
 
@@ -76,17 +77,17 @@
 // Machine is driven by an entry or by package replay. The now parameters must
 // never decrease. Every method may produce actions, which Actions returns.
 type Machine interface {
-	// GuardConnected adds a guard or reconnects one whose link was lost. Tasks that
-	// were sent to the same incarnation are sent again, which is safe because a
-	// guard starts a Ref at most once.
+	// GuardConnected adds a guard or reconnects one whose link was lost. Tasks
+	// that were sent to the same incarnation are sent again, which is safe
+	// because a guard starts a Ref at most once.
 	GuardConnected(now time.Time, h *wire.Hello)
-	// GuardDisconnected records a lost link. The outcome of tasks in flight is open for
-	// a grace period, after which they fail as WorkerLost.
+	// GuardDisconnected records a lost link. If the guard does not reconnect
+	// within the grace period, its tasks in flight fail as WorkerLost.
 	GuardDisconnected(now time.Time, g identity.Incarnation)
 	// GuardDraining records a planned stop: the guard is sent no more tasks.
 	GuardDraining(now time.Time, g identity.Incarnation)
-	// Submit admits a job, or refuses it with an error whose statements remain
-	// true afterwards.
+	// Submit admits a job or returns the reason for refusing it. A refusal is
+	// final: the submission is not kept and none of its tasks is started later.
 	Submit(now time.Time, s *Spec) *errkind.Error
 	// Cancel withdraws a job. Tasks that have not started never will. The
 	// outcome follows immediately as a Finish action.
@@ -95,8 +96,8 @@
 	Result(now time.Time, g identity.Incarnation, r *wire.Result)
 	Load(now time.Time, g identity.Incarnation, l *wire.Load)
 	Offer(now time.Time, g identity.Incarnation, o *wire.Offer)
-	// Tick runs the timers that are due: deadlines, grace periods, retries and
-	// health checks.
+	// Tick runs the timers that are due: deadlines, grace periods, retries, the
+	// ends of quarantines and periodic checks.
 	Tick(now time.Time)
 	// NextTick returns when Tick is next due; zero for never.
 	NextTick() time.Time
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -64,129 +64,129 @@
 }
 
 // Actions implements Machine.
-func (c *Dispatcher) Actions() []Action {
-	out := c.actions
-	c.actions, c.spareActions = c.spareActions[:0], out
+func (d *Dispatcher) Actions() []Action {
+	out := d.actions
+	d.actions, d.spareActions = d.spareActions[:0], out
 	return out
 }
 
 // Jobs implements Machine.
-func (c *Dispatcher) Jobs() int { return len(c.jobs) }
+func (d *Dispatcher) Jobs() int { return len(d.jobs) }
 
 // Configure implements Machine.
-func (c *Dispatcher) Configure(now time.Time, p Policy) {
-	c.policy = p
-	c.dispatchWaiting(now)
+func (d *Dispatcher) Configure(now time.Time, p Policy) {
+	d.policy = p
+	d.dispatchWaiting(now)
 }
 
 // Submit implements Machine.
-func (c *Dispatcher) Submit(now time.Time, s *Spec) *errkind.Error {
-	if err := c.admit(now, s); err != nil {
+func (d *Dispatcher) Submit(now time.Time, s *Spec) *errkind.Error {
+	if err := d.admit(now, s); err != nil {
 		return err
 	}
 	j := newJob(s, now)
-	c.jobs[s.ID] = j
-	j.deadlineTimer = c.timers.add(s.Deadline, timer{job: j})
+	d.jobs[s.ID] = j
+	j.deadlineTimer = d.timers.add(s.Deadline, timer{job: j})
 	for i := range j.tasks {
-		c.enqueue(&j.tasks[i])
+		d.enqueue(&j.tasks[i])
 	}
-	c.enqueueCount++
-	c.dispatchWaiting(now)
+	d.enqueueCount++
+	d.dispatchWaiting(now)
 	return nil
 }
 
 // Cancel implements Machine.
-func (c *Dispatcher) Cancel(now time.Time, id JobID) {
-	if j := c.jobs[id]; j != nil {
-		c.failJob(now, j, failure{kind: errkind.Cancelled, detail: "the caller cancelled the job"})
-		c.dispatchWaiting(now)
+func (d *Dispatcher) Cancel(now time.Time, id JobID) {
+	if j := d.jobs[id]; j != nil {
+		d.failJob(now, j, failure{kind: errkind.Cancelled, detail: "the caller cancelled the job"})
+		d.dispatchWaiting(now)
 	}
 }
 
 // Tick implements Machine.
-func (c *Dispatcher) Tick(now time.Time) {
+func (d *Dispatcher) Tick(now time.Time) {
 	for {
-		t, ok := c.timers.popDue(now)
+		t, ok := d.timers.popDue(now)
 		if !ok {
 			break
 		}
-		c.runTimer(now, t)
+		d.runTimer(now, t)
 	}
-	c.dispatchWaiting(now)
+	d.dispatchWaiting(now)
 }
 
 // NextTick implements Machine.
-func (c *Dispatcher) NextTick() time.Time { return c.timers.nextDue() }
+func (d *Dispatcher) NextTick() time.Time { return d.timers.nextDue() }
 
-func (c *Dispatcher) runTimer(now time.Time, t *timer) {
+func (d *Dispatcher) runTimer(now time.Time, t *timer) {
 	switch {
 	case t.maintainQueue:
-		c.maintainQueue(now)
+		d.maintainQueue(now)
 	case t.job != nil:
-		c.failJob(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "the deadline passed"})
+		d.failJob(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "the deadline passed"})
 	case t.task != nil && t.task.job.tasks != nil:
-		c.retryTask(now, t.task)
-	case t.startProbation && c.guards[t.guard.workerIndex] == t.guard:
-		c.startProbation(t.guard)
+		d.retryTask(now, t.task)
+	case t.startProbation && d.guards[t.guard.workerIndex] == t.guard:
+		d.startProbation(t.guard)
 	case t.checkResponsiveness:
-		c.checkResponsiveness(now)
+		d.checkResponsiveness(now)
 	case t.guard != nil && !t.startProbation:
-		c.expireGrace(now, t.guard, t.disconnects)
+		d.expireGrace(now, t.guard, t.disconnects)
 	}
 }
 
 // emit appends an action to those returned by Actions.
-func (c *Dispatcher) emit(a Action) { c.actions = append(c.actions, a) }
+func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
 // enqueue adds a task that has provably not started to the fair queue.
-func (c *Dispatcher) enqueue(t *task) {
+func (d *Dispatcher) enqueue(t *task) {
 	t.state = waiting
 	s := t.job.spec
-	c.queue.Push(s.Team, c.policy.Teams[s.Team].Weight, sched.Item[*task]{Value: t, Due: t.due})
+	d.queue.Push(s.Team, d.policy.Teams[s.Team].Weight, sched.Item[*task]{Value: t, Due: t.due})
 }
 
 // dispatchWaiting sends waiting tasks while workers are estimated to have free
 // slots, and reserves slots for the remaining tasks.
-func (c *Dispatcher) dispatchWaiting(now time.Time) {
-	c.dispatchParked(now)
-	for c.queue.Len() > 0 && c.canPlace() {
-		t, ok := c.nextTask(now)
+func (d *Dispatcher) dispatchWaiting(now time.Time) {
+	d.dispatchParked(now)
+	for d.queue.Len() > 0 && d.canPlace() {
+		t, ok := d.nextTask(now)
 		if !ok {
 			break
 		}
 		need := t.job.spec.Need
-		if need != (Need{}) && c.findParked(need) != nil {
-			c.park(t) // behind tasks with the same need, for which no worker had room
-		} else if workerIndex := c.chooseWorker(t); workerIndex != sched.NoWorker {
-			c.sendTask(now, t, workerIndex, 0)
+		if need != (Need{}) && d.findParked(need) != nil {
+			d.park(t) // behind tasks with the same need, for which no worker had room
+		} else if workerIndex := d.chooseWorker(t); workerIndex != sched.NoWorker {
+			d.sendTask(now, t, workerIndex, 0)
 		} else if need != (Need{}) {
-			c.park(t)
+			d.park(t)
 		} else {
-			c.skipped = append(c.skipped, t)
+			d.skipped = append(d.skipped, t)
 		}
 	}
-	for _, t := range c.skipped {
-		c.enqueue(t)
+	for _, t := range d.skipped {
+		d.enqueue(t)
 	}
-	c.skipped = c.skipped[:0]
-	if c.waitingTasks() == 0 {
+	d.skipped = d.skipped[:0]
+	if d.waitingTasks() == 0 {
 		return
 	}
-	c.reserveSlots(now)
-	if !c.isMaintenanceScheduled {
-		c.isMaintenanceScheduled = true
-		c.timers.add(now.Add(maintenanceInterval), timer{maintainQueue: true})
+	d.reserveSlots(now)
+	if !d.isMaintenanceScheduled {
+		d.isMaintenanceScheduled = true
+		d.timers.add(now.Add(maintenanceInterval), timer{maintainQueue: true})
 	}
 }
 
 // nextTask removes the next runnable task from the queue.
-func (c *Dispatcher) nextTask(now time.Time) (*task, bool) {
+func (d *Dispatcher) nextTask(now time.Time) (*task, bool) {
 	for {
-		t, ok := c.queue.Pop()
+		t, ok := d.queue.Pop()
 		if !ok {
 			return nil, false
 		}
-		if c.checkRunnable(now, t) {
+		if d.checkRunnable(now, t) {
 			return t, true
 		}
 	}
@@ -195,12 +195,12 @@
 // checkRunnable reports whether a waiting task should still be run. If the time
 // left is too short even for a quick run, it fails the job: starting the task
 // would only use a slot that others need.
-func (c *Dispatcher) checkRunnable(now time.Time, t *task) bool {
+func (d *Dispatcher) checkRunnable(now time.Time, t *task) bool {
 	if t.state != waiting || t.job.tasks == nil {
 		return false // the job finished while the task was waiting
 	}
-	if c.runTimes.HasEstimate() && t.job.spec.Deadline.Sub(now) < c.runTimes.P10 {
-		c.failJob(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "no time is left to run the task"})
+	if d.runTimes.HasEstimate() && t.job.spec.Deadline.Sub(now) < d.runTimes.P10 {
+		d.failJob(now, t.job, failure{kind: errkind.DeadlineExpired, detail: "no time is left to run the task"})
 		return false
 	}
 	return true
@@ -208,31 +208,31 @@
 
 // canPlace reports whether chooseWorker can succeed for a task without
 // refusals.
-func (c *Dispatcher) canPlace() bool {
-	switch c.policy.Placement {
+func (d *Dispatcher) canPlace() bool {
+	switch d.policy.Placement {
 	case LateBinding:
 		return false
 	case DefaultPlacement, LeastKnownLoad:
-		return c.pool.FleetStats.WithFreeSlot > 0
+		return d.pool.FleetStats.WithFreeSlot > 0
 	}
-	return c.pool.FleetStats.Usable > 0
+	return d.pool.FleetStats.Usable > 0
 }
 
 // chooseWorker returns the index of a worker for t, or sched.NoWorker.
-func (c *Dispatcher) chooseWorker(t *task) int {
-	req := sched.PlacementRequest{Domain: c.domainIDs.id(c.policy.Domain), Excluded: t.refusedBy, JobLocations: t.job.locations, Need: t.job.spec.Need}
-	switch c.policy.Placement {
+func (d *Dispatcher) chooseWorker(t *task) int {
+	req := sched.PlacementRequest{Domain: d.domainIDs.id(d.policy.Domain), Excluded: t.refusedBy, JobLocations: t.job.locations, Need: t.job.spec.Need}
+	switch d.policy.Placement {
 	case Random:
-		return sched.RandomUsable(c.pool.Workers, &req, c.rng)
+		return sched.RandomUsable(d.pool.Workers, &req, d.rng)
 	case TwoChoices:
-		return sched.LeastLoadedOfTwo(c.pool.Workers, &req, c.rng, false)
+		return sched.LeastLoadedOfTwo(d.pool.Workers, &req, d.rng, false)
 	case TwoChoicesLoad:
-		return sched.LeastLoadedOfTwo(c.pool.Workers, &req, c.rng, true)
+		return sched.LeastLoadedOfTwo(d.pool.Workers, &req, d.rng, true)
 	}
-	if req.Need.Accelerators > 0 && c.pool.FleetStats.WithIdleAccelerator == 0 || c.needsOffer(t) {
+	if req.Need.Accelerators > 0 && d.pool.FleetStats.WithIdleAccelerator == 0 || d.needsOffer(t) {
 		return sched.NoWorker
 	}
-	return sched.LeastLoaded(c.pool.Workers, &req, c.rng)
+	return sched.LeastLoaded(d.pool.Workers, &req, d.rng)
 }
 
 // Limits for sending a refused task to another guard based on load reports.
@@ -246,12 +246,12 @@
 
 // needsOffer reports whether t may only be sent in response to an offer. The
 // last candidates for a task need none, because they are asked to queue it.
-func (c *Dispatcher) needsOffer(t *task) bool {
+func (d *Dispatcher) needsOffer(t *task) bool {
 	refusals := len(t.refusedBy)
-	if refusals == 0 || !c.usesReservations() || c.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
+	if refusals == 0 || !d.usesReservations() || d.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
 		return false
 	}
-	return refusals >= maxRefusalsBeforeOffer || c.pool.FleetStats.WithFreeSlot < minFreeWorkersForResend
+	return refusals >= maxRefusalsBeforeOffer || d.pool.FleetStats.WithFreeSlot < minFreeWorkersForResend
 }
 
 // Interval of maintainQueue, and the age at which it lowers a load report.
@@ -268,56 +268,56 @@
 // A worker sends no reports to an entry that has no task on it. Without
 // lowering old reports, a single report that all slots are in use would block
 // the entry's queue forever.
-func (c *Dispatcher) maintainQueue(now time.Time) {
-	c.isMaintenanceScheduled = false
-	c.expireReservations(now)
-	c.startRate.EndInterval(now, c.queue.Len() > 0, c.nominalRate(&c.pool.FleetStats))
-	for i, g := range c.guards {
-		if w := c.pool.Workers[i]; g != nil && now.Sub(g.lastReport) > maxLoadAge && w.OtherTasks > 0 {
+func (d *Dispatcher) maintainQueue(now time.Time) {
+	d.isMaintenanceScheduled = false
+	d.expireReservations(now)
+	d.startRate.EndInterval(now, d.queue.Len() > 0, d.nominalRate(&d.pool.FleetStats))
+	for i, g := range d.guards {
+		if w := d.pool.Workers[i]; g != nil && now.Sub(g.lastReport) > maxLoadAge && w.OtherTasks > 0 {
 			w.OtherTasks--
-			c.pool.Set(i, w)
+			d.pool.Set(i, w)
 		}
 	}
 }
 
 // sendTask sends t to a worker. From then on the task counts as possibly
 // started, until the guard's final result states that it was not.
-func (c *Dispatcher) sendTask(now time.Time, t *task, workerIndex int, offerID uint64) {
-	g := c.guards[workerIndex]
+func (d *Dispatcher) sendTask(now time.Time, t *task, workerIndex int, offerID uint64) {
+	g := d.guards[workerIndex]
 	t.state = sent
-	startMessage := c.startMessage(now, t)
+	startMessage := d.startMessage(now, t)
 	startMessage.OfferID = offerID
-	c.attempts[startMessage.Ref] = &attempt{ref: startMessage.Ref, task: t, guard: g, sent: now, canBeQueued: startMessage.WaitMs > 0, accelerators: t.job.spec.Need.Accelerators}
-	c.addOwnTasks(workerIndex, 1, t.job.spec.Need.Accelerators)
-	t.job.locations.Add(&c.pool.Workers[workerIndex])
-	c.startRate.RecordStart()
+	d.attempts[startMessage.Ref] = &attempt{ref: startMessage.Ref, task: t, guard: g, sent: now, canBeQueued: startMessage.WaitMs > 0, accelerators: t.job.spec.Need.Accelerators}
+	d.addOwnTasks(workerIndex, 1, t.job.spec.Need.Accelerators)
+	t.job.locations.Add(&d.pool.Workers[workerIndex])
+	d.startRate.RecordStart()
 	if len(t.refusedBy) == 0 {
-		c.retryBudget.AddFirstStart(c.policy.RetryRatio)
+		d.retryBudget.AddFirstStart(d.policy.RetryRatio)
 	}
-	if !c.isCheckScheduled {
-		c.isCheckScheduled = true
-		c.timers.add(now.Add(responsivenessCheckInterval), timer{checkResponsiveness: true})
+	if !d.isCheckScheduled {
+		d.isCheckScheduled = true
+		d.timers.add(now.Add(responsivenessCheckInterval), timer{checkResponsiveness: true})
 	}
-	c.emit(Action{Guard: g.incarnation, Start: startMessage})
+	d.emit(Action{Guard: g.incarnation, Start: startMessage})
 }
 
 // startMessage returns the message that asks a guard to start t.
-func (c *Dispatcher) startMessage(now time.Time, t *task) *wire.Start {
+func (d *Dispatcher) startMessage(now time.Time, t *task) *wire.Start {
 	s := t.job.spec
 	leftMs := max(1, s.Deadline.Sub(now).Milliseconds())
-	return &wire.Start{Ref: t.ref(), Of: len(t.job.tasks), LeftMs: leftMs, WaitMs: c.maxWaitMs(t, leftMs), Body: s.Tasks[t.index]}
+	return &wire.Start{Ref: t.ref(), Of: len(t.job.tasks), LeftMs: leftMs, WaitMs: d.maxWaitMs(t, leftMs), Body: s.Tasks[t.index]}
 }
 
 // maxWaitMs returns how long the guard may queue the task until a slot is free.
 // A refusal is final for that guard, so the last candidates are asked to queue
 // the task; otherwise a task that every guard refused as Busy could never run.
-func (c *Dispatcher) maxWaitMs(t *task, leftMs int64) int64 {
-	switch c.policy.Placement {
+func (d *Dispatcher) maxWaitMs(t *task, leftMs int64) int64 {
+	switch d.policy.Placement {
 	case Random, TwoChoices, TwoChoicesLoad:
 		return leftMs
 	}
 	refusals := len(t.refusedBy)
-	if c.policy.Weighting == PreferFewMessages || c.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
+	if d.policy.Weighting == PreferFewMessages || d.countCandidates(t, refusals+lastCandidates+1)-refusals <= lastCandidates {
 		return leftMs
 	}
 	return 0
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -55,50 +55,50 @@
 }
 
 // GuardConnected implements Machine.
-func (c *Dispatcher) GuardConnected(now time.Time, h *wire.Hello) {
-	g := c.findGuard(h.Incarnation)
+func (d *Dispatcher) GuardConnected(now time.Time, h *wire.Hello) {
+	g := d.findGuard(h.Incarnation)
 	isReconnect := g != nil
 	if !isReconnect {
-		c.removePredecessors(now, h)
-		g = c.addGuard(h)
+		d.removePredecessors(now, h)
+		g = d.addGuard(h)
 	}
 	g.isConnected, g.isDraining = true, h.Load.Draining
-	w := c.pool.Workers[g.workerIndex]
+	w := d.pool.Workers[g.workerIndex]
 	w.Slots = int32(min(max(0, h.Slots), maxSlots))
 	setResources(&w, h)
-	c.recordWorkerSize(&w)
-	c.pool.Set(g.workerIndex, w)
+	d.recordWorkerSize(&w)
+	d.pool.Set(g.workerIndex, w)
 	g.loadSeq, g.isUnhealthy = 0, false
-	c.applyLoad(now, g, &h.Load)
-	c.updateState(g)
+	d.applyLoad(now, g, &h.Load)
+	d.updateState(g)
 	if isReconnect {
-		c.resendStarts(now, g)
+		d.resendStarts(now, g)
 	} else {
-		c.failUnplaceableJobs(now) // only now, as the new incarnation may be the one that fits
+		d.failUnplaceableJobs(now) // only now, as the new incarnation may be the one that fits
 	}
-	c.dispatchWaiting(now)
+	d.dispatchWaiting(now)
 }
 
-func (c *Dispatcher) addGuard(h *wire.Hello) *guard {
-	workerIndex := slices.Index(c.guards, nil)
+func (d *Dispatcher) addGuard(h *wire.Hello) *guard {
+	workerIndex := slices.Index(d.guards, nil)
 	if workerIndex < 0 {
-		workerIndex = c.pool.AddWorker()
-		c.guards = append(c.guards, nil)
+		workerIndex = d.pool.AddWorker()
+		d.guards = append(d.guards, nil)
 	}
 	g := &guard{incarnation: h.Incarnation, worker: h.Worker, workerIndex: workerIndex}
-	c.guards[workerIndex] = g
-	c.pool.Set(workerIndex, sched.Worker{Domain: c.domainIDs.id(h.Domain), Rack: c.rackIDs.id(h.Rack)})
-	c.workerIndexes[h.Incarnation] = workerIndex
+	d.guards[workerIndex] = g
+	d.pool.Set(workerIndex, sched.Worker{Domain: d.domainIDs.id(h.Domain), Rack: d.rackIDs.id(h.Rack)})
+	d.workerIndexes[h.Incarnation] = workerIndex
 	return g
 }
 
 // removePredecessors removes disconnected earlier incarnations of a restarted
 // guard. Their state was lost with the process, so no result can arrive.
 // Otherwise every job on a killed guard would wait for the whole grace period.
-func (c *Dispatcher) removePredecessors(now time.Time, h *wire.Hello) {
-	for _, g := range c.guards {
+func (d *Dispatcher) removePredecessors(now time.Time, h *wire.Hello) {
+	for _, g := range d.guards {
 		if g != nil && g.worker == h.Worker && !g.isConnected {
-			c.removeGuard(now, g)
+			d.removeGuard(now, g)
 		}
 	}
 }
@@ -107,22 +107,22 @@
 // may have been lost with the link, and the jobs would wait for results that
 // never arrive. The guard starts a Ref at most once, so a start that did arrive
 // has no second effect. Withdrawn tasks are cancelled instead.
-func (c *Dispatcher) resendStarts(now time.Time, g *guard) {
-	for _, a := range c.attemptsAt(g) {
+func (d *Dispatcher) resendStarts(now time.Time, g *guard) {
+	for _, a := range d.attemptsAt(g) {
 		if a.task == nil {
-			c.emit(Action{Guard: g.incarnation, Cancel: &wire.Cancel{Ref: a.ref}})
-			c.removeAttempt(a)
+			d.emit(Action{Guard: g.incarnation, Cancel: &wire.Cancel{Ref: a.ref}})
+			d.removeAttempt(a)
 			continue
 		}
-		c.emit(Action{Guard: g.incarnation, Start: c.startMessage(now, a.task)})
+		d.emit(Action{Guard: g.incarnation, Start: d.startMessage(now, a.task)})
 	}
 }
 
 // attemptsAt returns a guard's attempts in a fixed order. Map iteration order
 // would make replays nondeterministic.
-func (c *Dispatcher) attemptsAt(g *guard) []*attempt {
+func (d *Dispatcher) attemptsAt(g *guard) []*attempt {
 	var out []*attempt
-	for _, att := range c.attempts {
+	for _, att := range d.attempts {
 		if att.guard == g {
 			out = append(out, att)
 		}
@@ -135,48 +135,48 @@
 }
 
 // GuardDisconnected implements Machine.
-func (c *Dispatcher) GuardDisconnected(now time.Time, inc identity.Incarnation) {
-	g := c.findGuard(inc)
+func (d *Dispatcher) GuardDisconnected(now time.Time, inc identity.Incarnation) {
+	g := d.findGuard(inc)
 	if g == nil || !g.isConnected {
 		return
 	}
 	g.isConnected = false
 	g.disconnects++
-	c.updateState(g)
-	c.timers.add(now.Add(c.policy.GracePeriod), timer{guard: g, disconnects: g.disconnects})
+	d.updateState(g)
+	d.timers.add(now.Add(d.policy.GracePeriod), timer{guard: g, disconnects: g.disconnects})
 }
 
 // expireGrace removes a guard that did not reconnect within its grace period.
-func (c *Dispatcher) expireGrace(now time.Time, g *guard, disconnects int) {
-	if !g.isConnected && g.disconnects == disconnects && c.guards[g.workerIndex] == g {
-		c.removeGuard(now, g)
-		c.failUnplaceableJobs(now)
+func (d *Dispatcher) expireGrace(now time.Time, g *guard, disconnects int) {
+	if !g.isConnected && g.disconnects == disconnects && d.guards[g.workerIndex] == g {
+		d.removeGuard(now, g)
+		d.failUnplaceableJobs(now)
 	}
 }
 
 // removeGuard fails the jobs with a task at g and frees its worker index.
-func (c *Dispatcher) removeGuard(now time.Time, g *guard) {
-	for _, a := range c.attemptsAt(g) {
+func (d *Dispatcher) removeGuard(now time.Time, g *guard) {
+	for _, a := range d.attemptsAt(g) {
 		t := a.task
-		c.removeAttempt(a)
+		d.removeAttempt(a)
 		if t != nil && t.job.tasks != nil {
-			c.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: errkind.WorkerLost,
+			d.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: errkind.WorkerLost,
 				ran: errkind.RanUnknown, detail: "the guard " + string(g.incarnation) + " was lost"})
 		}
 	}
-	delete(c.workerIndexes, g.incarnation)
-	c.setPendingOffers(g, 0)
-	c.guards[g.workerIndex] = nil
-	c.pool.Set(g.workerIndex, sched.Worker{})
-	c.clearRefusals(int32(g.workerIndex))
+	delete(d.workerIndexes, g.incarnation)
+	d.setPendingOffers(g, 0)
+	d.guards[g.workerIndex] = nil
+	d.pool.Set(g.workerIndex, sched.Worker{})
+	d.clearRefusals(int32(g.workerIndex))
 }
 
 // failUnplaceableJobs fails every job for which no fitting worker is left.
 // Otherwise such a job would wait until its deadline.
-func (c *Dispatcher) failUnplaceableJobs(now time.Time) {
-	ids := make([]JobID, 0, len(c.jobs))
-	for id, j := range c.jobs {
-		if c.noWorkerFits(j.spec.Need) {
+func (d *Dispatcher) failUnplaceableJobs(now time.Time) {
+	ids := make([]JobID, 0, len(d.jobs))
+	for id, j := range d.jobs {
+		if d.noWorkerFits(j.spec.Need) {
 			ids = append(ids, id)
 		}
 	}
@@ -184,22 +184,22 @@
 		return cmp.Or(strings.Compare(a.Key, b.Key), strings.Compare(a.Member, b.Member))
 	})
 	for _, id := range ids {
-		c.failJob(now, c.jobs[id], failure{kind: errkind.NoWorkers, detail: "the last worker that fits was lost"})
+		d.failJob(now, d.jobs[id], failure{kind: errkind.NoWorkers, detail: "the last worker that fits was lost"})
 	}
 }
 
 // noWorkerFits reports whether no remaining worker fits the need.
-func (c *Dispatcher) noWorkerFits(need Need) bool {
+func (d *Dispatcher) noWorkerFits(need Need) bool {
 	if need == (Need{}) {
-		return len(c.workerIndexes) == 0
+		return len(d.workerIndexes) == 0
 	}
-	return c.pool.CountFitting(need, 1) == 0
+	return d.pool.CountFitting(need, 1) == 0
 }
 
 // clearRefusals removes a worker index from all lists of refusals. Another
 // guard may reuse the index and must not be skipped for these tasks.
-func (c *Dispatcher) clearRefusals(workerIndex int32) {
-	for _, j := range c.jobs {
+func (d *Dispatcher) clearRefusals(workerIndex int32) {
+	for _, j := range d.jobs {
 		for i := range j.tasks {
 			t := &j.tasks[i]
 			t.refusedBy = slices.DeleteFunc(t.refusedBy, func(index int32) bool { return index == workerIndex })
@@ -208,43 +208,43 @@
 }
 
 // GuardDraining implements Machine.
-func (c *Dispatcher) GuardDraining(_ time.Time, inc identity.Incarnation) {
-	if g := c.findGuard(inc); g != nil {
+func (d *Dispatcher) GuardDraining(_ time.Time, inc identity.Incarnation) {
+	if g := d.findGuard(inc); g != nil {
 		g.isDraining = true
-		c.updateState(g)
+		d.updateState(g)
 	}
 }
 
 // Load implements Machine.
-func (c *Dispatcher) Load(now time.Time, inc identity.Incarnation, l *wire.Load) {
-	if g := c.findGuard(inc); g != nil {
-		c.applyLoad(now, g, l)
-		c.dispatchWaiting(now)
+func (d *Dispatcher) Load(now time.Time, inc identity.Incarnation, l *wire.Load) {
+	if g := d.findGuard(inc); g != nil {
+		d.applyLoad(now, g, l)
+		d.dispatchWaiting(now)
 	}
 }
 
 // applyLoad records a guard's load report unless a newer one was received
 // before: an outdated report would show slots as free that have since been
 // taken. A guard that accepts no new tasks reports no slots.
-func (c *Dispatcher) applyLoad(now time.Time, g *guard, l *wire.Load) {
+func (d *Dispatcher) applyLoad(now time.Time, g *guard, l *wire.Load) {
 	if l.Seq == 0 || l.Seq <= g.loadSeq {
 		return
 	}
 	g.loadSeq, g.lastReport = l.Seq, now
-	w := c.pool.Workers[g.workerIndex]
+	w := d.pool.Workers[g.workerIndex]
 	w.Slots = int32(min(max(0, l.Slots), maxSlots))
 	w.OtherTasks = max(0, int32(l.Running+l.Queued)-w.OwnTasks)
-	c.pool.Set(g.workerIndex, w)
+	d.pool.Set(g.workerIndex, w)
 	if isUnhealthy := !l.Healthy; g.isUnresponsive || l.Draining || isUnhealthy != g.isUnhealthy {
 		g.isUnresponsive, g.isUnhealthy = false, isUnhealthy
 		g.isDraining = g.isDraining || l.Draining
-		c.updateState(g)
+		d.updateState(g)
 	}
 }
 
 // updateState derives the state used by placement from the guard's flags.
-func (c *Dispatcher) updateState(g *guard) {
-	w := c.pool.Workers[g.workerIndex]
+func (d *Dispatcher) updateState(g *guard) {
+	w := d.pool.Workers[g.workerIndex]
 	switch {
 	case g.isDraining || !g.isConnected || g.isUnhealthy:
 		w.State = sched.Unavailable
@@ -255,12 +255,12 @@
 	default:
 		w.State = sched.Usable
 	}
-	c.pool.Set(g.workerIndex, w)
+	d.pool.Set(g.workerIndex, w)
 	if w.State != sched.Usable {
-		c.setPendingOffers(g, 0)
+		d.setPendingOffers(g, 0)
 	}
-	if c.pool.FleetStats.Usable == 0 && c.pool.FleetStats.Excluded > 0 {
-		c.restoreExcluded()
+	if d.pool.FleetStats.Usable == 0 && d.pool.FleetStats.Excluded > 0 {
+		d.restoreExcluded()
 	}
 }
 
@@ -269,34 +269,34 @@
 // excluded ones are all that remains, and a slow worker is better than none.
 // Otherwise every job would be refused until the next probe, as if the service
 // had no worker.
-func (c *Dispatcher) restoreExcluded() {
-	for _, g := range c.guards {
+func (d *Dispatcher) restoreExcluded() {
+	for _, g := range d.guards {
 		if g != nil && (g.isQuarantined || g.isUnresponsive) {
 			g.isQuarantined, g.isUnresponsive = false, false
-			c.updateState(g)
+			d.updateState(g)
 		}
 	}
 }
 
 // addOwnTasks adds n tasks, which may be negative, to a worker's load.
-func (c *Dispatcher) addOwnTasks(workerIndex int, n int32, accelerators int) {
-	w := c.pool.Workers[workerIndex]
+func (d *Dispatcher) addOwnTasks(workerIndex int, n int32, accelerators int) {
+	w := d.pool.Workers[workerIndex]
 	w.OwnTasks += n
 	w.UsedAccelerators += int16(n) * int16(accelerators)
-	c.pool.Set(workerIndex, w)
+	d.pool.Set(workerIndex, w)
 }
 
-func (c *Dispatcher) findGuard(inc identity.Incarnation) *guard {
-	if workerIndex, ok := c.workerIndexes[inc]; ok {
-		return c.guards[workerIndex]
+func (d *Dispatcher) findGuard(inc identity.Incarnation) *guard {
+	if workerIndex, ok := d.workerIndexes[inc]; ok {
+		return d.guards[workerIndex]
 	}
 	return nil
 }
 
 // removeAttempt deletes an attempt and releases its slot and accelerators.
-func (c *Dispatcher) removeAttempt(a *attempt) {
-	delete(c.attempts, a.ref)
-	c.addOwnTasks(a.guard.workerIndex, -1, a.accelerators)
+func (d *Dispatcher) removeAttempt(a *attempt) {
+	delete(d.attempts, a.ref)
+	d.addOwnTasks(a.guard.workerIndex, -1, a.accelerators)
 }
 
 // idTable assigns numeric IDs to names, in order of appearance from 1.
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -9,18 +9,18 @@
 
 // recordHealth updates a worker's health from a task's result and quarantines
 // the worker if necessary.
-func (c *Dispatcher) recordHealth(now time.Time, a *attempt, r *wire.Result) {
+func (d *Dispatcher) recordHealth(now time.Time, a *attempt, r *wire.Result) {
 	g := a.guard
 	switch {
 	case r.Kind == errkind.None:
-		c.recordRun(g, time.Duration(r.RunMs)*time.Millisecond)
+		d.recordRun(g, time.Duration(r.RunMs)*time.Millisecond)
 	case mayBeWorkerFault(r.Kind):
 		g.health.RecordFailure(a.ref.Key)
 	default:
 		return
 	}
-	if !g.isQuarantined && g.health.ShouldQuarantine() && c.pool.FleetStats.CanExclude() {
-		c.quarantine(now, g)
+	if !g.isQuarantined && g.health.ShouldQuarantine() && d.pool.FleetStats.CanExclude() {
+		d.quarantine(now, g)
 	}
 }
 
@@ -29,33 +29,33 @@
 	return k == errkind.UpstreamFailed || k == errkind.UpstreamPartial || k == errkind.TimedOut
 }
 
-func (c *Dispatcher) recordRun(g *guard, runTime time.Duration) {
-	isSlow := c.runTimes.HasEstimate() && runTime > c.runTimes.P90
+func (d *Dispatcher) recordRun(g *guard, runTime time.Duration) {
+	isSlow := d.runTimes.HasEstimate() && runTime > d.runTimes.P90
 	g.health.RecordRun(isSlow)
-	c.runTimes.Observe(runTime)
-	if w := c.pool.Workers[g.workerIndex]; w.MaxOwnTasks > 0 && !g.isQuarantined {
+	d.runTimes.Observe(runTime)
+	if w := d.pool.Workers[g.workerIndex]; w.MaxOwnTasks > 0 && !g.isQuarantined {
 		w.MaxOwnTasks = g.health.RecordProbe(w.MaxOwnTasks, w.Slots, isSlow)
-		c.pool.Set(g.workerIndex, w)
+		d.pool.Set(g.workerIndex, w)
 	}
 }
 
-func (c *Dispatcher) quarantine(now time.Time, g *guard) {
+func (d *Dispatcher) quarantine(now time.Time, g *guard) {
 	g.isQuarantined = true
-	c.updateState(g)
-	c.timers.add(g.health.Quarantine(now), timer{guard: g, startProbation: true})
+	d.updateState(g)
+	d.timers.add(g.health.Quarantine(now), timer{guard: g, startProbation: true})
 }
 
 // startProbation ends a quarantine. The worker gets one task at a time at
 // first, and more as they succeed.
-func (c *Dispatcher) startProbation(g *guard) {
+func (d *Dispatcher) startProbation(g *guard) {
 	if !g.isQuarantined {
 		return // restoreExcluded ended the quarantine early
 	}
 	g.isQuarantined = false
-	w := c.pool.Workers[g.workerIndex]
+	w := d.pool.Workers[g.workerIndex]
 	w.MaxOwnTasks = 1
-	c.pool.Set(g.workerIndex, w)
-	c.updateState(g)
+	d.pool.Set(g.workerIndex, w)
+	d.updateState(g)
 }
 
 // Parameters of checkResponsiveness.
@@ -70,35 +70,35 @@
 // and have sent nothing for too long. A frozen worker keeps its link until the
 // link's own liveness check fails, much later, and meanwhile looks idle to
 // other entries; every task sent to it in that time would be lost.
-func (c *Dispatcher) checkResponsiveness(now time.Time) {
-	c.isCheckScheduled = false
-	if len(c.attempts) == 0 {
+func (d *Dispatcher) checkResponsiveness(now time.Time) {
+	d.isCheckScheduled = false
+	if len(d.attempts) == 0 {
 		return
 	}
-	c.isCheckScheduled = true
-	c.timers.add(now.Add(responsivenessCheckInterval), timer{checkResponsiveness: true})
-	cutoff := now.Add(-c.unresponsiveTimeout())
-	for _, a := range c.attempts {
+	d.isCheckScheduled = true
+	d.timers.add(now.Add(responsivenessCheckInterval), timer{checkResponsiveness: true})
+	cutoff := now.Add(-d.unresponsiveTimeout())
+	for _, a := range d.attempts {
 		a.guard.hasOverdueTask = a.guard.hasOverdueTask || a.sent.Before(cutoff)
 	}
-	for _, g := range c.guards {
+	for _, g := range d.guards {
 		if g == nil {
 			continue
 		}
 		hasOverdueTask := g.hasOverdueTask
 		g.hasOverdueTask = false
-		if hasOverdueTask && g.isConnected && !g.isUnresponsive && g.lastReport.Before(cutoff) && c.pool.FleetStats.CanExclude() {
+		if hasOverdueTask && g.isConnected && !g.isUnresponsive && g.lastReport.Before(cutoff) && d.pool.FleetStats.CanExclude() {
 			g.isUnresponsive = true
-			c.updateState(g)
+			d.updateState(g)
 		}
 	}
 }
 
 // unresponsiveTimeout returns how long a guard with an open task may send
 // nothing.
-func (c *Dispatcher) unresponsiveTimeout() time.Duration {
-	if !c.runTimes.HasEstimate() {
+func (d *Dispatcher) unresponsiveTimeout() time.Duration {
+	if !d.runTimes.HasEstimate() {
 		return defaultUnresponsiveTimeout
 	}
-	return max(minUnresponsiveTimeout, unresponsiveRunTimeFactor*c.runTimes.P99)
+	return max(minUnresponsiveTimeout, unresponsiveRunTimeFactor*d.runTimes.P99)
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -68,7 +68,7 @@
 // failJob fails a whole job immediately and withdraws its remaining tasks.
 // Waiting for the other tasks would only delay an answer that can no longer
 // change.
-func (c *Dispatcher) failJob(now time.Time, j *job, cause failure) {
+func (d *Dispatcher) failJob(now time.Time, j *job, cause failure) {
 	outcome := &Outcome{ID: j.spec.ID, LongestRunTime: j.longestRunTime}
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.state != done {
@@ -81,9 +81,9 @@
 	}
 	outcome.Err = errkind.New(kind, "%s", cause.detail).WithRan(jobRan(j, outcome.Failures))
 	for i := range j.tasks {
-		c.withdrawTask(&j.tasks[i])
+		d.withdrawTask(&j.tasks[i])
 	}
-	c.finishJob(j, outcome)
+	d.finishJob(j, outcome)
 }
 
 // taskFailure states what is known of a task without a result when its job
@@ -135,34 +135,34 @@
 }
 
 // succeedJob finishes a job after every task has a result.
-func (c *Dispatcher) succeedJob(j *job) {
+func (d *Dispatcher) succeedJob(j *job) {
 	outcome := &Outcome{ID: j.spec.ID, LongestRunTime: j.longestRunTime, Results: make([]TaskResult, len(j.tasks))}
 	for i := range j.tasks {
 		outcome.Results[i] = j.tasks[i].result
 	}
-	c.finishJob(j, outcome)
+	d.finishJob(j, outcome)
 }
 
 // finishJob removes a job and emits its outcome.
-func (c *Dispatcher) finishJob(j *job, outcome *Outcome) {
-	delete(c.jobs, outcome.ID)
+func (d *Dispatcher) finishJob(j *job, outcome *Outcome) {
+	delete(d.jobs, outcome.ID)
 	j.tasks = nil
 	// A timer left in the heap would keep the bodies of all tasks in memory
 	// until the deadline, up to a minute later: gigabytes at 5,000 jobs per
 	// second.
-	c.timers.remove(j.deadlineTimer)
-	c.emit(Action{Finish: outcome})
+	d.timers.remove(j.deadlineTimer)
+	d.emit(Action{Finish: outcome})
 }
 
 // withdrawTask withdraws one task of a failed job. Its attempt remains until
 // the guard sends a result, because the slot is in use until then.
-func (c *Dispatcher) withdrawTask(t *task) {
-	a := c.attempts[t.ref()]
+func (d *Dispatcher) withdrawTask(t *task) {
+	a := d.attempts[t.ref()]
 	if a == nil {
 		return // not sent, or the result was received
 	}
 	a.task = nil
 	if a.canBeQueued && a.guard.isConnected {
-		c.emit(Action{Guard: a.guard.incarnation, Cancel: &wire.Cancel{Ref: a.ref}})
+		d.emit(Action{Guard: a.guard.incarnation, Cancel: &wire.Cancel{Ref: a.ref}})
 	}
 }
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -29,18 +29,18 @@
 const maxWorkerSizes = 64
 
 // recordWorkerSize stores the size of a worker for as long as the entry runs.
-func (c *Dispatcher) recordWorkerSize(w *sched.Worker) {
+func (d *Dispatcher) recordWorkerSize(w *sched.Worker) {
 	size := sched.Worker{Accelerators: w.Accelerators, MemoryMB: w.MemoryMB}
-	if len(c.workerSizes) < maxWorkerSizes && !slices.Contains(c.workerSizes, size) {
-		c.workerSizes = append(c.workerSizes, size)
+	if len(d.workerSizes) < maxWorkerSizes && !slices.Contains(d.workerSizes, size) {
+		d.workerSizes = append(d.workerSizes, size)
 	}
 }
 
-// fitBefore reports whether any worker that has ever been connected fits the
+// fittedBefore reports whether any worker that has ever been connected fits the
 // need. VMs are replaced throughout the day, so a similar one will probably
 // connect again.
-func (c *Dispatcher) fitBefore(need Need) bool {
-	return slices.ContainsFunc(c.workerSizes, func(w sched.Worker) bool { return w.Fits(need) })
+func (d *Dispatcher) fittedBefore(need Need) bool {
+	return slices.ContainsFunc(d.workerSizes, func(w sched.Worker) bool { return w.Fits(need) })
 }
 
 // parkedGroup holds waiting tasks with the same need, for which no worker had
@@ -59,23 +59,23 @@
 const maxGroupsPerEvent = 4
 
 // waitingTasks returns the number of queued and parked tasks.
-func (c *Dispatcher) waitingTasks() int { return c.queue.Len() + c.parkedCount }
+func (d *Dispatcher) waitingTasks() int { return d.queue.Len() + d.parkedCount }
 
 // park adds a task to the parked group for its need.
-func (c *Dispatcher) park(t *task) {
+func (d *Dispatcher) park(t *task) {
 	need := t.job.spec.Need
-	group := c.findParked(need)
+	group := d.findParked(need)
 	if group == nil {
 		group = &parkedGroup{need: need}
-		c.parked = append(c.parked, group)
+		d.parked = append(d.parked, group)
 	}
 	group.tasks = append(group.tasks, t)
-	c.parkedCount++
+	d.parkedCount++
 }
 
 // findParked returns the parked group for a need, or nil.
-func (c *Dispatcher) findParked(need Need) *parkedGroup {
-	for _, group := range c.parked {
+func (d *Dispatcher) findParked(need Need) *parkedGroup {
+	for _, group := range d.parked {
 		if group.need == need {
 			return group
 		}
@@ -85,66 +85,66 @@
 
 // takeParked removes the first runnable task from a group, and the group itself
 // once it is empty: an existing group means that tasks are waiting.
-func (c *Dispatcher) takeParked(now time.Time, group *parkedGroup) (*task, bool) {
+func (d *Dispatcher) takeParked(now time.Time, group *parkedGroup) (*task, bool) {
 	var found *task
 	for len(group.tasks) > 0 && found == nil {
 		t := group.tasks[0]
 		group.tasks[0] = nil // otherwise the array keeps the bodies of a finished job in memory
 		group.tasks = group.tasks[1:]
-		c.parkedCount--
-		if c.checkRunnable(now, t) {
+		d.parkedCount--
+		if d.checkRunnable(now, t) {
 			found = t
 		}
 	}
 	if len(group.tasks) == 0 {
-		c.parked = slices.DeleteFunc(c.parked, func(other *parkedGroup) bool { return other == group })
+		d.parked = slices.DeleteFunc(d.parked, func(other *parkedGroup) bool { return other == group })
 	}
 	return found, found != nil
 }
 
 // dispatchParked sends parked tasks before queued ones: parked tasks fit only a
 // few workers, and queued tasks can use the others.
-func (c *Dispatcher) dispatchParked(now time.Time) {
-	for range min(maxGroupsPerEvent, len(c.parked)) {
-		if len(c.parked) == 0 || !c.canPlace() {
+func (d *Dispatcher) dispatchParked(now time.Time) {
+	for range min(maxGroupsPerEvent, len(d.parked)) {
+		if len(d.parked) == 0 || !d.canPlace() {
 			return
 		}
-		group := c.parked[0]
-		copy(c.parked, c.parked[1:])
-		c.parked[len(c.parked)-1] = group
-		c.dispatchGroup(now, group)
+		group := d.parked[0]
+		copy(d.parked, d.parked[1:])
+		d.parked[len(d.parked)-1] = group
+		d.dispatchGroup(now, group)
 	}
 }
 
-func (c *Dispatcher) dispatchGroup(now time.Time, group *parkedGroup) {
-	for c.canPlace() {
-		t, ok := c.takeParked(now, group)
+func (d *Dispatcher) dispatchGroup(now time.Time, group *parkedGroup) {
+	for d.canPlace() {
+		t, ok := d.takeParked(now, group)
 		if !ok {
 			return
 		}
-		workerIndex := c.chooseWorker(t)
+		workerIndex := d.chooseWorker(t)
 		if workerIndex == sched.NoWorker {
 			// The task moves to the end of its group: if the only free worker
 			// has refused it, it must not block the others.
-			c.park(t)
+			d.park(t)
 			return
 		}
-		c.sendTask(now, t, workerIndex, 0)
+		d.sendTask(now, t, workerIndex, 0)
 	}
 }
 
 // takeParkedFor removes a parked task for which a given worker has room.
-func (c *Dispatcher) takeParkedFor(now time.Time, workerIndex int32) (*task, bool) {
-	for i := len(c.parked) - 1; i >= 0; i-- { // in reverse, because takeParked may remove groups
-		group := c.parked[i]
-		if !c.pool.Workers[workerIndex].HasRoom(group.need) {
+func (d *Dispatcher) takeParkedFor(now time.Time, workerIndex int32) (*task, bool) {
+	for i := len(d.parked) - 1; i >= 0; i-- { // in reverse, because takeParked may remove groups
+		group := d.parked[i]
+		if !d.pool.Workers[workerIndex].HasRoom(group.need) {
 			continue
 		}
-		t, ok := c.takeParked(now, group)
+		t, ok := d.takeParked(now, group)
 		switch {
 		case !ok:
 		case t.wasRefusedBy(workerIndex):
-			c.park(t)
+			d.park(t)
 		default:
 			return t, true
 		}
@@ -153,28 +153,28 @@
 }
 
 // canUseOffer reports whether a waiting task could use a slot of the worker.
-func (c *Dispatcher) canUseOffer(workerIndex int) bool {
-	if c.queue.Len() > 0 {
+func (d *Dispatcher) canUseOffer(workerIndex int) bool {
+	if d.queue.Len() > 0 {
 		return true
 	}
-	return slices.ContainsFunc(c.parked, func(group *parkedGroup) bool {
-		return c.pool.Workers[workerIndex].HasRoom(group.need)
+	return slices.ContainsFunc(d.parked, func(group *parkedGroup) bool {
+		return d.pool.Workers[workerIndex].HasRoom(group.need)
 	})
 }
 
 // countCandidates counts the guards whose workers fit the task, including those
 // that refused it. It may stop counting at limit.
-func (c *Dispatcher) countCandidates(t *task, limit int) int {
+func (d *Dispatcher) countCandidates(t *task, limit int) int {
 	if t.job.spec.Need == (Need{}) {
-		return len(c.workerIndexes)
+		return len(d.workerIndexes)
 	}
-	return c.pool.CountFitting(t.job.spec.Need, limit)
+	return d.pool.CountFitting(t.job.spec.Need, limit)
 }
 
 // anyFittingStays reports whether a worker that fits is not draining.
-func (c *Dispatcher) anyFittingStays(need Need) bool {
-	for i, g := range c.guards {
-		if g != nil && !g.isDraining && c.pool.Workers[i].Fits(need) {
+func (d *Dispatcher) anyFittingStays(need Need) bool {
+	for i, g := range d.guards {
+		if g != nil && !g.isDraining && d.pool.Workers[i].Fits(need) {
 			return true
 		}
 	}
--- a/internal/dispatch/policy.go
+++ b/internal/dispatch/policy.go
@@ -14,8 +14,8 @@
 // String returns the name of the weighting.
 func (w Weighting) String() string { return [...]string{"response", "messages"}[w] }
 
-// Placement is a method of choosing workers. All methods but the first serve as a
-// basis of comparison.
+// Placement is a method of choosing workers. All methods but DefaultPlacement
+// exist only for comparison.
 type Placement uint8
 
 // Placement methods.
@@ -49,7 +49,7 @@
 	Teams map[string]Quota
 	// RetryRatio is the number of retries allowed per first start (0.1 = 10%).
 	RetryRatio float64
-	// Grace is how long tasks sent to a disconnected guard wait for it to
+	// GracePeriod is how long tasks sent to a disconnected guard wait for it to
 	// reconnect.
 	GracePeriod time.Duration
 }
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -10,87 +10,87 @@
 )
 
 // Result implements Machine.
-func (c *Dispatcher) Result(now time.Time, inc identity.Incarnation, r *wire.Result) {
-	g := c.findGuard(inc)
+func (d *Dispatcher) Result(now time.Time, inc identity.Incarnation, r *wire.Result) {
+	g := d.findGuard(inc)
 	if g == nil {
 		return // removed; its jobs have been failed
 	}
-	a := c.attempts[r.Ref]
+	a := d.attempts[r.Ref]
 	if a != nil && a.guard == g {
-		c.removeAttempt(a)
-		c.applyLoad(now, g, &r.Load)
-		c.applyResult(now, a, r)
+		d.removeAttempt(a)
+		d.applyLoad(now, g, &r.Load)
+		d.applyResult(now, a, r)
 	} else {
 		// A duplicate result, or a late one from another guard, must not affect
 		// the task's current attempt.
-		c.applyLoad(now, g, &r.Load)
+		d.applyLoad(now, g, &r.Load)
 	}
-	c.dispatchWaiting(now)
+	d.dispatchWaiting(now)
 }
 
 // applyResult applies a guard's result to the task of a removed attempt.
-func (c *Dispatcher) applyResult(now time.Time, a *attempt, r *wire.Result) {
-	c.recordHealth(now, a, r)
+func (d *Dispatcher) applyResult(now time.Time, a *attempt, r *wire.Result) {
+	d.recordHealth(now, a, r)
 	t := a.task
 	if t == nil || t.job.tasks == nil {
 		return // the job has finished
 	}
 	switch {
 	case r.Kind == errkind.None:
-		c.completeTask(t, r)
+		d.completeTask(t, r)
 	case r.Ran == errkind.RanNo && isRetryable(r.Kind):
-		c.refusedBy(now, t, a.guard, r)
+		d.refusedBy(now, t, a.guard, r)
 	default:
-		c.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: r.Kind, ran: r.Ran, detail: r.Detail})
+		d.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: r.Kind, ran: r.Ran, detail: r.Detail})
 	}
 }
 
-func (c *Dispatcher) completeTask(t *task, r *wire.Result) {
+func (d *Dispatcher) completeTask(t *task, r *wire.Result) {
 	j := t.job
 	t.state = done
 	t.result = TaskResult{Status: r.Status, Body: r.Body}
 	j.longestRunTime = max(j.longestRunTime, time.Duration(r.RunMs)*time.Millisecond)
 	if j.unfinished--; j.unfinished == 0 {
-		c.succeedJob(j)
+		d.succeedJob(j)
 	}
 }
 
 // refusedBy requeues a task that a guard has refused for good. If no candidate
 // is left, it fails the job immediately: waiting for the deadline would only
 // delay an answer that is already known.
-func (c *Dispatcher) refusedBy(now time.Time, t *task, g *guard, r *wire.Result) {
+func (d *Dispatcher) refusedBy(now time.Time, t *task, g *guard, r *wire.Result) {
 	t.state = waiting
 	t.refusedBy = append(t.refusedBy, int32(g.workerIndex))
-	if w := c.pool.Workers[g.workerIndex]; r.Kind == errkind.Busy {
+	if w := d.pool.Workers[g.workerIndex]; r.Kind == errkind.Busy {
 		// Any free slots that it reports are reserved for offers.
 		w.OtherTasks = max(w.OtherTasks, w.Slots-w.OwnTasks)
-		c.pool.Set(g.workerIndex, w)
+		d.pool.Set(g.workerIndex, w)
 	}
-	if n := len(t.refusedBy); n >= c.countCandidates(t, n+1) {
-		c.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: errkind.NotRun,
+	if n := len(t.refusedBy); n >= d.countCandidates(t, n+1) {
+		d.failJob(now, t.job, failure{hasTask: true, task: t.index, kind: errkind.NotRun,
 			ran: errkind.RanNo, detail: "every guard refused the task, the last one with " + r.Kind.String()})
 		return
 	}
-	if r.Kind == errkind.Busy && (c.usesReservations() || c.policy.Placement != DefaultPlacement) {
+	if r.Kind == errkind.Busy && (d.usesReservations() || d.policy.Placement != DefaultPlacement) {
 		// The task is sent in response to an offer next, which is not refused
 		// as Busy. The comparison methods have no retry budget.
-		c.enqueueCount++
-		c.enqueue(t)
+		d.enqueueCount++
+		d.enqueue(t)
 		return
 	}
-	c.retryTask(now, t)
+	d.retryTask(now, t)
 }
 
 // retryTask requeues a refused task if the retry budget allows it, or sets a
 // timer to try again later.
-func (c *Dispatcher) retryTask(now time.Time, t *task) {
-	if c.retryBudget.TryTake() {
-		c.enqueueCount++
-		c.enqueue(t)
+func (d *Dispatcher) retryTask(now time.Time, t *task) {
+	if d.retryBudget.TryTake() {
+		d.enqueueCount++
+		d.enqueue(t)
 		return
 	}
 	t.backoffCount++
-	c.timers.add(now.Add(sched.BackoffDelay(t.backoffCount, c.rng)), timer{task: t})
+	d.timers.add(now.Add(sched.BackoffDelay(t.backoffCount, d.rng)), timer{task: t})
 }
 
 // isRetryable reports whether another guard may respond differently. The
