--- a/internal/ledger/fence.go
+++ b/internal/ledger/fence.go
@@ -10,11 +10,11 @@
 	"wigeontray/internal/wire"
 )
 
-// Fence permanently blocks an entry incarnation: it starts no more tasks here. The
-// reply reports the starts made for it. Once MaxFences fences are stored, a Fence
-// for a further entry is ignored and gets no report. Storing it would require
-// evicting an older fence, and the entry blocked by the older one could then start
-// tasks again.
+// Fence permanently blocks an entry incarnation, so that it starts no more tasks
+// here, and replies with a report of the starts made for it. Once MaxFences fences
+// are stored, a Fence for a further entry is ignored and gets no report. Storing it
+// would require evicting an older fence, and the entry blocked by the older one could
+// then start tasks again.
 func (l *Ledger) Fence(now time.Time, from identity.Incarnation, f *wire.Fence) {
 	if !l.fenced[f.FencedEntry] && (len(l.fenced) >= l.opt.MaxFences || len(f.FencedEntry) > maxIncarnationLen) {
 		return
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -87,7 +87,7 @@
 }
 
 // Run directs the guard to run a task on the upstream immediately and only once, and
-// to pass the result to Finished.
+// to pass the result to FinishTask.
 type Run struct {
 	Ref      wire.Ref
 	Body     []byte
@@ -137,7 +137,7 @@
 }
 
 // New returns the ledger of a guard that starts at the given time. The upstream
-// counts as unhealthy until Health reports otherwise.
+// counts as unhealthy until SetHealthy reports otherwise.
 func New(now time.Time, opt Options) *Ledger {
 	opt = opt.withDefaults()
 	return &Ledger{
@@ -236,9 +236,9 @@
 	return nil
 }
 
-// SetHealthy records whether the upstream accepts requests. When it becomes unhealthy,
-// queued tasks are refused so that their entries can send them to other guards
-// before the deadline.
+// SetHealthy records whether the upstream accepts requests. When it becomes
+// unhealthy, queued tasks are refused so that their entries can send them to other
+// guards before the deadline.
 func (l *Ledger) SetHealthy(now time.Time, isHealthy bool) {
 	if l.isHealthy == isHealthy {
 		return
@@ -253,7 +253,7 @@
 }
 
 // Drain begins a planned, irreversible stop: new and queued tasks are refused, and
-// running tasks finish. Goodbye and the load reports are sent before the refusals,
+// running tasks finish. StopNotice and the load reports go out before the refusals,
 // so that no entry sends a refused task back to this guard.
 func (l *Ledger) Drain(now time.Time, reason string) {
 	if l.isDraining {
--- a/internal/ledger/start.go
+++ b/internal/ledger/start.go
@@ -120,8 +120,9 @@
 	l.sendResult(r.home, *res)
 }
 
-// FinishTask handles the result of a Run. Ran == RanNo means that the request provably
-// never reached the upstream. Each Run has one result; a second one is ignored.
+// FinishTask handles the result of a Run. Ran == RanNo means that the request
+// provably never reached the upstream. Each Run has one result; a second one is
+// ignored.
 func (l *Ledger) FinishTask(now time.Time, res wire.Result) {
 	r, ok := l.recordTable.records[res.Ref]
 	if !ok || r.state != running {
