--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -101,6 +101,8 @@
 	h.c.Check(h.metrics.Retries(telemetry.RetrySameGuard), qt.Equals, int64(1))
 }
 
+// A refused job never gets an outcome. If it were tracked, its state would never be
+// removed and memory would grow with each refusal.
 func TestRefusedSubmissionIsNotTracked(t *testing.T) {
 	h := newHarness(t)
 	spec := &dispatch.Spec{ID: dispatch.JobID{Member: "ayni", Key: "1"}, Deadline: h.now, Tasks: [][]byte{nil}}
