--- a/internal/recovery/announcer.go
+++ b/internal/recovery/announcer.go
@@ -86,10 +86,10 @@
 // clearAcks discards the acknowledgements of g, including those still in transit. If
 // the guard is added again, an acknowledgement of the earlier announcement must not
 // count for the new one, which the peer may never receive.
-func (state *witnessState) clearAcks(g identity.Incarnation) {
-	delete(state.acked, g)
-	for seq, guards := range state.unacked {
-		state.unacked[seq] = slices.DeleteFunc(guards, func(x identity.Incarnation) bool { return x == g })
+func (w *witnessState) clearAcks(g identity.Incarnation) {
+	delete(w.acked, g)
+	for seq, guards := range w.unacked {
+		w.unacked[seq] = slices.DeleteFunc(guards, func(x identity.Incarnation) bool { return x == g })
 	}
 }
 
--- a/internal/recovery/explore_test.go
+++ b/internal/recovery/explore_test.go
@@ -146,6 +146,7 @@
 	}
 }
 
+// storeAnswer passes the store's answer to the entry that made the write.
 func (m *model) storeAnswer(a storeAnswer) {
 	if e := m.entries[a.to]; !e.hasCrashed {
 		e.roster.HandleSwapResult(m.now, a.id, a.outcome, a.revision)
--- a/internal/recovery/machine.go
+++ b/internal/recovery/machine.go
@@ -35,8 +35,8 @@
 	nextPoll  time.Time
 	taskCount int
 	results   map[int]wire.Result
-	// queried holds the guards that were asked for results; the value reports whether
-	// they answered.
+	// queried holds the guards that were asked for results. The value is true for a
+	// guard that has answered or that reported a start.
 	queried     map[identity.Incarnation]bool
 	isThrottled bool // a query waits for the collect budget
 }
@@ -74,6 +74,7 @@
 	m.entryState(peer).lastSeen = now
 }
 
+// entryState returns the state of an entry and creates it if necessary.
 func (m *Machine) entryState(inc identity.Incarnation) *entryState {
 	e := m.entries[inc]
 	if e == nil {
@@ -87,6 +88,7 @@
 // in their tickets and must not be able to exhaust memory with invented ones.
 var unknownEntry = new(entryState)
 
+// lookupEntry returns the state of an entry, or unknownEntry. It stores nothing.
 func (m *Machine) lookupEntry(inc identity.Incarnation) *entryState {
 	if e := m.entries[inc]; e != nil {
 		return e
--- a/internal/recovery/machine_test.go
+++ b/internal/recovery/machine_test.go
@@ -21,64 +21,64 @@
 
 var epoch = time.UnixMilli(1_790_000_000_000)
 
-// fixture is the machine of entry-a, a witness of entry-b for guards 1 and 2.
-type fixture struct {
+// harness is the machine of entry-a, a witness of entry-b for guards 1 and 2.
+type harness struct {
 	c   *qt.C
 	now time.Time
 	m   *Machine
 	job Job
 }
 
-func newFixture(t *testing.T) *fixture {
-	f := &fixture{c: qt.New(t), now: epoch, m: NewMachine(self, Options{})}
-	f.applyRoster(1, nil, self, other)
-	f.m.GuardUp(f.now, guard1)
-	f.m.GuardUp(f.now, guard2)
-	f.m.Witness(f.now, other, &wire.Witness{Seq: 1, Guards: []identity.Incarnation{guard1, guard2}})
-	f.m.Witness(f.now, other, &wire.Witness{Seq: 2, SinceMs: epoch.UnixMilli(), Version: 1})
-	f.now = f.now.Add(time.Second)
-	f.job = Job{Member: "ayni", Key: "k", BirthMs: f.now.UnixMilli(), Home: other}
-	f.m.Actions()
-	return f
+func newHarness(t *testing.T) *harness {
+	h := &harness{c: qt.New(t), now: epoch, m: NewMachine(self, Options{})}
+	h.applyRoster(1, nil, self, other)
+	h.m.GuardUp(h.now, guard1)
+	h.m.GuardUp(h.now, guard2)
+	h.m.Witness(h.now, other, &wire.Witness{Seq: 1, Guards: []identity.Incarnation{guard1, guard2}})
+	h.m.Witness(h.now, other, &wire.Witness{Seq: 2, SinceMs: epoch.UnixMilli(), Version: 1})
+	h.now = h.now.Add(time.Second)
+	h.job = Job{Member: "ayni", Key: "k", BirthMs: h.now.UnixMilli(), Home: other}
+	h.m.Actions()
+	return h
 }
 
-func (f *fixture) applyRoster(v int64, gone []identity.Incarnation, members ...identity.Incarnation) {
+func (h *harness) applyRoster(v int64, gone []identity.Incarnation, members ...identity.Incarnation) {
 	r := &wire.Roster{Version: v, Gone: gone}
 	for _, m := range members {
 		r.Members = append(r.Members, wire.EntryAddr{Incarnation: m})
 	}
-	f.m.Roster(f.now, r, false)
+	h.m.Roster(h.now, r, false)
 }
 
-func (f *fixture) declareGone() { f.applyRoster(2, []identity.Incarnation{other}, self) }
+func (h *harness) declareGone() { h.applyRoster(2, []identity.Incarnation{other}, self) }
 
-func (f *fixture) startRecovery() { f.m.Recover(f.now, f.job, f.now.Add(10*time.Second)) }
+func (h *harness) startRecovery() { h.m.Recover(h.now, h.job, h.now.Add(10*time.Second)) }
 
-func (f *fixture) reportStarts(g identity.Incarnation, tasks ...int) {
+func (h *harness) reportStarts(g identity.Incarnation, tasks ...int) {
 	r := &wire.FenceReport{FencedEntry: other, FloorMs: epoch.UnixMilli()}
 	for _, task := range tasks {
 		r.Started = append(r.Started, wire.Started{Ref: wire.Ref{Member: "ayni", Key: "k", Task: task}, Of: 2})
 	}
-	f.m.Report(f.now, g, r)
+	h.m.Report(h.now, g, r)
 }
 
-func (f *fixture) returnResults(g identity.Incarnation, tasks ...int) {
+func (h *harness) returnResults(g identity.Incarnation, tasks ...int) {
 	c := &wire.Collected{Member: "ayni", Key: "k"}
 	for _, task := range tasks {
 		c.Results = append(c.Results, wire.Result{Ref: wire.Ref{Task: task}, Status: 200, Ran: errkind.RanYes})
 	}
-	f.m.Collected(f.now, g, c)
+	h.m.Collected(h.now, g, c)
 }
 
 // verdictAfter advances the clock by d and returns the finding's verdict, or Pending
 // if there is none.
-func (f *fixture) verdictAfter(d time.Duration) Verdict {
-	f.now = f.now.Add(d)
-	f.m.Tick(f.now)
-	for _, a := range f.m.Actions() {
+func (h *harness) verdictAfter(d time.Duration) Verdict {
+	h.now = h.now.Add(d)
+	h.m.Tick(h.now)
+	for _, a := range h.m.Actions() {
 		if a.Finding != nil {
 			if a.Finding.Verdict == Complete {
-				f.c.Check(a.Finding.Results, qt.HasLen, 2)
+				h.c.Check(a.Finding.Results, qt.HasLen, 2)
 			}
 			return a.Finding.Verdict
 		}
@@ -90,82 +90,82 @@
 // report, so the caller learns within one round trip that nothing ran, and may
 // submit the work again under a new identity.
 func TestNotRunRequiresReportsOfAllGuards(t *testing.T) {
-	f := newFixture(t)
-	f.declareGone()
-	f.startRecovery()
-	f.reportStarts(guard1)
-	f.c.Assert(f.verdictAfter(0), qt.Equals, Pending)
-	f.reportStarts(guard2)
-	f.c.Assert(f.verdictAfter(0), qt.Equals, NotRun)
+	h := newHarness(t)
+	h.declareGone()
+	h.startRecovery()
+	h.reportStarts(guard1)
+	h.c.Assert(h.verdictAfter(0), qt.Equals, Pending)
+	h.reportStarts(guard2)
+	h.c.Assert(h.verdictAfter(0), qt.Equals, NotRun)
 }
 
 // An entry is killed after both tasks started. The guards still hold the results,
 // and the caller gets the complete result from another entry.
 func TestCompleteResultIsCollected(t *testing.T) {
-	f := newFixture(t)
-	f.declareGone()
-	f.startRecovery()
-	f.reportStarts(guard1, 0)
-	f.reportStarts(guard2, 1)
-	f.returnResults(guard1, 0)
-	f.c.Assert(f.verdictAfter(time.Second), qt.Equals, Pending)
-	f.returnResults(guard2, 1)
-	f.c.Assert(f.verdictAfter(0), qt.Equals, Complete)
+	h := newHarness(t)
+	h.declareGone()
+	h.startRecovery()
+	h.reportStarts(guard1, 0)
+	h.reportStarts(guard2, 1)
+	h.returnResults(guard1, 0)
+	h.c.Assert(h.verdictAfter(time.Second), qt.Equals, Pending)
+	h.returnResults(guard2, 1)
+	h.c.Assert(h.verdictAfter(0), qt.Equals, Complete)
 }
 
 // An entry is killed between the two starts of a job. The second task will never
 // run, so the job has failed, and the recovery reports that at once.
 func TestPartlyStartedJobFails(t *testing.T) {
-	f := newFixture(t)
-	f.declareGone()
-	f.startRecovery()
-	f.reportStarts(guard1, 0)
-	f.reportStarts(guard2)
-	f.returnResults(guard1, 0)
-	f.c.Assert(f.verdictAfter(0), qt.Equals, Failed)
+	h := newHarness(t)
+	h.declareGone()
+	h.startRecovery()
+	h.reportStarts(guard1, 0)
+	h.reportStarts(guard2)
+	h.returnResults(guard1, 0)
+	h.c.Assert(h.verdictAfter(0), qt.Equals, Failed)
 }
 
 // An entry is killed after both tasks started, and one of them failed at its
 // upstream. All results are available, but the job must be reported as failed and
 // not as complete.
 func TestFailedTaskFailsJob(t *testing.T) {
-	f := newFixture(t)
-	f.declareGone()
-	f.startRecovery()
-	f.reportStarts(guard1, 0, 1)
-	f.reportStarts(guard2)
-	f.returnResults(guard1, 0)
-	f.m.Collected(f.now, guard1, &wire.Collected{Member: "ayni", Key: "k", Results: []wire.Result{
+	h := newHarness(t)
+	h.declareGone()
+	h.startRecovery()
+	h.reportStarts(guard1, 0, 1)
+	h.reportStarts(guard2)
+	h.returnResults(guard1, 0)
+	h.m.Collected(h.now, guard1, &wire.Collected{Member: "ayni", Key: "k", Results: []wire.Result{
 		{Ref: wire.Ref{Task: 1}, Kind: errkind.UpstreamFailed, Ran: errkind.RanYes},
 	}})
-	actions := f.m.Actions()
+	actions := h.m.Actions()
 	last := actions[len(actions)-1].Finding
-	f.c.Assert(last.Verdict, qt.Equals, Failed)
-	f.c.Assert(last.Err().Kind, qt.Equals, errkind.UpstreamFailed)
+	h.c.Assert(last.Verdict, qt.Equals, Failed)
+	h.c.Assert(last.Err().Kind, qt.Equals, errkind.UpstreamFailed)
 }
 
 // An entry and a guard fail together, for example with the switch of a rack. The
 // guard may have started the task, so the verdict must not be "not run".
 func TestLostGuardMakesOutcomeUnknown(t *testing.T) {
-	f := newFixture(t)
-	f.m.GuardDown(f.now, guard2)
-	f.declareGone()
-	f.startRecovery()
-	f.reportStarts(guard1)
-	f.c.Assert(f.verdictAfter(time.Second), qt.Equals, Pending)
-	f.c.Assert(f.verdictAfter(DefaultGracePeriod), qt.Equals, Unknown)
+	h := newHarness(t)
+	h.m.GuardDown(h.now, guard2)
+	h.declareGone()
+	h.startRecovery()
+	h.reportStarts(guard1)
+	h.c.Assert(h.verdictAfter(time.Second), qt.Equals, Pending)
+	h.c.Assert(h.verdictAfter(DefaultGracePeriod), qt.Equals, Unknown)
 }
 
 // A guard was linked only to the entry that is now gone, and never to this one. The
 // announcement names it, so without its report there is no proof.
 func TestGuardLinkedOnlyToGoneEntry(t *testing.T) {
-	f := newFixture(t)
-	f.m.Witness(f.now, other, &wire.Witness{Seq: 3, Guards: []identity.Incarnation{"guard-3"}})
-	f.declareGone()
-	f.startRecovery()
-	f.reportStarts(guard1)
-	f.reportStarts(guard2)
-	f.c.Assert(f.verdictAfter(DefaultGracePeriod), qt.Equals, Unknown)
+	h := newHarness(t)
+	h.m.Witness(h.now, other, &wire.Witness{Seq: 3, Guards: []identity.Incarnation{"guard-3"}})
+	h.declareGone()
+	h.startRecovery()
+	h.reportStarts(guard1)
+	h.reportStarts(guard2)
+	h.c.Assert(h.verdictAfter(DefaultGracePeriod), qt.Equals, Unknown)
 }
 
 // A guard was removed for good before the job was born, and its entry announced
@@ -175,62 +175,62 @@
 		after time.Duration // AfterMs relative to the birth
 		want  Verdict
 	}{{-time.Millisecond, NotRun}, {0, NotRun}, {time.Millisecond, Unknown}} {
-		f := newFixture(t)
-		drop := wire.DroppedGuard{Guard: guard2, AfterMs: f.job.BirthMs + tc.after.Milliseconds()}
-		f.m.Witness(f.now, other, &wire.Witness{Seq: 3, Dropped: []wire.DroppedGuard{drop}})
-		f.m.GuardDown(f.now, guard2)
-		f.now = f.now.Add(DefaultGracePeriod)
-		f.declareGone()
-		f.startRecovery()
-		f.reportStarts(guard1)
-		f.c.Check(f.verdictAfter(0), qt.Equals, tc.want, qt.Commentf("%v", tc.after))
+		h := newHarness(t)
+		drop := wire.DroppedGuard{Guard: guard2, AfterMs: h.job.BirthMs + tc.after.Milliseconds()}
+		h.m.Witness(h.now, other, &wire.Witness{Seq: 3, Dropped: []wire.DroppedGuard{drop}})
+		h.m.GuardDown(h.now, guard2)
+		h.now = h.now.Add(DefaultGracePeriod)
+		h.declareGone()
+		h.startRecovery()
+		h.reportStarts(guard1)
+		h.c.Check(h.verdictAfter(0), qt.Equals, tc.want, qt.Commentf("%v", tc.after))
 	}
 }
 
 // The job was born before this entry became a witness, or before the floor of a
 // guard's report. In both cases the reports may omit a start.
 func TestBirthBeforeWitnessTimeIsUnknown(t *testing.T) {
-	f := newFixture(t)
-	f.job.BirthMs = epoch.UnixMilli() - 1
-	f.declareGone()
-	f.startRecovery()
-	f.reportStarts(guard1)
-	f.reportStarts(guard2)
-	f.returnResults(guard1)
-	f.returnResults(guard2)
-	f.c.Assert(f.verdictAfter(0), qt.Equals, Unknown)
+	h := newHarness(t)
+	h.job.BirthMs = epoch.UnixMilli() - 1
+	h.declareGone()
+	h.startRecovery()
+	h.reportStarts(guard1)
+	h.reportStarts(guard2)
+	h.returnResults(guard1)
+	h.returnResults(guard2)
+	h.c.Assert(h.verdictAfter(0), qt.Equals, Unknown)
 }
 
 // This entry was disconnected and removed from a roster. The other entry then no
 // longer required its acknowledgements, started to use a new guard, and crashed. The
 // old list of guards proves nothing any more.
 func TestRemovedWitnessCannotProveNotRun(t *testing.T) {
-	f := newFixture(t)
-	f.applyRoster(2, nil, other)
-	f.applyRoster(3, nil, self, other)
-	f.applyRoster(4, []identity.Incarnation{other}, self)
-	f.startRecovery()
-	f.reportStarts(guard1)
-	f.reportStarts(guard2)
-	f.c.Assert(f.verdictAfter(0), qt.Equals, Unknown)
+	h := newHarness(t)
+	h.applyRoster(2, nil, other)
+	h.applyRoster(3, nil, self, other)
+	h.applyRoster(4, []identity.Incarnation{other}, self)
+	h.startRecovery()
+	h.reportStarts(guard1)
+	h.reportStarts(guard2)
+	h.c.Assert(h.verdictAfter(0), qt.Equals, Unknown)
 }
 
-// The store is down, so a crashed entry cannot be declared gone. A caller gets Later
-// after the grace period instead of at its deadline.
-func TestUndeclaredEntryReturnsLater(t *testing.T) {
-	f := newFixture(t)
-	f.startRecovery()
-	f.c.Assert(f.verdictAfter(DefaultGracePeriod), qt.Equals, RetryLater)
+// The store is down, so a crashed entry cannot be declared gone. The verdict must be
+// RetryLater after the grace period, and not only at the caller's deadline.
+func TestUndeclaredEntryReturnsRetryLater(t *testing.T) {
+	h := newHarness(t)
+	h.startRecovery()
+	h.c.Assert(h.verdictAfter(DefaultGracePeriod), qt.Equals, RetryLater)
 }
 
 // An entry that is declared gone may still be running and link a new guard. If its
 // announcement were acknowledged, it would use a guard that the proof omits.
 func TestGoneEntryGetsNoAcknowledgement(t *testing.T) {
-	f := newFixture(t)
-	f.declareGone()
-	f.m.Actions()
-	f.m.Witness(f.now, other, &wire.Witness{Seq: 3, Guards: []identity.Incarnation{"guard-3"}})
-	f.c.Assert(f.m.Actions(), qt.HasLen, 0)
+	h := newHarness(t)
+	h.declareGone()
+	h.m.Actions()
+	h.m.Witness(h.now, other, &wire.Witness{Seq: 3, Guards: []identity.Incarnation{"guard-3"}})
+	h.c.Assert(h.m.Actions(), qt.HasLen, 0)
 }
 
 // An entry of the planned size crashes with the requests of many callers, who all
@@ -238,33 +238,33 @@
 // would be busy for many seconds while its own requests wait.
 func TestRecoveryAtPlannedSize(t *testing.T) {
 	const guards, jobs = 820, 640
-	f := newFixture(t)
+	h := newHarness(t)
 	guardName := func(i int) identity.Incarnation { return identity.Incarnation(fmt.Sprint("guard-", i)) }
 	w := &wire.Witness{Seq: 3}
 	for i := range guards {
 		w.Guards = append(w.Guards, guardName(i))
-		f.m.GuardUp(f.now, guardName(i))
+		h.m.GuardUp(h.now, guardName(i))
 	}
-	f.m.Witness(f.now, other, w)
-	f.declareGone()
+	h.m.Witness(h.now, other, w)
+	h.declareGone()
 	startedAt := time.Now()
 	for i := range jobs {
-		j := f.job
+		j := h.job
 		j.Key = fmt.Sprint(i)
-		f.m.Recover(f.now, j, f.now.Add(time.Minute))
+		h.m.Recover(h.now, j, h.now.Add(time.Minute))
 	}
 	for i := range guards {
-		f.reportStarts(guardName(i))
+		h.reportStarts(guardName(i))
 	}
 	findings := 0
-	for _, a := range f.m.Actions() {
+	for _, a := range h.m.Actions() {
 		if a.Finding != nil && a.Finding.Verdict == NotRun {
 			findings++
 		}
 	}
 	t.Logf("%d guards, %d jobs: %v", guards, jobs, time.Since(startedAt))
-	f.c.Assert(findings, qt.Equals, jobs)
-	f.c.Assert(time.Since(startedAt) < 2*time.Second, qt.IsTrue)
+	h.c.Assert(findings, qt.Equals, jobs)
+	h.c.Assert(time.Since(startedAt) < 2*time.Second, qt.IsTrue)
 }
 
 // An acknowledgement is in transit while its guard is removed and added again. If it
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -101,7 +101,7 @@
 }
 
 // Finding is the result of a recovery. Results holds one result per task, in order,
-// if the verdict is Whole, and is nil otherwise. Failure is the result of a failed
+// if the verdict is Complete, and is nil otherwise. Failure is the result of a failed
 // task, if that is the reason for the verdict Failed.
 type Finding struct {
 	Job     Job
@@ -110,7 +110,7 @@
 	Failure *wire.Result
 }
 
-// Err returns the error for the caller, or nil for Whole.
+// Err returns the error for the caller, or nil for Complete.
 func (f Finding) Err() *errkind.Error {
 	switch f.Verdict {
 	case Complete:
