--- a/internal/roster/append.go
+++ b/internal/roster/append.go
@@ -66,10 +66,10 @@
 	m.resendSwap(now)
 }
 
-// appendVersion appends next to the known versions if the store answered within the
-// last Options.Retry. An append without an answer limits the promises until the store
-// recovers; started during an outage, it would turn the mere wish to add or remove a
-// member into refusals of all plain identities.
+// appendVersion appends next to the known versions if the store last answered less
+// than StoreRetryDelay ago. An append without an answer limits the promises until the
+// store recovers; started during an outage, it would turn the mere wish to add or
+// remove a member into refusals of all plain identities.
 func (m *Machine) appendVersion(now time.Time, next Version) {
 	if now.Sub(m.answered) >= m.opt.StoreRetryDelay {
 		m.requestRead(now)
@@ -172,10 +172,10 @@
 }
 
 // proposeAsNonMember appends a version if the last one has no members, or if all of
-// them have been gone for Takeover. The members may be running and only cut off from
-// the store, so the new version begins at the ceiling, which none of their promises
-// exceeds. If it began at this entry's clock, a task would start twice whenever the
-// members were declared gone by mistake.
+// them are gone and have been suspected for TakeoverDelay. The members may be running
+// and only cut off from the store, so the new version begins at the ceiling, which
+// none of their promises exceeds. If it began at this entry's clock, a task would
+// start twice whenever the members were declared gone by mistake.
 func (m *Machine) proposeAsNonMember(now time.Time, last Version) {
 	if m.isLeaving || !m.areAllMembersGone(now, last) {
 		return
@@ -190,7 +190,7 @@
 }
 
 // areAllMembersGone reports whether every member of last is gone and has been
-// suspected for Takeover.
+// suspected for TakeoverDelay.
 func (m *Machine) areAllMembersGone(now time.Time, last Version) bool {
 	for _, e := range last.Members {
 		since, isSuspected := m.suspectedSince[e.Incarnation]
--- a/internal/roster/exhaustive_test.go
+++ b/internal/roster/exhaustive_test.go
@@ -454,8 +454,8 @@
 	return nil
 }
 
-// No two entries may start the same key, or a caller who submits twice would get two
-// escorts. Entries pause, crash, are wrongly considered gone and lose messages; their
+// No two entries may start the same key, or a job that is submitted twice could run
+// twice. Entries pause, crash, are wrongly considered gone and lose messages; their
 // writes to the store are slow or late, or take effect without an answer. All
 // sequences up to searchDepth are covered.
 func TestExhaustiveSearchFindsNoKeyWithTwoStarters(t *testing.T) {
--- a/internal/roster/machine.go
+++ b/internal/roster/machine.go
@@ -84,9 +84,9 @@
 	return out
 }
 
-// HandleStoreValue processes the store's value as read or watched; an absent key has revision 0
-// and no value. A value no newer than one seen before is ignored, since the store may
-// return stale data. It returns the error of DecodeHistory.
+// HandleStoreValue processes the store's value as read or watched; an absent key has
+// revision 0 and no value. A value no newer than one seen before is ignored, since
+// the store may return stale data. It returns the error of DecodeHistory.
 func (m *Machine) HandleStoreValue(now time.Time, value []byte, revision int64) error {
 	m.answered = now
 	if m.hasReadStore && revision <= m.revision {
@@ -227,8 +227,8 @@
 	}
 }
 
-// HandleLinkUp sends the known versions to a newly linked peer, so that an entry that was
-// cut off, or that cannot reach the store, catches up.
+// HandleLinkUp sends the known versions to a newly linked peer, so that an entry that
+// was cut off, or that cannot reach the store, catches up.
 func (m *Machine) HandleLinkUp(now time.Time, peer identity.Incarnation) {
 	m.announceVersionsAfter(peer, math.MinInt64)
 	m.nextPromise = time.Time{}
@@ -253,15 +253,16 @@
 	m.Tick(now)
 }
 
-// ClearSuspicion clears a suspicion, and a Gone that no version has declared yet.
+// ClearSuspicion withdraws Suspect for a peer, and ReportGone if no version has
+// declared the peer gone yet.
 func (m *Machine) ClearSuspicion(now time.Time, peer identity.Incarnation) {
 	delete(m.suspectedSince, peer)
 	delete(m.undeclaredGone, peer)
 	m.Tick(now)
 }
 
-// ReportGone records that a peer's lease has expired and its link is down. The next version
-// declares it gone for good.
+// ReportGone records that a peer's lease has expired and its link is down. The next
+// version declares it gone for good.
 func (m *Machine) ReportGone(now time.Time, peer identity.Incarnation) {
 	if !m.IsDeclaredGone(peer) {
 		m.undeclaredGone[peer] = true
@@ -294,10 +295,10 @@
 	return ok && !last.Has(m.self.Incarnation) && last.FromMs <= now.UnixMilli()
 }
 
-// HandleSwapResult processes the outcome of the Swap action id. A watch often delivers the
-// effect of a write before the write's own answer arrives, and by then the next write
-// may be in flight. If the late answer were attributed to that write, this entry
-// would adopt a roster that the store does not hold.
+// HandleSwapResult processes the outcome of the Swap action id. A watch often
+// delivers the effect of a write before the write's own answer arrives, and by then
+// the next write may be in flight. If the late answer were attributed to that write,
+// this entry would adopt a roster that the store does not hold.
 func (m *Machine) HandleSwapResult(now time.Time, id uint64, outcome Outcome, revision int64) {
 	p := m.pending
 	if p == nil || !p.isInFlight || p.swap.ID != id {
@@ -341,7 +342,7 @@
 	m.publishView()
 }
 
-// requestRead requests a read of the store, at most once per Options.Retry.
+// requestRead requests a read of the store, at most once per StoreRetryDelay.
 func (m *Machine) requestRead(now time.Time) {
 	if now.Before(m.nextRead) {
 		return
--- a/internal/roster/machine_test.go
+++ b/internal/roster/machine_test.go
@@ -60,100 +60,100 @@
 	return wire.EntryAddr{Incarnation: inc, Inner: string(inc) + ":1"}
 }
 
-func (b *cluster) add(inc identity.Incarnation) *Machine {
+func (cl *cluster) add(inc identity.Incarnation) *Machine {
 	m := NewMachine(addr(inc), Options{})
-	b.machines[inc] = m
-	b.order = append(b.order, inc)
-	for _, other := range b.order {
-		if other != inc && !b.unreachable[other] {
-			b.machines[other].HandleLinkUp(b.now, inc)
-			m.HandleLinkUp(b.now, other)
+	cl.machines[inc] = m
+	cl.order = append(cl.order, inc)
+	for _, other := range cl.order {
+		if other != inc && !cl.unreachable[other] {
+			cl.machines[other].HandleLinkUp(cl.now, inc)
+			m.HandleLinkUp(cl.now, other)
 		}
 	}
 	return m
 }
 
 // run advances the clock by d in steps of a quarter of DefaultPromiseInterval.
-func (b *cluster) run(d time.Duration) {
-	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(DefaultPromiseInterval / 4) {
-		for _, inc := range b.order {
-			if !b.unreachable[inc] {
-				b.machines[inc].Tick(b.now)
-				b.runActions(inc)
+func (cl *cluster) run(d time.Duration) {
+	for end := cl.now.Add(d); cl.now.Before(end); cl.now = cl.now.Add(DefaultPromiseInterval / 4) {
+		for _, inc := range cl.order {
+			if !cl.unreachable[inc] {
+				cl.machines[inc].Tick(cl.now)
+				cl.runActions(inc)
 			}
 		}
 	}
 }
 
-func (b *cluster) runActions(from identity.Incarnation) {
-	for _, a := range b.machines[from].Actions() {
+func (cl *cluster) runActions(from identity.Incarnation) {
+	for _, a := range cl.machines[from].Actions() {
 		switch {
 		case a.Broadcast != nil:
-			b.sendToAll(from, func(m *Machine) { m.Promise(b.now, from, *a.Broadcast) })
+			cl.sendToAll(from, func(m *Machine) { m.Promise(cl.now, from, *a.Broadcast) })
 		case a.Announce != nil:
-			b.announce(from, a.Announce)
-		case a.Join != nil && !b.unreachable[a.Join.To]:
-			b.machines[a.Join.To].HandleJoin(b.now, a.Join.Request)
-		case a.Read && !b.isStoreDown:
-			b.c.Assert(b.machines[from].HandleStoreValue(b.now, b.value, b.revision), qt.IsNil)
+			cl.announce(from, a.Announce)
+		case a.Join != nil && !cl.unreachable[a.Join.To]:
+			cl.machines[a.Join.To].HandleJoin(cl.now, a.Join.Request)
+		case a.Read && !cl.isStoreDown:
+			cl.c.Assert(cl.machines[from].HandleStoreValue(cl.now, cl.value, cl.revision), qt.IsNil)
 		case a.Swap != nil:
-			b.swap(from, a.Swap)
+			cl.swap(from, a.Swap)
 		}
 	}
 }
 
-func (b *cluster) sendToAll(from identity.Incarnation, f func(*Machine)) {
-	for _, inc := range b.order {
-		if inc != from && !b.unreachable[inc] {
-			f(b.machines[inc])
+func (cl *cluster) sendToAll(from identity.Incarnation, f func(*Machine)) {
+	for _, inc := range cl.order {
+		if inc != from && !cl.unreachable[inc] {
+			f(cl.machines[inc])
 		}
 	}
 }
 
-func (b *cluster) announce(from identity.Incarnation, a *Announce) {
+func (cl *cluster) announce(from identity.Incarnation, a *Announce) {
 	send := func(m *Machine) {
 		for _, r := range a.Versions {
-			m.HandleRoster(b.now, r)
+			m.HandleRoster(cl.now, r)
 		}
 	}
 	if a.To == "" {
-		b.sendToAll(from, send)
-	} else if !b.unreachable[a.To] {
-		send(b.machines[a.To])
+		cl.sendToAll(from, send)
+	} else if !cl.unreachable[a.To] {
+		send(cl.machines[a.To])
 	}
 }
 
-func (b *cluster) swap(from identity.Incarnation, s *Swap) {
-	m := b.machines[from]
+func (cl *cluster) swap(from identity.Incarnation, s *Swap) {
+	m := cl.machines[from]
 	switch {
-	case b.isStoreDown:
-		m.HandleSwapResult(b.now, s.ID, OutcomeUnknown, 0)
-	case s.Expect != b.revision:
-		m.HandleSwapResult(b.now, s.ID, OutcomeConflict, 0)
+	case cl.isStoreDown:
+		m.HandleSwapResult(cl.now, s.ID, OutcomeUnknown, 0)
+	case s.Expect != cl.revision:
+		m.HandleSwapResult(cl.now, s.ID, OutcomeConflict, 0)
 	default:
-		b.value, b.revision = s.Value, b.revision+1
-		b.writes++
-		if b.loseSwapAnswer != nil && b.loseSwapAnswer(from) {
-			m.HandleSwapResult(b.now, s.ID, OutcomeUnknown, 0)
+		cl.value, cl.revision = s.Value, cl.revision+1
+		cl.writes++
+		if cl.loseSwapAnswer != nil && cl.loseSwapAnswer(from) {
+			m.HandleSwapResult(cl.now, s.ID, OutcomeUnknown, 0)
 			return
 		}
-		m.HandleSwapResult(b.now, s.ID, OutcomeDone, b.revision)
+		m.HandleSwapResult(cl.now, s.ID, OutcomeDone, cl.revision)
 	}
 }
 
 // countStarters returns how many of n keys with the given birth each entry may start,
 // and asserts that no key has two starters.
-func (b *cluster) countStarters(birth time.Time, n uint64) map[identity.Incarnation]int {
+func (cl *cluster) countStarters(birth time.Time, n uint64) map[identity.Incarnation]int {
 	out := make(map[identity.Incarnation]int)
 	for i := range n {
 		key, starters := plainKey(birth, i), 0
-		for _, inc := range b.order {
-			if b.machines[inc].View().MayStart(member, key) == nil {
+		for _, inc := range cl.order {
+			if cl.machines[inc].View().MayStart(member, key) == nil {
 				out[inc]++
 				starters++
 			}
 		}
-		b.c.Assert(starters <= 1, qt.IsTrue, qt.Commentf("key %d has %d starters", i, starters))
+		cl.c.Assert(starters <= 1, qt.IsTrue, qt.Commentf("key %d has %d starters", i, starters))
 	}
 	return out
 }
@@ -166,92 +166,95 @@
 }
 
 func newThreeEntryCluster(t *testing.T) *cluster {
-	b := newCluster(t)
+	cl := newCluster(t)
 	for i := range 3 {
-		b.add(identity.Incarnation(fmt.Sprintf("entry-%d", i)))
-		b.run(DefaultPromiseInterval)
+		cl.add(identity.Incarnation(fmt.Sprintf("entry-%d", i)))
+		cl.run(DefaultPromiseInterval)
 	}
-	b.run(DefaultJoinLead + 10*time.Second)
-	return b
+	cl.run(DefaultJoinLead + 10*time.Second)
+	return cl
 }
 
+// Three members share all plain identities. Each key must have exactly one starter,
+// and the shares must be about equal.
 func TestEveryKeyHasOneStarter(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	got := b.countStarters(b.now, 3000)
-	b.c.Assert(total(got), qt.Equals, 3000)
+	cl := newThreeEntryCluster(t)
+	got := cl.countStarters(cl.now, 3000)
+	cl.c.Assert(total(got), qt.Equals, 3000)
 	for inc, n := range got {
-		b.c.Check(n > 850 && n < 1150, qt.IsTrue, qt.Commentf("%s owns %d", inc, n))
+		cl.c.Check(n > 850 && n < 1150, qt.IsTrue, qt.Commentf("%s owns %d", inc, n))
 	}
 }
 
+// MayStart and Owner run for every request, so they must not allocate memory.
 func TestMayStartAllocatesNothing(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	v, key := b.machines["entry-0"].View(), plainKey(b.now, 0)
+	cl := newThreeEntryCluster(t)
+	v, key := cl.machines["entry-0"].View(), plainKey(cl.now, 0)
 	for i := uint64(1); v.MayStart(member, key) != nil; i++ {
-		key = plainKey(b.now, i)
+		key = plainKey(cl.now, i)
 	}
 	n := testing.AllocsPerRun(100, func() {
 		v.Owner(member, key)
 		_ = v.MayStart(member, key)
 	})
-	b.c.Assert(n, qt.Equals, 0.0)
+	cl.c.Assert(n, qt.Equals, 0.0)
 }
 
 // After a member crashes, its promises stop, so once the horizon is used up no plain
 // identity may start until a roster without that member begins. Callers see refusals
 // with a Retry-After for a few seconds, and then normal service.
 func TestCrashedMemberIsRemovedFromRoster(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	b.unreachable["entry-1"] = true
-	b.run(DefaultPromiseLead + time.Second)
-	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 0)
-	b.machines["entry-0"].ReportGone(b.now, "entry-1")
-	b.machines["entry-2"].ReportGone(b.now, "entry-1")
-	b.run(2 * time.Second)
+	cl := newThreeEntryCluster(t)
+	cl.unreachable["entry-1"] = true
+	cl.run(DefaultPromiseLead + time.Second)
+	cl.c.Assert(total(cl.countStarters(cl.now, 300)), qt.Equals, 0)
+	cl.machines["entry-0"].ReportGone(cl.now, "entry-1")
+	cl.machines["entry-2"].ReportGone(cl.now, "entry-1")
+	cl.run(2 * time.Second)
 	// Births before the new roster that the crashed entry owns stay refused.
-	beforeNewRoster := b.countStarters(b.now, 300)
-	b.c.Assert(total(beforeNewRoster) > 150 && total(beforeNewRoster) < 300, qt.IsTrue)
-	b.run(DefaultPromiseLead)
-	got := b.countStarters(b.now, 300)
-	b.c.Assert(total(got), qt.Equals, 300)
-	b.c.Assert(got["entry-1"], qt.Equals, 0)
-	b.c.Assert(b.machines["entry-0"].IsDeclaredGone("entry-1"), qt.IsTrue)
+	beforeNewRoster := cl.countStarters(cl.now, 300)
+	cl.c.Assert(total(beforeNewRoster) > 150 && total(beforeNewRoster) < 300, qt.IsTrue)
+	cl.run(DefaultPromiseLead)
+	got := cl.countStarters(cl.now, 300)
+	cl.c.Assert(total(got), qt.Equals, 300)
+	cl.c.Assert(got["entry-1"], qt.Equals, 0)
+	cl.c.Assert(cl.machines["entry-0"].IsDeclaredGone("entry-1"), qt.IsTrue)
 }
 
 // While the store is down and all entries run, requests must be served up to the
 // ceiling: no step of a request needs the store.
 func TestStoreOutageIsToleratedUpToCeiling(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	b.isStoreDown = true
-	b.run(DefaultCeilingLead - DefaultCeilingRenewAge - time.Minute)
-	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
-	b.run(2*DefaultCeilingRenewAge + time.Minute)
-	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 0)
-	b.isStoreDown = false
-	b.run(10 * time.Second)
-	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
+	cl := newThreeEntryCluster(t)
+	cl.isStoreDown = true
+	cl.run(DefaultCeilingLead - DefaultCeilingRenewAge - time.Minute)
+	cl.c.Assert(total(cl.countStarters(cl.now, 300)), qt.Equals, 300)
+	cl.run(2*DefaultCeilingRenewAge + time.Minute)
+	cl.c.Assert(total(cl.countStarters(cl.now, 300)), qt.Equals, 0)
+	cl.isStoreDown = false
+	cl.run(10 * time.Second)
+	cl.c.Assert(total(cl.countStarters(cl.now, 300)), qt.Equals, 300)
 }
 
 // An append takes effect but its answer is lost, and reads of the store fail for a
 // while. Until the appender has read the store it cannot tell which roster is in
 // force, so it must promise nothing beyond the beginning of the new one.
 func TestLostAnswerToAppendCapsPromises(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	b.loseSwapAnswer = func(identity.Incarnation) bool { b.isStoreDown = true; return true }
-	b.add("entry-3")
-	b.run(2 * time.Second)
-	b.c.Assert(b.isStoreDown, qt.IsTrue)
-	h, err := DecodeHistory(b.value)
-	b.c.Assert(err, qt.IsNil)
+	cl := newThreeEntryCluster(t)
+	cl.loseSwapAnswer = func(identity.Incarnation) bool { cl.isStoreDown = true; return true }
+	cl.add("entry-3")
+	cl.run(2 * time.Second)
+	cl.c.Assert(cl.isStoreDown, qt.IsTrue)
+	h, err := DecodeHistory(cl.value)
+	cl.c.Assert(err, qt.IsNil)
 	from := h.Versions[len(h.Versions)-1].FromMs
-	b.run(DefaultJoinLead + DefaultPromiseLead)
-	for _, inc := range b.order[:3] {
-		b.c.Assert(b.machines[inc].View().HorizonMs() <= from, qt.IsTrue)
+	cl.run(DefaultJoinLead + DefaultPromiseLead)
+	for _, inc := range cl.order[:3] {
+		cl.c.Assert(cl.machines[inc].View().HorizonMs() <= from, qt.IsTrue)
 	}
-	b.isStoreDown, b.loseSwapAnswer = false, nil
-	b.run(5 * time.Second)
-	b.c.Assert(total(b.countStarters(b.now, 300)), qt.Equals, 300)
-	b.c.Assert(b.countStarters(b.now, 300)["entry-3"] > 0, qt.IsTrue)
+	cl.isStoreDown, cl.loseSwapAnswer = false, nil
+	cl.run(5 * time.Second)
+	cl.c.Assert(total(cl.countStarters(cl.now, 300)), qt.Equals, 300)
+	cl.c.Assert(cl.countStarters(cl.now, 300)["entry-3"] > 0, qt.IsTrue)
 }
 
 // An append gets no answer while its request stays queued; a read returns the old
@@ -279,41 +282,41 @@
 // off from the store, so the new roster must begin at the ceiling. Until then plain
 // identities are refused with a truthful reason, and tickets are served at once.
 func TestReplacementFleetStartsAtCeiling(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	old := b.machines["entry-0"].View()
+	cl := newThreeEntryCluster(t)
+	old := cl.machines["entry-0"].View()
 	ceiling, _ := old.Last()
-	for _, inc := range b.order {
-		b.unreachable[inc] = true
+	for _, inc := range cl.order {
+		cl.unreachable[inc] = true
 	}
-	e := b.add("entry-9")
-	for _, inc := range b.order[:3] {
-		e.ReportGone(b.now, inc)
+	e := cl.add("entry-9")
+	for _, inc := range cl.order[:3] {
+		e.ReportGone(cl.now, inc)
 	}
-	b.run(DefaultTakeoverDelay + 2*time.Second)
+	cl.run(DefaultTakeoverDelay + 2*time.Second)
 	last, _ := e.View().Last()
-	b.c.Assert(last.Members, qt.DeepEquals, []wire.EntryAddr{addr("entry-9")})
-	b.c.Assert(last.FromMs, qt.Equals, ceiling.CeilingMs)
-	key := plainKey(b.now, 1)
-	b.c.Assert(e.View().MayStart(member, key).Kind, qt.Equals, errkind.HomeUnreachable)
-	b.c.Assert(e.View().MayStart(member, identity.NewTicket("entry-9", b.now)) == nil, qt.IsTrue)
+	cl.c.Assert(last.Members, qt.DeepEquals, []wire.EntryAddr{addr("entry-9")})
+	cl.c.Assert(last.FromMs, qt.Equals, ceiling.CeilingMs)
+	key := plainKey(cl.now, 1)
+	cl.c.Assert(e.View().MayStart(member, key).Kind, qt.Equals, errkind.HomeUnreachable)
+	cl.c.Assert(e.View().MayStart(member, identity.NewTicket("entry-9", cl.now)) == nil, qt.IsTrue)
 }
 
 // After a planned stop of all entries, the next fleet must serve plain identities
 // within seconds and not wait for the ceiling, since the last entry to leave closes
 // the roster.
 func TestPlannedStopOfAllEntriesUnblocksNextFleet(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	for _, inc := range b.order {
-		b.machines[inc].Leave(b.now)
+	cl := newThreeEntryCluster(t)
+	for _, inc := range cl.order {
+		cl.machines[inc].Leave(cl.now)
 	}
-	b.run(DefaultPromiseLead + 5*time.Second)
-	for _, inc := range b.order {
-		b.c.Assert(b.machines[inc].HasLeft(b.now), qt.IsTrue, qt.Commentf("%s", inc))
-		b.unreachable[inc] = true
+	cl.run(DefaultPromiseLead + 5*time.Second)
+	for _, inc := range cl.order {
+		cl.c.Assert(cl.machines[inc].HasLeft(cl.now), qt.IsTrue, qt.Commentf("%s", inc))
+		cl.unreachable[inc] = true
 	}
-	b.add("entry-9")
-	b.run(3 * time.Second)
-	b.c.Assert(b.countStarters(b.now, 100)["entry-9"], qt.Equals, 100)
+	cl.add("entry-9")
+	cl.run(3 * time.Second)
+	cl.c.Assert(cl.countStarters(cl.now, 100)["entry-9"], qt.Equals, 100)
 }
 
 // One entry stops as planned while the store is down. It cannot be removed from the
@@ -321,15 +324,15 @@
 // for each entry, including the first in order.
 func TestPlannedStopDuringStoreOutage(t *testing.T) {
 	for _, leaver := range []identity.Incarnation{"entry-0", "entry-1", "entry-2"} {
-		b := newThreeEntryCluster(t)
-		b.isStoreDown = true
-		b.machines[leaver].Leave(b.now)
-		b.run(3 * time.Second)
-		b.unreachable[leaver] = true
-		b.run(time.Minute)
-		got := b.countStarters(b.now, 300)
+		cl := newThreeEntryCluster(t)
+		cl.isStoreDown = true
+		cl.machines[leaver].Leave(cl.now)
+		cl.run(3 * time.Second)
+		cl.unreachable[leaver] = true
+		cl.run(time.Minute)
+		got := cl.countStarters(cl.now, 300)
 		delete(got, leaver)
-		b.c.Check(total(got) > 150, qt.IsTrue, qt.Commentf("%s", leaver))
+		cl.c.Check(total(got) > 150, qt.IsTrue, qt.Commentf("%s", leaver))
 	}
 }
 
@@ -337,41 +340,41 @@
 // leaving. At least one must not resign, or none could write the closing roster.
 func TestNotAllEntriesResign(t *testing.T) {
 	for mask := range 8 {
-		b := newThreeEntryCluster(t)
-		b.isStoreDown = true
+		cl := newThreeEntryCluster(t)
+		cl.isStoreDown = true
 		for round := range 2 {
-			for i, inc := range b.order {
+			for i, inc := range cl.order {
 				if mask>>i&1 == round {
-					b.machines[inc].Leave(b.now)
+					cl.machines[inc].Leave(cl.now)
 				}
 			}
-			b.run(time.Second)
+			cl.run(time.Second)
 		}
-		b.run(5 * time.Second)
+		cl.run(5 * time.Second)
 		resignations := 0
-		for _, inc := range b.order {
-			if b.machines[inc].ownPromiseMs == resignedPromiseMs {
+		for _, inc := range cl.order {
+			if cl.machines[inc].ownPromiseMs == resignedPromiseMs {
 				resignations++
 			}
 		}
-		b.c.Check(resignations < len(b.order), qt.IsTrue, qt.Commentf("mask %03b", mask))
+		cl.c.Check(resignations < len(cl.order), qt.IsTrue, qt.Commentf("mask %03b", mask))
 	}
 }
 
 // An entry pauses for longer than its lease while the others declare it gone. Its
 // outdated state must not let it start births that came after the pause.
 func TestPausedEntryIsFencedOnResume(t *testing.T) {
-	b := newThreeEntryCluster(t)
-	b.unreachable["entry-1"] = true
-	b.run(3 * time.Second)
-	b.machines["entry-0"].ReportGone(b.now, "entry-1")
-	b.machines["entry-2"].ReportGone(b.now, "entry-1")
-	b.run(10 * time.Second)
-	b.countStarters(b.now, 1000) // no key may have two starters while the paused entry is still uninformed
-	b.unreachable["entry-1"] = false
-	b.run(2 * time.Second)
-	b.c.Assert(b.machines["entry-1"].View().Fenced(), qt.IsTrue)
-	b.countStarters(b.now, 1000)
+	cl := newThreeEntryCluster(t)
+	cl.unreachable["entry-1"] = true
+	cl.run(3 * time.Second)
+	cl.machines["entry-0"].ReportGone(cl.now, "entry-1")
+	cl.machines["entry-2"].ReportGone(cl.now, "entry-1")
+	cl.run(10 * time.Second)
+	cl.countStarters(cl.now, 1000) // no key may have two starters while the paused entry is still uninformed
+	cl.unreachable["entry-1"] = false
+	cl.run(2 * time.Second)
+	cl.c.Assert(cl.machines["entry-1"].View().Fenced(), qt.IsTrue)
+	cl.countStarters(cl.now, 1000)
 }
 
 // A damaged store value must be rejected.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -10,7 +10,8 @@
 // The Members of a roster are entries. A parameter named member is instead the
 // consortium member that an identity belongs to.
 //
-// The rules compare numbers in messages and never clocks:
+// The rules compare births and the times stored in versions and promises. They never
+// compare clocks:
 //
 //   - A birth belongs to the last version whose FromMs is not above it.
 //   - In a closed version, which is one that has a successor, the owner of a birth may
@@ -50,30 +51,33 @@
 	maxEstimatedWait       = time.Minute
 	resignedPromiseMs      = int64(math.MaxInt64) // a promise never to append again
 	noPromiseLimit         = int64(math.MaxInt64) // of a swap that only raises the ceiling
-	joinRetryMultiplier    = 3                    // in units of Options.Retry: delay before another member is asked
+	joinRetryMultiplier    = 3                    // in units of StoreRetryDelay: delay before another member is asked
 )
 
 // Options sets the timing of a Machine. Zero and negative fields take their defaults.
 type Options struct {
-	// Period is the interval at which a member repeats its promise.
+	// PromiseInterval is the interval at which a member repeats its promise.
 	PromiseInterval time.Duration
-	// Horizon is how far ahead of its own clock a member promises. A plain identity
-	// born further ahead, by a caller whose clock is fast, has to wait. After a
-	// member fails, it takes up to Horizon until a roster without it begins.
+	// PromiseLead is how far ahead of its own clock a member promises. A plain
+	// identity born further ahead, by a caller whose clock is fast, has to wait.
+	// After a member fails, it takes up to PromiseLead until a roster without it
+	// begins.
 	PromiseLead time.Duration
 	// JoinLead is how far ahead of now a roster begins that only adds members. If the
 	// store fails before it answers the append, the appender can promise up to that
 	// beginning and no further, so a long lead bridges a short store outage.
 	JoinLead time.Duration
-	// Lead is how far ahead of now the ceiling is written. Plain identities are
-	// served through a store outage of at least Lead minus Renew; after the loss of
-	// all entries at once, they are refused for at most Lead.
+	// CeilingLead is how far ahead of now the ceiling is written. Plain identities
+	// are served through a store outage of at least CeilingLead minus
+	// CeilingRenewAge; after the loss of all entries at once, they are refused for
+	// at most CeilingLead.
 	CeilingLead time.Duration
-	// Renew is the age at which a member raises the ceiling. It is limited to Lead/2.
+	// CeilingRenewAge is the age at which a member raises the ceiling. It is limited
+	// to CeilingLead/2.
 	CeilingRenewAge time.Duration
-	// Retry is the delay after a failed store call.
+	// StoreRetryDelay is the delay after a failed store call.
 	StoreRetryDelay time.Duration
-	// Takeover is how long all members must have been suspected before an entry
+	// TakeoverDelay is how long all members must have been suspected before an entry
 	// outside the roster appends a version.
 	TakeoverDelay time.Duration
 	// RankDelay is the delay per rank among the members, so that they do not all
@@ -108,11 +112,11 @@
 	Swap      *Swap
 	Announce  *Announce
 	Join      *Join
-	Read      bool // read the store's value and pass it to Machine.Stored
+	Read      bool // read the store's value and pass it to HandleStoreValue
 }
 
 // Swap requests a compare-and-swap of the store's value. The outcome is passed to
-// Machine.Swapped with the same ID.
+// HandleSwapResult with the same ID.
 type Swap struct {
 	ID     uint64
 	Expect int64 // ModRevision that the key must have; 0 if it must not exist
--- a/internal/roster/view.go
+++ b/internal/roster/view.go
@@ -101,10 +101,10 @@
 }
 
 // MayStart returns nil if this entry may start key for member. That permission is
-// permanent. Any other result means that the call itself started nothing.
+// permanent. The refusals are truthful as well: MayStart itself starts nothing.
 //
 // Two entries that both considered themselves owner of a birth would run a task
-// twice: the user would see two escorts for one passenger. In a closed version the
+// twice, and for example send two escorts for one passenger. In a closed version the
 // history fixes the owner. In the last version a successor may still begin, but not
 // below the least promise of the members (see Machine).
 func (v *View) MayStart(member string, key identity.Key) *errkind.Error {
