--- a/internal/peers/fake_test.go
+++ b/internal/peers/fake_test.go
@@ -32,22 +32,22 @@
 
 // RoundTrip fails while the entry is disconnected, or if it is disconnected before
 // the response arrives.
-func (w *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	w.mu.Lock()
-	connected := w.ctx
-	w.mu.Unlock()
+func (t *storeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	t.mu.Lock()
+	connected := t.ctx
+	t.mu.Unlock()
 	if connected.Err() != nil {
 		return nil, errUnreachable
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	context.AfterFunc(connected, cancel)
-	return w.RoundTripper.RoundTrip(r.WithContext(ctx))
+	return t.RoundTripper.RoundTrip(r.WithContext(ctx))
 }
 
-func (w *storeTransport) connect(ctx context.Context) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ctx, w.cancel = context.WithCancel(ctx)
+func (t *storeTransport) connect(ctx context.Context) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ctx, t.cancel = context.WithCancel(ctx)
 }
 
 // network connects the entries of one region.
--- a/internal/peers/guards.go
+++ b/internal/peers/guards.go
@@ -44,8 +44,8 @@
 }
 
 // Recover determines the outcome of a job whose owner cannot be reached. It returns
-// at ctx's deadline at the latest. The verdict is Later as long as the owner of the
-// key is not final, and when ctx ends first.
+// at ctx's deadline at the latest. The verdict is RetryLater as long as the owner of
+// the key is not final, and if ctx ends first.
 func (p *Peers) Recover(ctx context.Context, member string, key identity.Key) recovery.Finding {
 	owner, final := p.View().FinalOwner(member, key)
 	j := recovery.Job{Member: member, Key: key.Text, BirthMs: key.BirthMs, Home: owner}
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -171,7 +171,7 @@
 		if old := p.replaceLink(inc, l); old != nil {
 			old.link.Close("replaced")
 		}
-		state := p.ensureKnown(now, l.addr)
+		state := p.ensurePeerState(now, l.addr)
 		state.unlinkedSince = time.Time{}
 		p.opt.Log.Info("peer linked", "peer", inc)
 		p.recovery.RecordContact(now, inc)
@@ -198,7 +198,7 @@
 		return
 	}
 	p.replaceLink(inc, nil)
-	p.ensureKnown(now, l.addr).unlinkedSince = now
+	p.ensurePeerState(now, l.addr).unlinkedSince = now
 	p.opt.Log.Info("peer link lost", "peer", inc)
 	p.announcer.PeerDown(inc)
 }
--- a/internal/peers/options.go
+++ b/internal/peers/options.go
@@ -59,7 +59,7 @@
 type Options struct {
 	Self   wire.EntryAddr
 	Region string
-	Key    string // secret shared by all entries
+	Key    string // fleet key: a secret shared by all entries
 	Store  store.Store
 	// LeaseTTL is how long this entry stays registered without a renewal.
 	LeaseTTL time.Duration
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -189,10 +189,10 @@
 	return out
 }
 
-// Leave removes this entry from the roster and waits until it owns no births any
-// more. The caller must continue to serve meanwhile. Leave returns an error if ctx
-// ends first; peers then no longer wait for this entry's promises, except as
-// described in docs/start-at-most-once.md.
+// Leave announces to the peers that this entry is stopping, has it removed from the
+// roster, and waits until it owns no births any more. The caller must continue to
+// serve meanwhile. Leave returns an error if ctx ends first; peers then no longer
+// wait for this entry's promises, except as described in docs/start-at-most-once.md.
 func (p *Peers) Leave(ctx context.Context) error {
 	p.update(p.machine.Leave)
 	tick := time.NewTicker(tickInterval)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -36,6 +36,8 @@
 	})
 }
 
+// Three entries start with an empty store. They must link to each other and share all
+// plain identities.
 func TestEntriesFormRoster(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		got := n.starters(300)
@@ -46,6 +48,8 @@
 	})
 }
 
+// One entry forwards a request to each of the two others. Each answer must come from
+// the entry that the request was addressed to.
 func TestForwardReachesOwner(t *testing.T) {
 	withThreeEntries(t, func(n *network) {
 		for _, to := range []identity.Incarnation{"b", "c"} {
--- a/internal/peers/suspicion.go
+++ b/internal/peers/suspicion.go
@@ -9,9 +9,9 @@
 	"wigeontray/internal/wire"
 )
 
-// ensureKnown returns the state of an entry and creates it if necessary. The caller
-// holds mu.
-func (p *Peers) ensureKnown(now time.Time, e wire.EntryAddr) *peerState {
+// ensurePeerState returns the state of an entry and creates it if necessary. The
+// caller holds mu.
+func (p *Peers) ensurePeerState(now time.Time, e wire.EntryAddr) *peerState {
 	state := p.peerState[e.Incarnation]
 	if state == nil {
 		state = &peerState{addr: e, unlinkedSince: now}
@@ -33,7 +33,7 @@
 	last, _ := p.View().Last()
 	for _, member := range last.Members {
 		if member.Incarnation != p.opt.Self.Incarnation {
-			p.ensureKnown(now, member)
+			p.ensurePeerState(now, member)
 		}
 	}
 	wasPaused := now.Sub(p.lastPeerCheck) >= silenceTimeout/2
@@ -134,7 +134,7 @@
 	}
 	for _, e := range slices.Clone(addrs) {
 		if e.Incarnation != p.opt.Self.Incarnation && !p.machine.IsDeclaredGone(e.Incarnation) {
-			p.ensureKnown(now, e)
+			p.ensurePeerState(now, e)
 		}
 	}
 }
