--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -99,7 +99,7 @@
 
 // Another entry fills a worker at the same moment, so that the guard refuses
 // the task. The caller must not see that, and the task must not be sent again
-// to a guard that refused it for good.
+// to a guard that refused it, since a refusal is final.
 func TestRefusedTaskMovesToAnotherGuard(t *testing.T) {
 	h := newHarness(t, 3, 1)
 	h.submitJob("k", 1)
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -23,7 +23,7 @@
 	index        int
 	state        taskState
 	due          int64   // sort key in its team's queue
-	refusedBy    []int32 // worker indexes of guards that have refused the task for good
+	refusedBy    []int32 // worker indexes of guards that refused the task; a refusal is final
 	result       TaskResult
 	backoffCount int // delays caused by an exhausted retry budget
 }
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// refusedBy requeues a task that a guard has refused for good. If no candidate
-// is left, it fails the job immediately: waiting for the deadline would only
-// delay an answer that is already known.
+// refusedBy requeues a task after a guard's refusal, which is final for that
+// guard. If no candidate is left, it fails the job immediately: waiting for the
+// deadline would only delay an answer that is already known.
 func (d *Dispatcher) refusedBy(now time.Time, t *task, g *guard, r *wire.Result) {
 	t.state = waiting
 	t.refusedBy = append(t.refusedBy, int32(g.workerIndex))
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -42,7 +42,7 @@
 const (
 	waiting taskState = iota
 	sent
-	refused // for good, by the guard that it was sent to
+	refused // by the guard that it was sent to; the guard will not start it later
 	answered
 )
 
--- a/internal/peers/options.go
+++ b/internal/peers/options.go
@@ -80,7 +80,7 @@
 	SendToGuard func(guard identity.Incarnation, f *wire.Frame)
 	// OnGuardReady permits starts at a guard for which GuardUp was called.
 	OnGuardReady func(guard identity.Incarnation)
-	// OnGone reports that a roster declared a peer gone for good.
+	// OnGone reports that a roster declared a peer permanently gone.
 	OnGone func(peer identity.Incarnation)
 	// OnFenced reports that a roster declared this entry gone: it starts nothing
 	// more, and the process should exit so that it restarts under a new incarnation.
--- a/internal/recovery/machine_test.go
+++ b/internal/recovery/machine_test.go
@@ -168,7 +168,7 @@
 	h.c.Assert(h.verdictAfter(DefaultGracePeriod), qt.Equals, Unknown)
 }
 
-// A guard was removed for good before the job was born, and its entry announced
+// A guard was permanently removed before the job was born, and its entry announced
 // that. Its missing report does not prevent the proof. For an older job it does.
 func TestGuardDroppedBeforeBirth(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/roster/history.go
+++ b/internal/roster/history.go
@@ -22,7 +22,7 @@
 	// it cannot tell whether the members have failed or are only cut off from the
 	// store.
 	CeilingMs int64 `json:"ceiling_ms"`
-	// Gone lists the entries that this version declares gone for good. They start
+	// Gone lists the entries that this version declares permanently gone. They start
 	// nothing once they receive the version, and never become members again.
 	Gone []identity.Incarnation `json:"gone,omitempty"`
 }
--- a/internal/roster/machine.go
+++ b/internal/roster/machine.go
@@ -262,7 +262,7 @@
 }
 
 // ReportGone records that a peer's lease has expired and its link is down. The next
-// version declares it gone for good.
+// version declares it permanently gone.
 func (m *Machine) ReportGone(now time.Time, peer identity.Incarnation) {
 	if !m.IsDeclaredGone(peer) {
 		m.undeclaredGone[peer] = true
