--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -26,7 +26,7 @@
 	Token   string
 	HTTP    *http.Client
 
-	homeEntry atomic.Pointer[string] // home entry named in the last response
+	homeEntry atomic.Pointer[string] // incarnation of the entry that responded last
 }
 
 // Limits of the exponential backoff between resubmissions, and of a response.
@@ -46,11 +46,11 @@
 	Tasks      []json.RawMessage `json:"tasks"`
 }
 
-// Response is the response of an entry. Status is the HTTP status.
+// Response is the response of an entry.
 type Response struct {
-	Status     int
-	Body       json.RawMessage
-	RetryAfter time.Duration
+	Status     int             // HTTP status code
+	Body       json.RawMessage // complete response body
+	RetryAfter time.Duration   // from the Retry-After header; 0 if there is none
 	Parsed     Body
 }
 
@@ -64,12 +64,12 @@
 		Body   json.RawMessage `json:"body"`
 	} `json:"results"`
 	Error *struct {
-		Kind    string `json:"kind"`
-		Message string `json:"message"`
-		Detail  string `json:"detail"`
-		Ran     string `json:"ran"`
-		Advice  string `json:"advice"`
-		AfterMs int64  `json:"retry_after_ms"`
+		Kind         string `json:"kind"`
+		Message      string `json:"message"`
+		Detail       string `json:"detail"`
+		Ran          string `json:"ran"`
+		Advice       string `json:"advice"`
+		RetryAfterMs int64  `json:"retry_after_ms"`
 	} `json:"error"`
 }
 
@@ -80,14 +80,14 @@
 const adviceSameIdentity = "same"
 
 // isFinal reports whether resubmitting under the same identity is pointless.
-func (a *Response) isFinal() bool {
-	return a.Parsed.Error == nil || a.Parsed.Error.Advice != adviceSameIdentity
+func (r *Response) isFinal() bool {
+	return r.Parsed.Error == nil || r.Parsed.Error.Advice != adviceSameIdentity
 }
 
-// NewIdentity returns a new identity whose home is the entry that answered last. Behind
-// a load balancer with connection affinity the next submission reaches that
+// NewIdentity returns a new identity whose home is the entry that responded last.
+// Behind a load balancer with connection affinity the next submission reaches that
 // entry, which then need not forward it. Forwarding costs two messages for each
-// job. Before the first response Key fetches a ticket instead.
+// job. Before the first response NewIdentity fetches a ticket instead.
 func (c *Client) NewIdentity(ctx context.Context) (string, error) {
 	homeEntry := c.homeEntry.Load()
 	if homeEntry == nil {
@@ -103,20 +103,21 @@
 // FetchTicket fetches a new identity whose creation time is taken from the clock of
 // the responding entry.
 func (c *Client) FetchTicket(ctx context.Context) (string, error) {
-	a, err := c.sendUntilFinal(ctx, func(base string) (*http.Request, error) {
+	resp, err := c.sendUntilFinal(ctx, func(base string) (*http.Request, error) {
 		return http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/ticket", nil)
 	})
 	if err != nil {
 		return "", err
 	}
-	if a.Parsed.Ticket == "" {
-		return "", fmt.Errorf("response has no ticket: status %d: %s", a.Status, a.Body)
+	if resp.Parsed.Ticket == "" {
+		return "", fmt.Errorf("response has no ticket: status %d: %s", resp.Status, resp.Body)
 	}
-	return a.Parsed.Ticket, nil
+	return resp.Parsed.Ticket, nil
 }
 
-// Submit sends job under key until it gets a final response or ctx ends. The
-// job runs at most once, however often it is sent.
+// Submit sends job under the identity key until it gets a final response or ctx
+// ends. The job runs at most once, however often it is sent. When ctx ends, Submit
+// returns its error together with the response of the last attempt, if it got one.
 func (c *Client) Submit(ctx context.Context, key string, job *Job) (*Response, error) {
 	body, err := json.Marshal(job)
 	if err != nil {
@@ -141,48 +142,47 @@
 	}
 	backoff := minBackoffDelay
 	for i := 0; ; i++ {
-		a, err := c.send(newRequest, c.Entries[i%len(c.Entries)])
-		if err == nil && a.isFinal() {
-			return a, nil
+		resp, err := c.send(newRequest, c.Entries[i%len(c.Entries)])
+		if err == nil && resp.isFinal() {
+			return resp, nil
 		}
 		delay := backoff
 		if err == nil {
-			delay = max(delay, a.RetryAfter)
+			delay = max(delay, resp.RetryAfter)
 		}
 		select {
 		case <-ctx.Done():
-			return a, errors.Join(ctx.Err(), err)
+			return resp, errors.Join(ctx.Err(), err)
 		case <-time.After(delay):
 		}
 		backoff = min(2*backoff, maxBackoffDelay)
 	}
 }
 
-// send makes one attempt at one entry.
-
+// send makes one attempt at the entry with the given base URL.
 func (c *Client) send(newRequest func(base string) (*http.Request, error), base string) (*Response, error) {
 	req, err := newRequest(base)
 	if err != nil {
 		return nil, err
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Token)
-	resp, err := c.HTTP.Do(req)
+	httpResp, err := c.HTTP.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
+	defer httpResp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxResponseSize))
 	if err != nil {
 		return nil, fmt.Errorf("read response: %w", err)
 	}
-	if homeEntry := resp.Header.Get(homeHeader); homeEntry != "" {
+	if homeEntry := httpResp.Header.Get(homeHeader); homeEntry != "" {
 		c.homeEntry.Store(&homeEntry)
 	}
-	a := &Response{Status: resp.StatusCode, Body: body, RetryAfter: retryAfter(resp)}
-	if err := json.Unmarshal(body, &a.Parsed); err != nil {
-		return nil, fmt.Errorf("status %d: response is not JSON: %w", resp.StatusCode, err)
+	resp := &Response{Status: httpResp.StatusCode, Body: body, RetryAfter: retryAfter(httpResp)}
+	if err := json.Unmarshal(body, &resp.Parsed); err != nil {
+		return nil, fmt.Errorf("status %d: response is not JSON: %w", httpResp.StatusCode, err)
 	}
-	return a, nil
+	return resp, nil
 }
 
 func retryAfter(resp *http.Response) time.Duration {
