--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -14,7 +14,7 @@
 // Headers of the callers' API.
 const (
 	idempotencyKeyHeader = "Idempotency-Key"
-	homeHeader           = "Wigeontray-Home" // on every response: the entry that issues tickets under this name
+	homeHeader           = "Wigeontray-Home" // on every response: this entry's incarnation, for use as the home of job keys
 )
 
 const statusRunning = http.StatusAccepted
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -31,7 +31,7 @@
 type ServiceLimits struct {
 	Deadline   time.Duration // for submissions without a deadline
 	MaxTasks   int           // max. tasks in a job
-	DeclaredMs int64         // estimated run time of a task, for submissions without one
+	DeclaredMs int64         // estimated run time of a task in ms, for submissions without one
 	Need       dispatch.Need // for tasks that declare no need of their own
 }
 
@@ -48,8 +48,8 @@
 	// reads. Both are nil before the first snapshot.
 	SnapshotForGuard(service string) (c *wire.Config, serviceRecord []byte)
 	// ReceiveFromPeer and ReceiveFromGuard handle a configuration sent by another
-	// process. A snapshot that is not newer, or that cannot be authenticated, is
-	// ignored and counted.
+	// process. A snapshot that is not newer is ignored. One that is malformed or
+	// cannot be authenticated is rejected and counted.
 	ReceiveFromPeer(c *wire.Config)
 	ReceiveFromGuard(c *wire.Config)
 	// GuardKeys returns the hashes of a member's guard keys; known is false if the
@@ -210,7 +210,7 @@
 	return d
 }
 
-func (s *Server) forEachDispatcher(visit func(l *dispatcher)) {
+func (s *Server) forEachDispatcher(visit func(d *dispatcher)) {
 	s.dispatchers.Range(func(_, v any) bool {
 		visit(v.(*dispatcher))
 		return true
@@ -249,8 +249,8 @@
 // configuration has been applied and shutdown has not begun.
 func (s *Server) Ready() bool { return !s.notReady.Load() && s.config.Revision() > 0 }
 
-// SetNotReady makes the entry report not ready. It continues to serve all requests, so
-// that none is refused before the load balancer has noticed.
+// SetNotReady makes the entry report not ready. It continues to serve all requests,
+// so that none is refused before the load balancer has noticed.
 func (s *Server) SetNotReady() { s.notReady.Store(true) }
 
 // Drain refuses new jobs and waits until all open jobs are answered or ctx ends.
--- a/internal/entry/lane.go
+++ b/internal/entry/lane.go
@@ -173,8 +173,8 @@
 	})
 }
 
-// updateHello applies a load report or a Goodbye that arrives before the link is in
-// use. The Hello may have been sent before the upstream's first health check; if
+// updateHello applies a load report or a stop notice that arrives before the link is
+// in use. The Hello may have been sent before the upstream's first health check; if
 // the report that follows were lost, the guard would be treated as unhealthy until
 // its next report, and every request would be refused because no workers are
 // available. The caller holds the dispatcher's lock, or openLinkSet.mu while the
--- a/internal/entry/peerrouter.go
+++ b/internal/entry/peerrouter.go
@@ -52,7 +52,7 @@
 func (r *PeerRouter) sendToGuard(s *Server, id identity.Incarnation, f *wire.Frame) {
 	g := s.links.get(id)
 	if c := f.Collect; c != nil && g != nil && record.Owner(g.hello.Service) != c.Member {
-		// In a goroutine, because the caller holds the lock that GuardCollected
+		// In a goroutine, because the caller holds the lock that HandleCollected
 		// takes.
 		go r.HandleCollected(id, &wire.Collected{Member: c.Member, Key: c.Key})
 		return
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -2,9 +2,9 @@
 // refused, the requests that wait for them, and their answers.
 //
 // A record makes a submission idempotent: while it is kept, a resubmission joins
-// it. A record is only dropped together with raising its member's minimum creation
-// time above that of its key, and all keys below the minimum are refused without
-// being run. A dropped record therefore never causes a second run.
+// it. Each member has a minimum creation time: keys created earlier are refused
+// without being run. Before a record is dropped, the minimum is raised above the
+// creation time of its key, so a dropped record never causes a second run.
 //
 // The package may import errkind and identity.
 package jobs
@@ -23,12 +23,14 @@
 type Limits struct {
 	// Retention is how long after its creation a job key can be resubmitted.
 	Retention time.Duration
-	// Skew is how far in the future the creation time of a key may be by this
+	// MaxClockSkew is how far in the future the creation time of a key may be by this
 	// process's clock.
 	MaxClockSkew time.Duration
-	// Records is the maximum number of records.
+	// MaxRecords is the maximum number of records, including those of unfinished
+	// jobs.
 	MaxRecords int
-	// MaxAnswerBytes limits the total size of the answers kept for resubmissions.
+	// MaxAnswerBytes limits the total size of the answer bodies kept for
+	// resubmissions. Bodies of records that callers still use are kept beyond it.
 	MaxAnswerBytes int64
 }
 
@@ -85,8 +87,8 @@
 
 // Find returns the record of a job key that this entry owns; its answer is kept in
 // memory until the caller calls Release. Find returns NotFound for a key that was
-// never submitted and could still be accepted, and IdentityExpired for one whose
-// record may have been dropped.
+// never submitted to this entry and could still be accepted, and IdentityExpired
+// for one whose record may have been dropped.
 func (r *Registry) Find(now time.Time, member string, key identity.Key) (*Record, *errkind.Error) {
 	return r.shard(member).find(now, key)
 }
