--- a/internal/guard/counters.go
+++ b/internal/guard/counters.go
@@ -40,10 +40,10 @@
 
 // countResult counts a result when it is sent: in guard.refused.KIND if the task
 // never runs on this upstream, in guard.result.KIND otherwise.
-func (c *guardMetrics) countResult(r *wire.Result) {
+func (m *guardMetrics) countResult(r *wire.Result) {
 	prefix := "guard.result."
 	if isNotRun(r) {
 		prefix = "guard.refused."
 	}
-	metrics.GetOrRegisterCounter(prefix+r.Kind.String(), c.registry).Inc(1)
+	metrics.GetOrRegisterCounter(prefix+r.Kind.String(), m.registry).Inc(1)
 }
--- a/internal/guard/fake_test.go
+++ b/internal/guard/fake_test.go
@@ -19,8 +19,8 @@
 	"wigeontray/internal/wire/wiretest"
 )
 
-// testEntry is the incarnation of the fake entry in tests.
-const testEntry = identity.Incarnation("entry-a-1")
+// testEntryID is the incarnation of the fake entry.
+const testEntryID = identity.Incarnation("entry-a-1")
 
 // fakeEntry is an entry that a guard links to. It records the frames it receives.
 type fakeEntry struct {
@@ -186,7 +186,7 @@
 // newTestEnv starts a guard. It must be called in a synctest bubble, and the
 // caller must call close.
 func newTestEnv(t testing.TB, change func(*Options), otherEntries ...wire.EntryAddr) *testEnv {
-	env := &testEnv{entry: &fakeEntry{incarnation: testEntry, otherEntries: otherEntries}, upstream: sample.New("w1", 1), net: newMemoryNet(), runErr: make(chan error, 1)}
+	env := &testEnv{entry: &fakeEntry{incarnation: testEntryID, otherEntries: otherEntries}, upstream: sample.New("w1", 1), net: newMemoryNet(), runErr: make(chan error, 1)}
 	env.server = &http.Server{Handler: env.upstream}
 	go func() { _ = env.server.Serve(env.net) }()
 	opt := testOptions()
@@ -211,10 +211,10 @@
 	time.Sleep(time.Millisecond) // wait until the links are closed
 }
 
-// newStart returns a Start of a new job with the current time as its birth.
+// newStart returns a Start of a new job whose key is created now.
 func newStart(body string) *wire.Start {
-	key := identity.NewTicket(testEntry, time.Now())
-	return &wire.Start{Ref: wire.Ref{Member: "ayni", Key: key.Text}, Of: 1, Home: testEntry, LeftMs: 5000, Body: []byte(body)}
+	key := identity.NewTicket(testEntryID, time.Now())
+	return &wire.Start{Ref: wire.Ref{Member: "ayni", Key: key.Text}, Of: 1, Home: testEntryID, LeftMs: 5000, Body: []byte(body)}
 }
 
 // summaries formats the kind, ran and status of each result for comparison.
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -6,7 +6,7 @@
 // Package ledger decides which tasks are accepted, started and refused. This
 // package provides the goroutines and connections around that state machine.
 //
-// The package may import errkind, identity, ledger and wire.
+// The package may import errkind, identity, ledger, record and wire.
 package guard
 
 import (
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -20,7 +20,7 @@
 // callers would get "outcome unknown" although the upstream finished the task.
 func TestStopFlushesLargeResults(t *testing.T) {
 	for _, useTLS := range []bool{false, true} {
-		entry := &fakeEntry{incarnation: testEntry}
+		entry := &fakeEntry{incarnation: testEntryID}
 		opt := socketOptions(t, entry, useTLS)
 		g, err := New(opt)
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/guard/links_test.go
+++ b/internal/guard/links_test.go
@@ -47,7 +47,7 @@
 		time.Sleep(time.Minute)
 		qt.Assert(t, env.guard.metrics.linksOpened.Count(), qt.Equals, int64(2))
 		qt.Assert(t, env.guard.linkCount(), qt.Equals, 1)
-		replaced := &session{entry: testEntry}
+		replaced := &session{entry: testEntryID}
 		qt.Assert(t, env.guard.handleIfCurrent(replaced, &wire.Frame{Start: newStart(`{}`)}), qt.IsFalse)
 		env.entry.newestLink().Close("cut")
 		time.Sleep(time.Minute)
