--- a/internal/confsync/follow.go
+++ b/internal/confsync/follow.go
@@ -125,7 +125,7 @@
 // A check without a response keeps the watch: a store that is too slow for calls
 // may still deliver on open watches, and a closed watch could not be reopened.
 func (s *Sync) isWatchBehind(ctx context.Context) (behind bool) {
-	latest, err := s.latest(ctx)
+	prefixState, err := s.prefixState(ctx)
 	if ctx.Err() != nil {
 		return false
 	}
@@ -136,13 +136,15 @@
 	}
 	s.setStoreState(nil)
 	snap := s.Current()
-	if latest.Revision < snap.Revision {
+	if prefixState.Revision < snap.Revision {
 		s.handleRevisionWentBack()
 		return false
 	}
-	return latest.ModRevision > snap.Revision || latest.Count != int64(snap.Len())
+	return prefixState.ModRevision > snap.Revision || prefixState.Count != int64(snap.Len())
 }
 
+// handleRevisionWentBack counts a store revision below the snapshot's and switches
+// the endpoint, since the replica may lag.
 func (s *Sync) handleRevisionWentBack() {
 	s.count("store.past")
 	s.switchEndpoint()
@@ -156,14 +158,16 @@
 	}
 }
 
-func (s *Sync) latest(ctx context.Context) (store.PrefixState, error) {
-	if p, ok := s.opts.Store.(latestReader); ok {
+// prefixState returns the state of all records. It reads them if the store has no
+// cheaper call.
+func (s *Sync) prefixState(ctx context.Context) (store.PrefixState, error) {
+	if p, ok := s.opts.Store.(prefixStateReader); ok {
 		return p.PrefixState(ctx, store.RecordPrefix)
 	}
 	kvs, revision, err := s.opts.Store.Range(ctx, store.RecordPrefix)
-	l := store.PrefixState{Count: int64(len(kvs)), Revision: revision}
+	state := store.PrefixState{Count: int64(len(kvs)), Revision: revision}
 	for _, kv := range kvs {
-		l.ModRevision = max(l.ModRevision, kv.ModRevision)
+		state.ModRevision = max(state.ModRevision, kv.ModRevision)
 	}
-	return l, err
+	return state, err
 }
--- a/internal/confsync/share.go
+++ b/internal/confsync/share.go
@@ -17,8 +17,8 @@
 }
 
 // Encoded returns the current snapshot, encoded for peers and sealed if there is a
-// Sealer, and its revision. It returns nil until Ready. The caller must not modify
-// the slice.
+// Sealer, and its revision. The slice is nil until Ready. The caller must not modify
+// it.
 func (s *Sync) Encoded() (b []byte, revision int64, err error) {
 	enc, err := s.encodeCurrent()
 	if enc == nil {
@@ -27,8 +27,8 @@
 	return enc.forPeers, enc.snapshot.Revision, nil
 }
 
-// EncodedForGuard returns the configuration for a guard of a service, and its revision.
-// It returns nil until Ready.
+// EncodedForGuard returns the configuration for a guard of a service, and its
+// revision. The configuration is nil until Ready.
 func (s *Sync) EncodedForGuard(service string) (b []byte, revision int64, err error) {
 	enc, err := s.encodeCurrent()
 	if enc == nil {
--- a/internal/confsync/sync.go
+++ b/internal/confsync/sync.go
@@ -54,8 +54,8 @@
 	ResolveTimeout time.Duration
 }
 
-// latestReader is a store that can report cheaply whether a prefix has changed.
-type latestReader interface {
+// prefixStateReader is a store that can return the state of a prefix cheaply.
+type prefixStateReader interface {
 	PrefixState(ctx context.Context, prefix string) (store.PrefixState, error)
 }
 
--- a/internal/record/guard.go
+++ b/internal/record/guard.go
@@ -38,8 +38,8 @@
 	return b, nil
 }
 
-// GuardServiceRecord returns the encoded record of the guard's own service from the result
-// of EncodeForGuard; nil if there is none.
+// GuardServiceRecord returns the encoded record of the guard's own service from the
+// result of EncodeForGuard; nil if there is none.
 func GuardServiceRecord(b []byte) []byte {
 	var e struct {
 		Service cbor.RawMessage `cbor:"2,keyasint,omitempty"`
--- a/internal/record/kinds.go
+++ b/internal/record/kinds.go
@@ -74,13 +74,14 @@
 	Dispatch dispatch.Policy
 }
 
-// Job is a declared type of job, with tighter limits than its service's.
+// Job is a declared kind of job. Its limits take the place of its service's; MaxTasks
+// can only lower the service's limit.
 type Job struct {
 	Name       string // "member/job"
 	Service    string // "member/service"
-	DeadlineMs int64
+	DeadlineMs int64  // for submissions without a deadline
 	MaxTasks   int
-	DeclaredMs int64
+	DeclaredMs int64 // declared run time of a task; 0 keeps the service's
 	// Need is the resource requirement of a task; a zero field defaults to the
 	// service's.
 	Need dispatch.Need
--- a/internal/record/object.go
+++ b/internal/record/object.go
@@ -157,7 +157,8 @@
 	return v
 }
 
-// objectReader returns a reader of a nested object, empty if the field is missing.
+// objectReader removes a field and returns a reader of the nested object in it, empty
+// if the field is missing.
 func (o *objectReader) objectReader(field string) *objectReader {
 	raw, ok := o.fields[field]
 	if !ok {
--- a/internal/record/snapshot.go
+++ b/internal/record/snapshot.go
@@ -47,11 +47,11 @@
 	services map[string]*Service
 	policies map[string]*Policy
 	jobs     map[string]*Job
-	tokens   []tokenEntry
+	tokens   []memberToken
 }
 
-// tokenEntry maps the hash of a valid token to its member.
-type tokenEntry struct {
+// memberToken is the hash of a valid token and the member that it belongs to.
+type memberToken struct {
 	hash   TokenHash
 	member *Member
 }
@@ -153,7 +153,7 @@
 		m := s.members[name]
 		for _, h := range m.Tokens {
 			if claims[h] == 1 {
-				s.tokens = append(s.tokens, tokenEntry{hash: h, member: m})
+				s.tokens = append(s.tokens, memberToken{hash: h, member: m})
 			}
 		}
 	}
--- a/internal/recordapi/recordapi.go
+++ b/internal/recordapi/recordapi.go
@@ -43,8 +43,8 @@
 type Principal struct {
 	// Member is the member whose records the sender may read and write.
 	Member string
-	// Consortium is set for the consortium's operator, who may list, read and
-	// write records of kind member and no others.
+	// IsConsortiumOperator is set for the consortium's operator, who may list,
+	// read and write records of kind member and no others.
 	IsConsortiumOperator bool
 }
 
