--- a/internal/store/etcd.go
+++ b/internal/store/etcd.go
@@ -126,11 +126,11 @@
 	if err := e.callIdempotent(ctx, "latest", etcdjson.PathRange, req, &resp); err != nil {
 		return PrefixState{}, err
 	}
-	l := PrefixState{Count: resp.Count, Revision: resp.Header.Revision}
+	state := PrefixState{Count: resp.Count, Revision: resp.Header.Revision}
 	if len(resp.KVs) > 0 {
-		l.ModRevision = resp.KVs[0].ModRevision
+		state.ModRevision = resp.KVs[0].ModRevision
 	}
-	return l, nil
+	return state, nil
 }
 
 // Put implements Store.
--- a/internal/store/standin/faults.go
+++ b/internal/store/standin/faults.go
@@ -93,8 +93,8 @@
 	s.faults.writeDelays = writeDelays
 }
 
-// ServeStaleReads makes reads return the content at a past revision, as a lagging
-// replica does. 0 ends the fault.
+// ServeStaleReads makes reads return the content at a past revision, as a
+// lagging replica does. 0 ends the fault.
 func (s *Server) ServeStaleReads(revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -57,9 +57,10 @@
 	Range(ctx context.Context, prefix string) (kvs []KV, revision int64, err error)
 	// Put writes key if its ModRevision equals expectedRevision (0: the key
 	// must not exist) and attaches it to lease unless lease is 0. It returns
-	// the new revision.
+	// the new revision, or ErrConflict if the comparison fails.
 	Put(ctx context.Context, key string, value []byte, expectedRevision int64, lease LeaseID) (revision int64, err error)
-	// Delete removes key if its ModRevision equals expectedRevision.
+	// Delete removes key if its ModRevision equals expectedRevision. It returns
+	// the revision of the deletion, or ErrConflict if the comparison fails.
 	Delete(ctx context.Context, key string, expectedRevision int64) (revision int64, err error)
 	// Watch sends all changes under prefix after revision to out, in order,
 	// until ctx ends or the stream fails. It then closes out and returns the
@@ -67,8 +68,8 @@
 	Watch(ctx context.Context, prefix string, revision int64, out chan<- Batch) error
 	// Grant creates a lease that expires ttl after its last KeepAlive.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease. It returns ErrLeaseNotFound if the lease no longer
-	// exists.
+	// KeepAlive renews a lease. It returns ErrLeaseNotFound if the lease no
+	// longer exists.
 	KeepAlive(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, id LeaseID) error
