--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -371,8 +371,8 @@
 	})
 }
 
-// Protects against workers that become unreachable when all entries are replaced
-// one by one: guards must receive the addresses of new entries, or they would
+// Protects against workers that become idle when all entries are replaced one by
+// one over a day: guards must receive the addresses of new entries, or they would
 // eventually have no link left.
 func TestGuardsReceiveNewEntryAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
