--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -27,11 +27,11 @@
 	slowBits           uint16 // latest runs, newest in bit 0; 1 for a run above the fleet's 90th percentile
 	observedRuns       int    // number of valid bits in slowBits
 	quarantineInterval time.Duration
-	isOnProbation      bool // a quarantine has ended and full use is not restored yet
+	isOnProbation      bool // a quarantine was started and full use is not restored yet
 }
 
-// RecordFailure records a failed task. Several failed tasks of one job count once,
-// because the job itself may be the cause.
+// RecordFailure records a failed task. Several failed tasks of one job count
+// once, because the job itself may be the cause.
 func (h *Health) RecordFailure(jobKey string) {
 	if jobKey != h.lastFailedJob {
 		h.lastFailedJob = jobKey
@@ -39,8 +39,8 @@
 	}
 }
 
-// RecordRun records a completed task. isSlow reports whether its run time exceeded
-// the fleet's 90th percentile.
+// RecordRun records a completed task and resets the count of failed jobs.
+// isSlow reports whether its run time exceeded the fleet's 90th percentile.
 func (h *Health) RecordRun(isSlow bool) {
 	h.failedJobs, h.lastFailedJob = 0, ""
 	h.slowBits <<= 1
@@ -70,9 +70,9 @@
 	return now.Add(h.quarantineInterval)
 }
 
-// RecordProbe records a completed run during probation and returns the new limit on
-// concurrent tasks. The limit doubles up to the number of slots and is 0 when
-// probation is over. A slow run leaves it unchanged.
+// RecordProbe records a completed run during probation and returns the new
+// limit on concurrent tasks. The limit doubles up to the number of slots and is
+// 0 when probation is over. A slow run leaves it unchanged.
 func (h *Health) RecordProbe(limit, slots int32, isSlow bool) int32 {
 	if isSlow {
 		return limit
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -11,8 +11,8 @@
 	spacingDivisor = 2
 )
 
-// TaskSpacing returns the difference in Due between consecutive tasks of a job. The
-// k-th task is ordered as if it had arrived k spacings after the job, so that
+// TaskSpacing returns the difference in Due between consecutive tasks of a job.
+// The k-th task is ordered as if it had arrived k spacings after the job, so that
 // small jobs overtake the last tasks of a large one. All spacings together take
 // at most half of the time left until the deadline: the last task is then due
 // well before the deadline, and later arrivals cannot delay it beyond that.
--- a/internal/sched/ratio.go
+++ b/internal/sched/ratio.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// RunTimeEstimator learns the ratio of actual to estimated run times. A caller's estimate
-// is off by as much as half, but the estimates for one queue are off in the
-// same way.
+// RunTimeEstimator learns the ratio of actual to estimated run times. A
+// caller's estimate is off by as much as half, but the estimates for one queue
+// are off in the same way.
 //
 // It tracks medians. With means, a few seconds in which a fifth of a queue's
 // tasks took twenty times as long made every job appear unable to meet its
@@ -19,10 +19,10 @@
 const medianStep = 0.03
 
 // Observe records one run. An estimate of 0 means that there is none.
-func (r *RunTimeEstimator) Observe(estimate, actual time.Duration) {
-	r.medianRunTime = stepToward(r.medianRunTime, float64(actual))
+func (e *RunTimeEstimator) Observe(estimate, actual time.Duration) {
+	e.medianRunTime = stepToward(e.medianRunTime, float64(actual))
 	if estimate > 0 {
-		r.medianRatio = stepToward(r.medianRatio, float64(actual)/float64(estimate))
+		e.medianRatio = stepToward(e.medianRatio, float64(actual)/float64(estimate))
 	}
 }
 
@@ -37,14 +37,15 @@
 	return max(value, median/(1+medianStep))
 }
 
-// ExpectedRunTime returns the expected run time for an estimate, or the median run time
-// if there is no estimate.
-func (r *RunTimeEstimator) ExpectedRunTime(estimate time.Duration) time.Duration {
+// ExpectedRunTime returns the expected run time for an estimate. If the
+// estimate is 0, it returns the median run time, which is 0 before the first
+// run.
+func (e *RunTimeEstimator) ExpectedRunTime(estimate time.Duration) time.Duration {
 	switch {
 	case estimate <= 0:
-		return time.Duration(r.medianRunTime)
-	case r.medianRatio == 0:
+		return time.Duration(e.medianRunTime)
+	case e.medianRatio == 0:
 		return estimate
 	}
-	return time.Duration(r.medianRatio * float64(estimate))
+	return time.Duration(e.medianRatio * float64(estimate))
 }
--- a/internal/sched/room.go
+++ b/internal/sched/room.go
@@ -1,14 +1,14 @@
 package sched
 
-// Resources is an amount of resources: what a task requires, or what a worker has in
-// total or has free.
+// Resources is an amount of resources: what a task requires, or what a worker
+// has in total or has free.
 type Resources struct {
 	CPU      int64 `cbor:"1,keyasint,omitempty"` // thousandths of a core
 	MemoryMB int64 `cbor:"2,keyasint,omitempty"` // megabytes
 	GPUs     int64 `cbor:"3,keyasint,omitempty"` // whole accelerators
 }
 
-// CanFit reports whether r is enough for a task.
+// CanFit reports whether r is enough for one such task.
 func (r Resources) CanFit(task Resources) bool {
 	return r.CPU >= task.CPU && r.MemoryMB >= task.MemoryMB && r.GPUs >= task.GPUs
 }
@@ -40,8 +40,8 @@
 	return Resources{CPU: r.CPU - other.CPU, MemoryMB: r.MemoryMB - other.MemoryMB, GPUs: r.GPUs - other.GPUs}
 }
 
-// WorkerView is one entry's view of a worker on which resources are allocated by
-// amount instead of by slots.
+// WorkerView is one entry's view of a worker on which resources are allocated
+// by amount instead of by slots.
 type WorkerView struct {
 	Service     string
 	Domain      string
@@ -49,31 +49,33 @@
 	Labels      []string
 	Capacity    Resources
 	Free        Resources // capacity minus the tasks that are running or were sent
-	State       State     // only Usable sites get tasks
+	State       State     // only Usable workers get tasks
 	MaxOwnTasks int       // most tasks of this entry during probation; 0 for no limit
 	OwnTasks    int       // tasks of this entry on the worker
 }
 
 // TaskRequest describes the requirements of a task to be placed.
 type TaskRequest struct {
-	Service    string
-	Need       Resources
-	Label      string // label that the site must have; empty for none
-	Rack       string // rack that holds the task's data; empty for none
-	Domain     string // failure domain of the entry
-	IsExcluded func(site int) bool
+	Service string
+	Need    Resources
+	Label   string // label that the worker must have; empty for none
+	Rack    string // rack that holds the task's data; empty for none
+	Domain  string // failure domain of the entry
+	// IsExcluded reports whether the task must not be placed on the worker with
+	// the given index; nil if no worker is excluded.
+	IsExcluded func(index int) bool
 }
 
-// CanRun reports whether the site could run the task if it were idle.
-func (s *WorkerView) CanRun(a *TaskRequest) bool {
-	if s.State == Absent || s.Service != a.Service || !s.Capacity.CanFit(a.Need) {
+// CanRun reports whether the worker could run the task if it were idle.
+func (w *WorkerView) CanRun(req *TaskRequest) bool {
+	if w.State == Absent || w.Service != req.Service || !w.Capacity.CanFit(req.Need) {
 		return false
 	}
-	return a.Label == "" || s.hasLabel(a.Label)
+	return req.Label == "" || w.hasLabel(req.Label)
 }
 
-func (s *WorkerView) hasLabel(label string) bool {
-	for _, l := range s.Labels {
+func (w *WorkerView) hasLabel(label string) bool {
+	for _, l := range w.Labels {
 		if l == label {
 			return true
 		}
@@ -81,26 +83,26 @@
 	return false
 }
 
-// CanAccept reports whether the site may be given the task now.
-func (s *WorkerView) CanAccept(a *TaskRequest) bool {
-	if s.State != Usable || !s.Free.CanFit(a.Need) || !s.CanRun(a) {
+// CanAccept reports whether the worker may be given the task now.
+func (w *WorkerView) CanAccept(req *TaskRequest) bool {
+	if w.State != Usable || !w.Free.CanFit(req.Need) || !w.CanRun(req) {
 		return false
 	}
-	return s.MaxOwnTasks == 0 || s.OwnTasks < s.MaxOwnTasks
+	return w.MaxOwnTasks == 0 || w.OwnTasks < w.MaxOwnTasks
 }
 
-// CountPlacements counts how many such tasks could be placed now, at most perSite at
-// each site and limit in total.
-func CountPlacements(sites []WorkerView, a *TaskRequest, perSite, limit int) int {
+// CountPlacements counts how many such tasks could be placed now, at most
+// perWorker on each worker and limit in total.
+func CountPlacements(workers []WorkerView, req *TaskRequest, perWorker, limit int) int {
 	count := 0
-	for i := range sites {
-		s := &sites[i]
-		if !s.CanAccept(a) {
+	for i := range workers {
+		w := &workers[i]
+		if !w.CanAccept(req) {
 			continue
 		}
-		fitting := s.Free.CountFitting(a.Need, perSite)
-		if s.MaxOwnTasks > 0 {
-			fitting = min(fitting, s.MaxOwnTasks-s.OwnTasks)
+		fitting := w.Free.CountFitting(req.Need, perWorker)
+		if w.MaxOwnTasks > 0 {
+			fitting = min(fitting, w.MaxOwnTasks-w.OwnTasks)
 		}
 		if count += fitting; count >= limit {
 			return limit
@@ -109,32 +111,32 @@
 	return count
 }
 
-// BestWorker returns the index of the site for a task, or NoWorker. It prefers
+// BestWorker returns the index of the worker for a task, or NoWorker. It prefers
 // the rack of the task's data, then the entry's own failure domain, then the
 // most free CPU. Preferring the own failure domain reduces traffic between
 // domains and makes entries of different domains rarely choose the same worker;
 // preferring the most free CPU keeps a job's tasks on few workers.
-func BestWorker(sites []WorkerView, a *TaskRequest) int {
+func BestWorker(workers []WorkerView, req *TaskRequest) int {
 	best, bestRank := NoWorker, 0
-	for i := range sites {
-		s := &sites[i]
-		if !s.CanAccept(a) || a.IsExcluded != nil && a.IsExcluded(i) {
+	for i := range workers {
+		w := &workers[i]
+		if !w.CanAccept(req) || req.IsExcluded != nil && req.IsExcluded(i) {
 			continue
 		}
-		rank := s.rank(a)
-		if best == NoWorker || rank > bestRank || rank == bestRank && s.Free.CPU > sites[best].Free.CPU {
+		rank := w.rank(req)
+		if best == NoWorker || rank > bestRank || rank == bestRank && w.Free.CPU > workers[best].Free.CPU {
 			best, bestRank = i, rank
 		}
 	}
 	return best
 }
 
-func (s *WorkerView) rank(a *TaskRequest) int {
+func (w *WorkerView) rank(req *TaskRequest) int {
 	rank := 0
-	if a.Rack != "" && s.Rack == a.Rack {
+	if req.Rack != "" && w.Rack == req.Rack {
 		rank += 2
 	}
-	if s.Domain == a.Domain {
+	if w.Domain == req.Domain {
 		rank++
 	}
 	return rank
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -22,9 +22,9 @@
 	Accelerators     int16 // whole accelerators
 	UsedAccelerators int16 // accelerators used by this entry's tasks
 	State            State
-	// HasReservation is set while this entry has slots reserved at the worker.
-	// The worker then hands out its free slots as offers and refuses a task
-	// that is sent without one.
+	// HasReservation is set while slots reserved for this entry have not been
+	// offered yet. The next free slots then arrive as offers, and a task sent
+	// without an offer would be refused.
 	HasReservation bool
 }
 
