--- a/internal/batch/admit.go
+++ b/internal/batch/admit.go
@@ -11,21 +11,21 @@
 // expectedRunTime returns the run time expected of a step's tasks: the caller's estimate,
 // corrected by the observed run times of the queue.
 func (m *Machine) expectedRunTime(q *Queue, s *Step) time.Duration {
-	if ratio := m.runTimeRatios[q.Name]; ratio != nil && !m.options.Disabled.Has(policy.LearnedTimes) {
-		return ratio.ExpectedRunTime(s.Estimate)
+	if estimator := m.runTimeEstimators[q.Name]; estimator != nil && !m.options.Disabled.Has(policy.LearnedTimes) {
+		return estimator.ExpectedRunTime(s.Estimate)
 	}
 	return s.Estimate
 }
 
-// recordRunTime updates the queue's ratio of actual to estimated run times.
+// recordRunTime updates the run time estimator of the job's queue.
 func (m *Machine) recordRunTime(j *job, s *step, runTime time.Duration) {
 	queue := j.spec.Queue.Name
-	ratio := m.runTimeRatios[queue]
-	if ratio == nil {
-		ratio = new(sched.RunTimeEstimator)
-		m.runTimeRatios[queue] = ratio
+	estimator := m.runTimeEstimators[queue]
+	if estimator == nil {
+		estimator = new(sched.RunTimeEstimator)
+		m.runTimeEstimators[queue] = estimator
 	}
-	ratio.Observe(s.spec.Estimate, runTime)
+	estimator.Observe(s.spec.Estimate, runTime)
 }
 
 // criticalPath returns the expected length of the longest chain of steps of a job.
--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -52,8 +52,8 @@
 type Job struct {
 	ID      string
 	Request string // the caller's request ID, for logs; empty for none
-	// HeldUp is set if a network partition may have delayed the job, so that its caller may have
-	// resubmitted it to another entry.
+	// HeldUp is set if a network partition may have delayed the job, so that its
+	// caller may have resubmitted it to another entry.
 	HeldUp   bool
 	Queue    *Queue
 	Text     string // description of the tasks, passed to the workers
@@ -94,20 +94,20 @@
 	EventAdmitted  Decision = iota
 	EventTasksSent          // tasks were sent to a guard
 	EventRunEnded           // a run ended without success
-	EventGuardLost          // the guard's link was lost; its runs may continue for Timing.Loss
+	EventGuardLost          // the guard's link was lost; its runs may continue for Timing.MaxOrphanAge
 	EventWithdrawn          // the job's active runs are stopped
 )
 
 // String returns the message that logs use for the event.
-func (w Decision) String() string {
-	return [...]string{"admitted", "tasks sent", "run ended", "guard lost", "withdrawn"}[w]
+func (d Decision) String() string {
+	return [...]string{"admitted", "tasks sent", "run ended", "guard lost", "withdrawn"}[d]
 }
 
 // maxEvents limits the events kept for a job; later ones are dropped.
 const maxEvents = 64
 
 // Action is one operation that the owner of a Machine must carry out. Exactly one of
-// Frame, Drop and Finish is set.
+// Frame, CloseLink and Finish is set.
 type Action struct {
 	Guard     identity.Incarnation // receiver of Frame, or guard whose link to close
 	Frame     *wire.Frame
@@ -119,7 +119,7 @@
 type Options struct {
 	Domain   string      // failure domain of the entry
 	Seed     uint64      // seed of all random choices
-	Timing   runs.Timing // runs.Timing's default if zero
+	Timing   runs.Timing // if zero, the timing for runs.DefaultResendDelay
 	Disabled policy.Set  // disabled mechanisms
 }
 
--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -11,8 +11,8 @@
 // is a suspect. Suspects are placed on different workers, so that a second crash identifies the
 // task that caused it.
 const (
-	// maxCrashes is the number of worker crashes that certainly occurred while a task was at the
-	// worker from which its job fails.
+	// maxCrashes is the number of worker crashes with a task certainly at the worker from which
+	// the task's job fails.
 	maxCrashes = 2
 	// maxSuspectedCrashes is the number of worker crashes, certain or possible, from which a task
 	// is not started again.
@@ -56,8 +56,8 @@
 	return wire.TaskName{Job: k.Job, Step: k.Step, Index: k.Index}
 }
 
-// HandleWorkerCrash counts a worker crash for the tasks of other entries that were at the worker: their
-// jobs may be submitted to this entry next.
+// HandleWorkerCrash counts a worker crash for the tasks of other entries that were, or may have
+// been, at the worker: their jobs may be submitted to this entry next.
 func (m *Machine) HandleWorkerCrash(c *wire.WorkerCrash) {
 	for _, t := range c.Tasks {
 		m.crashes.add(t, crashCount{certain: 1})
--- a/internal/batch/ends.go
+++ b/internal/batch/ends.go
@@ -107,7 +107,7 @@
 		}
 		m.avoid(r, t)
 	case e.Kind == errkind.Stalled:
-		t.wasMoved = true
+		t.wasRelocated = true
 		m.avoid(r, t)
 	case e.TextUnavailable:
 		j.textSource = nil
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -39,12 +39,12 @@
 
 // task is the state of one task.
 type task struct {
-	runNumber  int64    // number of its latest run
-	failedRuns int      // failed runs, limited by Queue.MaxAttempts
-	refusals   int      // lost or refused runs, limited by maxRefusals
-	crashes    int      // crashes of workers where it ran or may have run
-	wasMoved   bool     // a run was returned because it was too slow or made no progress
-	avoid      []*guard // guards where a run failed, was refused or was lost
+	runNumber    int64    // number of its latest run
+	failedRuns   int      // failed runs, limited by Queue.MaxAttempts
+	refusals     int      // lost or refused runs, limited by maxRefusals
+	crashes      int      // crashes of workers where it ran or may have run
+	wasRelocated bool     // a run was returned because it was too slow or made no progress
+	avoid        []*guard // guards where a run failed, was refused or was lost
 }
 
 // newJob returns the state of a new job. criticalPath is the expected length of its longest chain
--- a/internal/batch/load_test.go
+++ b/internal/batch/load_test.go
@@ -60,7 +60,7 @@
 	hangingWorkers  int        // workers whose runs make no progress in that period
 	drain           bool       // whether one of the two failure domains is drained in that period
 	crashingJobs    int        // jobs that crash each worker that starts a task of them
-	flappingWorkers int        // workers that crash every flapInterval in that period for other reasons
+	flappingWorkers int        // workers that crash every flapInterval in that period, whatever they run
 	// unansweredShare is the share of the orders to workers that get no answer in that period.
 	unansweredShare float64
 	answerDelay     time.Duration // additional delay of the workers' answers
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -46,17 +46,17 @@
 	workers   []sched.WorkerView // placement data of the guards' workers
 	guardByID map[identity.Incarnation]*guard
 
-	jobs             map[string]*job // unanswered jobs, by ID
-	queue            []*job          // jobs with waiting tasks, ordered by compareJobs
-	activeRuns       map[runs.Key]*activeRun
-	runTimeRatios    map[string]*sched.RunTimeEstimator // by queue
-	endedJobs        *endedJobs
-	crashes          *crashCounts
-	seq              uint64
-	recentPriorities map[string]recentPriority // by service
-	hasLostRuns      bool                      // activeRuns may contain runs of lost guards
-	advertised       wire.RunDemand            // last advertised demand
-	advertisedAt     time.Duration             // time of the last advertisement
+	jobs              map[string]*job // unanswered jobs, by ID
+	queue             []*job          // jobs with waiting tasks, ordered by compareJobs
+	activeRuns        map[runs.Key]*activeRun
+	runTimeEstimators map[string]*sched.RunTimeEstimator // by queue
+	endedJobs         *endedJobs
+	crashes           *crashCounts
+	seq               uint64
+	recentPriorities  map[string]recentPriority // by service
+	hasLostRuns       bool                      // activeRuns may contain runs of lost guards
+	advertised        wire.RunDemand            // last advertised demand
+	advertisedAt      time.Duration             // time of the last advertisement
 	// advertisedCount is the maximum number of guards addressed by the last advertisement.
 	advertisedCount int
 	uplink          uplink
@@ -69,17 +69,17 @@
 func New(now time.Duration, options Options) *Machine {
 	options.Timing = options.Timing.OrDefault()
 	return &Machine{
-		options:          options,
-		rng:              rand.New(rand.NewPCG(options.Seed, 0)),
-		startedAt:        now,
-		entryCount:       1,
-		guardByID:        make(map[identity.Incarnation]*guard),
-		jobs:             make(map[string]*job),
-		activeRuns:       make(map[runs.Key]*activeRun),
-		runTimeRatios:    make(map[string]*sched.RunTimeEstimator),
-		recentPriorities: make(map[string]recentPriority),
-		endedJobs:        newEndedJobs(historySize),
-		crashes:          newCrashCounts(historySize),
+		options:           options,
+		rng:               rand.New(rand.NewPCG(options.Seed, 0)),
+		startedAt:         now,
+		entryCount:        1,
+		guardByID:         make(map[identity.Incarnation]*guard),
+		jobs:              make(map[string]*job),
+		activeRuns:        make(map[runs.Key]*activeRun),
+		runTimeEstimators: make(map[string]*sched.RunTimeEstimator),
+		recentPriorities:  make(map[string]recentPriority),
+		endedJobs:         newEndedJobs(historySize),
+		crashes:           newCrashCounts(historySize),
 	}
 }
 
@@ -91,15 +91,15 @@
 	return pending
 }
 
-// RecordExternalFrame accounts for a frame that the owner sends to a guard in addition to the machine's
-// actions.
+// RecordExternalFrame accounts for a frame that the owner sends to a guard in addition to the
+// machine's actions.
 func (m *Machine) RecordExternalFrame(now time.Duration, f *wire.Frame) { m.uplink.recordSend(now, f) }
 
 // SetEntries sets the number of entries that share the workers.
 func (m *Machine) SetEntries(n int) { m.entryCount = max(1, n) }
 
-// Jobs returns the number of unanswered jobs, and the number of those in the given queue of which
-// no task has been sent.
+// Jobs returns the number of unanswered jobs in all queues, and the number of those in the given
+// queue of which no task has been sent.
 func (m *Machine) Jobs(queue string) (open, pending int) {
 	for _, j := range m.jobs {
 		if j.spec.Queue.Name == queue && !j.hasSentTasks {
--- a/internal/batch/past.go
+++ b/internal/batch/past.go
@@ -53,8 +53,8 @@
 	return Unknown
 }
 
-// IsFinalFailure reports whether an error means that the job has failed for good: it would fail again
-// if it were resubmitted.
+// IsFinalFailure reports whether an error means that the job has failed for good: it would fail
+// again if it were resubmitted.
 func IsFinalFailure(err *errkind.Error) bool {
 	return err.Kind == errkind.UpstreamFailed || err.Kind == errkind.NeverFits
 }
--- a/internal/batch/place.go
+++ b/internal/batch/place.go
@@ -63,7 +63,7 @@
 // too late. A job that has not started can still be refused as not run.
 //
 // maxFree is the largest free CPU of any worker. Most jobs in a long queue have no task that
-// small and are rejected without a scan of the workers, which would otherwise take place at each
+// small and are skipped without a scan of the workers, which would otherwise take place at each
 // event in a full fleet.
 func (m *Machine) canStart(j *job, maxFree int64) bool {
 	q := j.spec.Queue
@@ -210,7 +210,7 @@
 	w.Free = w.Free.Minus(s.spec.Need)
 	return wire.RunTask{
 		Step: s.stepIndex, Index: index, Run: t.runNumber, Need: s.spec.Need,
-		ExpectMs: m.expectedRunTime(j.spec.Queue, s.spec).Milliseconds(), Relocated: t.wasMoved,
+		ExpectMs: m.expectedRunTime(j.spec.Queue, s.spec).Milliseconds(), Relocated: t.wasRelocated,
 		Crashes: t.crashes,
 	}
 }
@@ -233,7 +233,7 @@
 	}
 	m.addText(j, g, runTasks)
 	sent := m.sendFrame(now, g, &wire.Frame{RunTasks: runTasks})
-	g.pendingTasks = append(g.pendingTasks, pendingTasks{seq: g.seq, room: needed, sent: sent})
+	g.pendingTasks = append(g.pendingTasks, pendingTasks{seq: g.seq, need: needed, sent: sent})
 }
 
 // addText adds the job's text to a RunTasks frame. If the text would take long on a thin link and
--- a/internal/batch/sim_test.go
+++ b/internal/batch/sim_test.go
@@ -46,7 +46,9 @@
 
 // simFaults holds the probabilities of faults, each per call.
 type simFaults struct {
-	lateOrder  float64 // an order gets no answer and is executed late
+	// lateOrder is that of an order without an answer. A Start or Stop is executed up to 12 s
+	// late; a Hold is not executed.
+	lateOrder  float64
 	lostAnswer float64 // an order is executed and its answer is lost
 	failRun    float64 // a run fails
 }
--- a/internal/batch/simworker_test.go
+++ b/internal/batch/simworker_test.go
@@ -36,7 +36,7 @@
 // simRun is an active run at a worker.
 type simRun struct {
 	key          runs.Key
-	room         sched.Resources
+	need         sched.Resources
 	startedAt    time.Duration
 	duration     time.Duration // time that the run needs
 	stalledFor   time.Duration // total duration of past stalls
@@ -107,7 +107,7 @@
 	return runs.Done
 }
 
-// maxLease is the maximum time by which a lease is extended.
+// maxLease is the maximum remaining time of a lease after an extension.
 const maxLease = time.Second
 
 // extendLease extends all leases, by at most maxLease from now.
@@ -168,7 +168,7 @@
 	step := job.steps[k.Step]
 	inUse := sched.Resources{}
 	for _, r := range w.active {
-		inUse = inUse.Plus(r.room)
+		inUse = inUse.Plus(r.need)
 	}
 	if !w.capacity.Minus(inUse).CanFit(step.Need) {
 		s.addViolation("worker %s received a task for which it has no room", w.id)
@@ -192,7 +192,7 @@
 	if w.slowFactor > 0 {
 		runTime = time.Duration(w.slowFactor * float64(runTime))
 	}
-	r := &simRun{key: k, room: step.Need, startedAt: s.now, duration: runTime}
+	r := &simRun{key: k, need: step.Need, startedAt: s.now, duration: runTime}
 	w.active[k] = r
 	result := runs.EndDone
 	if s.rng.Float64() < s.faults.failRun {
@@ -218,12 +218,12 @@
 	return runs.Done
 }
 
-// Behavior of a task that crashes its worker, and the limits after which its starts are violations.
+// Behavior of a task that crashes its worker, and the limits from which its starts are violations.
 const (
 	crashDelay            = 5 * time.Millisecond
 	crashDowntime         = 3 * time.Second
-	crashedWorkersLimit   = 3 // crashes from which the task's starts are counted
-	maxStartsAfterCrashes = 3
+	crashedWorkersLimit   = 3 // crashes from which on the task's starts are counted
+	maxStartsAfterCrashes = 3 // counted start that is a violation
 )
 
 // maxDrainLatency is the time after a request to drain a domain within which tasks may still
@@ -283,7 +283,7 @@
 func (w *simWorker) endRun(r *simRun, result runs.Outcome) {
 	delete(w.active, r.key)
 	delete(w.s.running, taskID(r.key))
-	work := float64(r.room.CPU) / 1000 * (w.s.now - r.startedAt).Seconds()
+	work := float64(r.need.CPU) / 1000 * (w.s.now - r.startedAt).Seconds()
 	w.s.workDone += work
 	w.s.jobs[r.key.Job].workDone += work
 	w.lastEndNumber++
--- a/internal/batch/site.go
+++ b/internal/batch/site.go
@@ -37,7 +37,7 @@
 // pendingTasks is a sent RunTasks frame that the guard's load does not include yet.
 type pendingTasks struct {
 	seq  uint64
-	room sched.Resources // total need of its tasks
+	need sched.Resources // total need of its tasks
 	sent sendRecord
 }
 
@@ -67,9 +67,9 @@
 	m.dispatchWaiting(now)
 }
 
-// RemoveGuard handles the loss of a guard's link. Its runs may continue for Timing.Loss, and are
-// started elsewhere only after that. A job whose deadline does not allow for this delay is
-// answered at once.
+// RemoveGuard handles the loss of a guard's link. Its runs may continue for
+// Timing.MaxOrphanAge, and their tasks are started elsewhere only after that. A job whose deadline
+// does not allow for this delay is answered at once.
 func (m *Machine) RemoveGuard(now time.Duration, id identity.Incarnation) {
 	g := m.guardByID[id]
 	if g == nil {
@@ -98,8 +98,8 @@
 	m.dispatchWaiting(now)
 }
 
-// HandleBeat handles a guard's heartbeat, which contains its load and, after a change, the state of its
-// worker.
+// HandleBeat handles a guard's heartbeat, which contains its load and, after a change, the state of
+// its worker.
 func (m *Machine) HandleBeat(now time.Duration, id identity.Incarnation, beat *wire.GuardHeartbeat) {
 	g := m.guardByID[id]
 	if g == nil {
@@ -159,7 +159,7 @@
 	g.pendingTasks = slices.DeleteFunc(g.pendingTasks, func(p pendingTasks) bool { return p.seq <= load.SeenSeq })
 	free := g.free
 	for _, p := range g.pendingTasks {
-		free = free.Minus(p.room)
+		free = free.Minus(p.need)
 	}
 	m.workers[g.position].Free = free
 }
--- a/internal/batch/thin_test.go
+++ b/internal/batch/thin_test.go
@@ -47,7 +47,7 @@
 	tally     *tally
 	arrivedAt time.Duration
 	runTime   time.Duration
-	bytes     int // size of its text for the smallest number of workers that hold its tasks
+	bytes     int // size of its text, once for each of the fewest workers that hold its tasks
 }
 
 // simulateLinks runs a load on workers with unlimited room. Only the requests and the texts of
--- a/internal/batch/tick.go
+++ b/internal/batch/tick.go
@@ -19,9 +19,9 @@
 	m.dispatchWaiting(now)
 }
 
-// HandleResume answers every job after the entry was suspended. Meanwhile, callers may have left and
-// resubmitted their jobs to other entries, which this entry detects only once it has read their
-// connections. If it continued such a job, the job would run twice at the same time.
+// HandleResume answers every job after the entry was suspended. Meanwhile, callers may have left
+// and resubmitted their jobs to other entries, which this entry detects only once it has read
+// their connections. If it continued such a job, the job would run twice at the same time.
 func (m *Machine) HandleResume(now time.Duration) { m.AnswerAll(now, "this entry was frozen") }
 
 // AnswerAll answers every job with WorkerLost. The outcome of a job is unknown unless none of its
@@ -98,7 +98,7 @@
 }
 
 // busyGuards returns the guards with active runs. Only these are expected to send heartbeats: a
-// guard without runs is silent.
+// guard without runs sends none.
 func (m *Machine) busyGuards() map[*guard]bool {
 	busy := make(map[*guard]bool)
 	for _, r := range m.activeRuns {
--- a/internal/batch/uplink.go
+++ b/internal/batch/uplink.go
@@ -13,12 +13,12 @@
 	// minQueueDelay is the delay beyond the idle latency from which a frame counts as queued on
 	// the link.
 	minQueueDelay = 10 * time.Millisecond
-	// minArrivals and minRateSpan are the number of consecutive frames and the time span required
-	// to measure a rate.
+	// minArrivals and minRateSpan are the number of consecutive frames and the time span that are
+	// required to measure a rate.
 	minArrivals = 6
 	minRateSpan = 40 * time.Millisecond
 	// maxRateRatio is the limit of the median rate between frames divided by the overall rate. A
-	// limited link delivers frames evenly; a pause does not, and exceeds the ratio.
+	// thin link delivers frames evenly; a pause does not, and exceeds the ratio.
 	maxRateRatio = 2
 	// usedRateShare is the share of a measured rate that is used, so that the queue on the link
 	// shrinks.
@@ -65,7 +65,7 @@
 	window        float64       // bytes that may be in flight while the rate is unknown
 	sentBytes     float64       // bytes sent so far
 	sentTaskBytes float64       // sentBytes up to the latest RunTasks
-	arrived       float64       // sentBytes up to the latest RunTasks that has arrived
+	arrived       float64       // sentBytes up to the latest RunTasks known to have arrived
 	lastTasksAt   time.Duration // time at which the latest RunTasks was sent
 	sends         []sendRecord  // recent frames, oldest first
 	arrivals      []arrival     // recent arrivals, in order of sending
@@ -80,11 +80,10 @@
 	sentBytes float64
 }
 
-// arrival is a sent frame with the time at which it reached its guard, less the latency of an
-// idle link.
+// arrival is a sent frame that has reached its guard.
 type arrival struct {
 	sendRecord
-	arrived time.Duration
+	arrived time.Duration // time of arrival, less the latency of an idle link
 }
 
 // frameBytes estimates the size of a frame on the link.
--- a/internal/batch/uplink_test.go
+++ b/internal/batch/uplink_test.go
@@ -28,9 +28,9 @@
 	arrived := now
 	for range frames {
 		f := newTasksFrame(longText)
-		m := u.recordSend(now, f)
+		record := u.recordSend(now, f)
 		arrived += time.Duration(frameBytes(f) / rate * float64(time.Second))
-		u.recordArrival(arrived, m, arrived-now)
+		u.recordArrival(arrived, record, arrived-now)
 	}
 	return arrived
 }
@@ -50,12 +50,12 @@
 	var u uplink
 	now := time.Second
 	for i := range 8 {
-		m := u.recordSend(now, newTasksFrame(longText))
+		record := u.recordSend(now, newTasksFrame(longText))
 		delay := time.Duration(0)
 		if i >= 3 {
 			delay = 80 * time.Millisecond
 		}
-		u.recordArrival(now+delay, m, delay)
+		u.recordArrival(now+delay, record, delay)
 	}
 	qt.Check(t, u.rate, qt.Equals, 0.0)
 }
@@ -67,9 +67,9 @@
 	qt.Assert(t, u.rate < thinRate/5, qt.IsTrue)
 	for range 40 {
 		now += 100 * time.Millisecond
-		m := u.recordSend(now, newTasksFrame(longText))
+		record := u.recordSend(now, newTasksFrame(longText))
 		u.canSend(now) // the next job is held back
-		u.recordArrival(now+time.Millisecond, m, 0)
+		u.recordArrival(now+time.Millisecond, record, 0)
 	}
 	qt.Check(t, u.rate > thinRate, qt.IsTrue, qt.Commentf("%.0f", u.rate))
 }
@@ -85,8 +85,8 @@
 	}
 	qt.Check(t, sent < 2*initialWindow, qt.IsTrue)
 	qt.Check(t, u.canSend(now+windowTimeout), qt.IsTrue) // no arrival was reported
-	m := u.recordSend(now, newTasksFrame(longText))
-	u.recordArrival(now, m, 0)
+	record := u.recordSend(now, newTasksFrame(longText))
+	u.recordArrival(now, record, 0)
 	for u.canSend(now) && sent < 2*unlimitedWindow {
 		sent += frameBytes(newTasksFrame(longText))
 		u.recordArrival(now, u.recordSend(now, newTasksFrame(longText)), 0)
