--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -149,7 +149,8 @@
 	return n
 }
 
-// State returns the state of a job, also of recently ended ones.
+// State returns the state of a job, also of recently ended ones. It is Unknown if the entry does
+// not have the job or the job ended without a final result.
 func (m *Machine) State(id string) State {
 	j := m.jobs[id]
 	switch {
--- a/internal/batch/simcaller_test.go
+++ b/internal/batch/simcaller_test.go
@@ -43,7 +43,7 @@
 			return
 		}
 		e.handle(func() {
-			// An entry that was suspended first lets callers that have left cancel their jobs.
+			// An entry that has resumed waits for ResumeDelay, so that callers that have left cancel first.
 			s.at(e.resumedAt+batch.ResumeDelay, func() {
 				if !isDone && !e.hasExited {
 					e.handle(func() { e.submit(j, callerTimeout, answer) })
--- a/internal/batch/simworker_test.go
+++ b/internal/batch/simworker_test.go
@@ -344,7 +344,7 @@
 	pending.answer = func(a *runs.HoldAnswer) { reply(simDelay/2+s.answerDelay, a) }
 	s.after(h.Wait+h.Timeout, func() { reply(0, &runs.HoldAnswer{Verdict: runs.NoAnswer}) })
 	if s.rng.Float64() < s.faults.lateOrder {
-		return // the answer is lost
+		return // the order is lost; the timeout above answers it
 	}
 	s.after(simDelay/2, func() { w.handle(h, pending) })
 }
