--- a/internal/batch/crash.go
+++ b/internal/batch/crash.go
@@ -11,8 +11,8 @@
 // is a suspect. Suspects are placed on different workers, so that a second crash identifies the
 // task that caused it.
 const (
-	// maxCrashes is the number of workers that may crash while a task is certainly there; at this
-	// number, the task's job fails.
+	// maxCrashes is the number of crashes of workers that were certainly running a task from which
+	// on the task's job fails.
 	maxCrashes = 2
 	// maxSuspectedCrashes is the number of worker crashes, certain or possible, from which a task
 	// is not started again.
