--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -11,10 +11,10 @@
 // connectTimeoutKey is the context key of the timeout set by WithConnectTimeout.
 type connectTimeoutKey struct{}
 
-// WithConnectTimeout limits the time that a link dialed with ctx may take to establish its TCP
-// connection, in addition to the deadline of ctx for the whole handshake. A powered-off VM
-// does not respond at all; waiting out the full handshake timeout would delay the next
-// attempt although the VM may be back meanwhile.
+// WithConnectTimeout returns a copy of ctx that limits the time in which a link dialed with
+// it must establish its TCP connection, in addition to the deadline of ctx for the whole
+// handshake. A powered-off VM does not respond at all; waiting out the full handshake
+// timeout would delay the next attempt although the VM may be back meanwhile.
 func WithConnectTimeout(ctx context.Context, timeout time.Duration) context.Context {
 	return context.WithValue(ctx, connectTimeoutKey{}, timeout)
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -33,7 +33,7 @@
 	return v
 }
 
-// Encode returns the CBOR encoding of f.
+// Encode returns the CBOR encoding of f. It fails if that exceeds MaxFrame bytes.
 func Encode(f *Frame) ([]byte, error) {
 	b, err := encMode.Marshal(f)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return b, nil
 }
 
-// Decode parses one frame. It never panics and never allocates more than a small multiple
-// of len(b).
+// Decode parses one frame and decompresses its text. It never panics and never allocates
+// more than a small multiple of len(b).
 func Decode(b []byte) (*Frame, error) {
 	if len(b) > MaxFrame {
 		return nil, fmt.Errorf("decode frame: %d bytes exceed %d", len(b), MaxFrame)
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -49,7 +49,7 @@
 	peerLiveness *liveness
 	writeTimer   *time.Timer // aborts the link if writing a frame takes longer than writeTimeout
 	done         chan struct{}
-	closing      chan struct{} // closed when the closing handshake is complete or abandoned
+	closing      chan struct{} // closed when the closing handshake is complete or abandoned; see Shut
 	closeOnce    sync.Once
 	traffic      *Traffic
 }
@@ -161,7 +161,8 @@
 	l.terminate(func() { _ = l.conn.CloseNow() })
 }
 
-// terminate ends the link once. closing closes the connection and may block.
+// terminate ends the link once. The function closing closes the connection and may block;
+// the channel l.closing is closed after it.
 func (l *socketLink) terminate(closing func()) {
 	l.closeOnce.Do(func() {
 		close(l.done)
--- a/internal/wire/liveness.go
+++ b/internal/wire/liveness.go
@@ -17,8 +17,8 @@
 	responseTimeout = time.Second
 	// pingTimeout bounds the wait for a pong.
 	pingTimeout = 2 * time.Second
-	// FailureDetectionTime is the time in which a failed peer is detected after a frame was sent to
-	// it.
+	// FailureDetectionTime is the time in which a failed peer is detected after a frame was
+	// sent to it.
 	FailureDetectionTime = responseTimeout + pingTimeout
 )
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// checkPeer returns what has to be done now. After noAction the timer is set; after
+// checkPeer returns what has to be done now. With noAction it has set the timer; after
 // sendPing it has to be called again once the pong is recorded.
 func (l *liveness) checkPeer() action {
 	l.mu.Lock()
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -170,8 +170,8 @@
 	Load   Load   `cbor:"3,keyasint"`
 }
 
-// Fence instructs a guard to ignore the entry Gone permanently. The guard responds with all
-// tasks that it ever started for that entry.
+// Fence instructs a guard to ignore the entry FencedEntry permanently. The guard responds
+// with all tasks that it ever started for that entry.
 type Fence struct {
 	FencedEntry identity.Incarnation `cbor:"1,keyasint"`
 	// SinceMs limits the report to identities created at or after this time.
@@ -223,7 +223,7 @@
 }
 
 // DroppedGuard is a guard at which the sender starts no more tasks. Identities created at
-// or after RetryAfterMs were never sent to it.
+// or after AfterMs were never sent to it.
 type DroppedGuard struct {
 	Guard   identity.Incarnation `cbor:"1,keyasint"`
 	AfterMs int64                `cbor:"2,keyasint"`
--- a/internal/wire/runs.go
+++ b/internal/wire/runs.go
@@ -53,7 +53,7 @@
 	ClockMs int64           `cbor:"1,keyasint"`           // the guard's clock, which includes time in suspension
 	SeenSeq uint64          `cbor:"2,keyasint,omitempty"` // Seq of the last RunTasks of the entry that this report accounts for
 	Free    sched.Resources `cbor:"3,keyasint"`           // free capacity, without what is offered to other entries
-	AgeMs   int64           `cbor:"4,keyasint,omitempty"` // age of the RunTasks with Seq Seen when it arrived
+	AgeMs   int64           `cbor:"4,keyasint,omitempty"` // age of the RunTasks with Seq SeenSeq when it arrived
 }
 
 // RunTasks asks a guard to start tasks of one job. Tasks that do not fit are refused at
@@ -97,8 +97,8 @@
 	Need  sched.Resources `cbor:"4,keyasint"`
 	// ExpectMs is the expected run time; 0 if unknown.
 	ExpectMs int64 `cbor:"5,keyasint,omitempty"`
-	// Moved reports that an earlier run was returned because it was too slow; this run must
-	// not be returned again.
+	// Relocated reports that an earlier run was returned because it was too slow; this run
+	// must not be returned again.
 	Relocated bool `cbor:"6,keyasint,omitempty"`
 	// Crashes counts the worker crashes during which the task was running or may have been.
 	Crashes int `cbor:"7,keyasint,omitempty"`
@@ -121,7 +121,7 @@
 	Kind  errkind.Kind `cbor:"5,keyasint,omitempty"`
 	Ran   errkind.Ran  `cbor:"6,keyasint,omitempty"`
 	RunMs int64        `cbor:"7,keyasint,omitempty"` // from start to end
-	// Renumber asks for a greater Run: the worker has already seen this one or a later one.
+	// Renumber requests a greater Run: the worker has already seen this one or a later one.
 	Renumber bool `cbor:"8,keyasint,omitempty"`
 	// TextUnavailable reports that the text could not be fetched from its Source.
 	TextUnavailable bool `cbor:"9,keyasint,omitempty"`
@@ -152,9 +152,9 @@
 	Worker *RunWorker `cbor:"2,keyasint,omitempty"` // set if it has changed
 }
 
-// DesiredConfig carries the operators' configuration document as they wrote it. A process applies
-// the highest version that it has received. Without a document it announces the version
-// that the sender holds.
+// DesiredConfig carries the operators' configuration document as they wrote it. A process
+// applies the highest version that it has received. Without a document the message only
+// announces the version that the sender holds.
 type DesiredConfig struct {
 	Version  int64  `cbor:"1,keyasint"`
 	Document []byte `cbor:"2,keyasint,omitempty"`
@@ -200,7 +200,7 @@
 
 // JobQuery asks all other entries of a guard for a job. The guard relays it, since entries
 // have no links to each other, and reports to From how many entries it has relayed it to,
-// in a JobReport with Asked.
+// in a JobReport with QueriedEntries.
 type JobQuery struct {
 	Seq    uint64               `cbor:"1,keyasint"` // assigned by From
 	From   identity.Incarnation `cbor:"2,keyasint"` // entry that asks
