--- a/internal/httpserve/httpserve.go
+++ b/internal/httpserve/httpserve.go
@@ -24,8 +24,8 @@
 	HeaderTimeout  time.Duration // to read a request's header
 	BodyTimeout    time.Duration // to read a request's body; 0 for no limit
 	IdleTimeout    time.Duration // between the requests of a connection
-	HeaderBytes    int
-	MaxConnections int // maximum open at once; more wait in the listen queue
+	HeaderBytes    int           // maximum size of a request's header
+	MaxConnections int           // maximum open at once, 0 for no limit; more wait in the listen queue
 }
 
 // DefaultLimits returns limits for callers of an entry's public address.
--- a/internal/httpserve/leave.go
+++ b/internal/httpserve/leave.go
@@ -41,8 +41,9 @@
 	return &DisconnectCheck{heldUpAfter: time.Duration(resendShare * float64(resend)), sleep: time.Sleep}
 }
 
-// HasDisconnected reports whether the caller of a request has closed its connection. If the request
-// may have been held up, Left waits for recheckDelay and checks again.
+// HasDisconnected records the arrival of a request and reports whether its caller has closed
+// the connection. If the request may have been held up, it waits for recheckDelay and checks
+// again.
 func (c *DisconnectCheck) HasDisconnected(r *http.Request) bool {
 	c.recordArrival(time.Since(processStart))
 	if PeerDisconnected(r) {
@@ -65,7 +66,7 @@
 
 // HeldUp reports whether a request was probably held up by a network partition although its
 // caller has not been seen to disconnect: it is one of the first requests after a silence
-// of all connections.
+// of all connections. HasDisconnected must have been called for the request before.
 func (c *DisconnectCheck) HeldUp(r *http.Request) bool {
 	return peerIdleTime(r) >= c.heldUpAfter && time.Since(processStart)-time.Duration(c.burstStart.Load()) < heldUpBurst
 }
--- a/internal/httpserve/leave_test.go
+++ b/internal/httpserve/leave_test.go
@@ -11,9 +11,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// runLeaveCheck sends one request and returns what a DisconnectCheck reports for it. The caller
-// closes the connection when the check pauses.
-func runLeaveCheck(t *testing.T, heldUpAfter time.Duration) (left, paused bool) {
+// runDisconnectCheck sends one request and returns what a DisconnectCheck reports for it. The
+// caller closes the connection when the check pauses.
+func runDisconnectCheck(t *testing.T, heldUpAfter time.Duration) (disconnected, paused bool) {
 	var client net.Conn
 	check := &DisconnectCheck{heldUpAfter: heldUpAfter, sleep: func(time.Duration) {
 		paused = true
@@ -21,7 +21,7 @@
 	}}
 	done := make(chan struct{})
 	s, err := Listen("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		left = check.HasDisconnected(r)
+		disconnected = check.HasDisconnected(r)
 		close(done)
 	}), nil, DefaultLimits())
 	qt.Assert(t, err, qt.IsNil)
@@ -32,7 +32,7 @@
 	defer client.Close()
 	fmt.Fprint(client, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	<-done
-	return left, paused
+	return disconnected, paused
 }
 
 // A network partition between callers and an entry, in one direction, heals. A request that
@@ -40,15 +40,15 @@
 // already sent the job to another entry, where it runs; if it were started here too, its
 // tasks would run on two workers at once.
 func TestHeldUpRequestIsRecheckedForDisconnect(t *testing.T) {
-	left, _ := runLeaveCheck(t, 0)
-	qt.Check(t, left, qt.IsTrue)
+	disconnected, _ := runDisconnectCheck(t, 0)
+	qt.Check(t, disconnected, qt.IsTrue)
 }
 
 // Requests on a connection in use must not be delayed by the check for requests that a
 // partition held up.
 func TestRequestOnABusyConnectionIsNotDelayed(t *testing.T) {
-	left, paused := runLeaveCheck(t, time.Hour)
-	qt.Check(t, left, qt.IsFalse)
+	disconnected, paused := runDisconnectCheck(t, time.Hour)
+	qt.Check(t, disconnected, qt.IsFalse)
 	qt.Check(t, paused, qt.IsFalse)
 }
 
--- a/internal/httpserve/unmatched.go
+++ b/internal/httpserve/unmatched.go
@@ -6,9 +6,9 @@
 	"wigeontray/internal/errkind"
 )
 
-// HandleUnmatched serves mux, and answers requests without a matching handler through write. The
-// mux's own responses are plain text, which a client that expects the listed error kinds
-// would attribute to an intermediary.
+// HandleUnmatched returns a handler that serves mux, and answers requests without a matching
+// handler through write. The mux's own responses are plain text, which a client that expects
+// the listed error kinds would attribute to an intermediary.
 func HandleUnmatched(mux *http.ServeMux, write func(http.ResponseWriter, *errkind.Error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h, pattern := mux.Handler(r)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -36,8 +36,8 @@
 // would refuse requests that a balancer sent before it noticed.
 const lameDuckDelay = 3 * time.Second
 
-// flushDelay is the time for responses and close frames to be sent before the
-// links close. It also bounds the stop of each listener.
+// flushDelay is the time at the end of a shutdown in which responses and stop
+// notices are sent. It also limits the stop of the listeners.
 const flushDelay = 200 * time.Millisecond
 
 // errFenced is returned by Run when a roster has declared this entry gone.
--- a/internal/telemetry/registry.go
+++ b/internal/telemetry/registry.go
@@ -81,8 +81,8 @@
 // Observe adds a duration to l.
 func (r *Registry) Observe(l Latency, d time.Duration) { r.latencies[l].Update(int64(d)) }
 
-// CountRefusal counts a request that was not admitted. A kind that this build does not define
-// counts as Internal, which is also the response to it.
+// CountRefusal counts a request that was not admitted. A kind that this build does not
+// define counts as Internal, which is also the response to it.
 func (r *Registry) CountRefusal(k errkind.Kind) { counterFor(r.refusals, k).Inc(1) }
 
 // CountFailure counts a task of an admitted job that ended without a result.
