--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -185,7 +185,8 @@
 // Unwrap returns the wrapped cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// KindOf returns the kind of err. An error that wraps no *Error is Internal.
+// KindOf returns the kind of err: None for nil, and Internal for an error that wraps no
+// *Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
@@ -196,7 +197,7 @@
 	return Internal
 }
 
-// From converts any error to an *Error.
+// From returns the *Error that err wraps, or an Internal one that wraps err.
 func From(err error) *Error {
 	if e, ok := errors.AsType[*Error](err); ok {
 		return e
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -16,7 +16,7 @@
 }
 
 // entryGCPercent is the GOGC value of an entry. With the runtime's default of
-// 100 an entry that serves all guards of a region exceeds its memory limit.
+// 100 an entry that serves all guards of a region exceeds the memory that it has.
 const entryGCPercent = 50
 
 // setGCPercent applies entryGCPercent, so that the garbage collector runs more
--- a/internal/telemetry/logqueue.go
+++ b/internal/telemetry/logqueue.go
@@ -49,7 +49,8 @@
 	return q
 }
 
-// Write queues a line with the full limits available to it.
+// Write implements io.Writer for lines that may use the limits in full. It never fails; a
+// line beyond the limits is dropped.
 func (q *LogQueue) Write(line []byte) (int, error) {
 	q.enqueue(line, 1)
 	return len(line), nil
