--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -83,7 +83,7 @@
 	Age  time.Duration
 	// Wait is the expected wait of an admitted job; Goal is its target duration, counted
 	// from its arrival.
-	Wait, Goal time.Duration
+	ExpectedWait, TargetDuration time.Duration
 }
 
 // Decision is the type of an Event.
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -177,7 +177,7 @@
 	}
 	j := m.newJob(spec, now, criticalPath, m.endedJobs.maxRun(spec.ID))
 	_, freeCPU := m.serviceCPU(spec.Queue.Service)
-	j.addEvent(Event{At: now, Decision: EventAdmitted, Tasks: j.unfinished, Free: freeCPU, Wait: expectedWait, Goal: j.targetEnd - now})
+	j.addEvent(Event{At: now, Decision: EventAdmitted, Tasks: j.unfinished, Free: freeCPU, ExpectedWait: expectedWait, TargetDuration: j.targetEnd - now})
 	m.jobs[spec.ID] = j
 	m.enqueue(j)
 	m.dispatchWaiting(now)
--- a/internal/batch/simnode_test.go
+++ b/internal/batch/simnode_test.go
@@ -185,7 +185,7 @@
 		case f.StopRuns != nil:
 			g.m.StopJob(now, from, f.StopRuns)
 		case f.EntryHeartbeat != nil:
-			g.m.Beat(now, from, f.EntryHeartbeat)
+			g.m.HandleBeat(now, from, f.EntryHeartbeat)
 		}
 	})
 }
--- a/internal/batchnode/entry.go
+++ b/internal/batchnode/entry.go
@@ -186,7 +186,7 @@
 	for i := range out.Events {
 		event := &out.Events[i]
 		e.opt.Log.Info(event.Decision.String(), "job", out.ID, "ago", now-event.At, "guard", event.Guard, "tasks", event.Tasks,
-			"outcome", event.Kind, "free", event.Free, "age", event.Age, "wait", event.Wait, "goal", event.Goal)
+			"outcome", event.Kind, "free", event.Free, "age", event.Age, "wait", event.ExpectedWait, "goal", event.TargetDuration)
 	}
 	e.opt.Log.Info("job ended", "job", out.ID, "request", out.Job.Request, "queue", out.Job.Queue.Name, "outcome", out.Err.Kind, "ran", out.Err.Ran, "cause", out.Err.Detail, "took", now-out.Events[0].At)
 }
@@ -231,9 +231,9 @@
 	}
 }
 
-// CallerLeft logs and counts a request that is not started because its caller disconnected
+// HandleCallerDisconnect logs and counts a request that is not started because its caller disconnected
 // before the request was read.
-func (e *Entry) CallerLeft(job *batch.Job) {
+func (e *Entry) HandleCallerDisconnect(job *batch.Job) {
 	e.opt.Metrics.Inc(telemetry.CallersDisconnected)
 	e.logNotStarted(job, "its caller has left")
 }
--- a/internal/batchnode/guard.go
+++ b/internal/batchnode/guard.go
@@ -47,11 +47,11 @@
 	FetchText    func(ctx context.Context, f *runs.Fetch) (string, error)
 	// Memory stores the last report of the worker for the next process of this guard; nil for
 	// none.
-	Memory Memory
+	ReportStore ReportStore
 }
 
-// Memory stores the last report of the worker across restarts of the guard.
-type Memory interface {
+// ReportStore stores the last report of the worker across restarts of the guard.
+type ReportStore interface {
 	// Load returns the report that was saved last, nil if there is none.
 	Load(ctx context.Context) (*runs.Report, error)
 	// Save replaces the stored report.
@@ -109,7 +109,7 @@
 	g.ctx = ctx
 	g.mu.Unlock()
 	g.AddEntries(g.opt.Entries)
-	if g.opt.Memory != nil {
+	if g.opt.ReportStore != nil {
 		g.goroutines.Go(func() { g.persistReports(ctx) })
 	}
 	g.discoverEntries(ctx)
--- a/internal/batchnode/guarddrains.go
+++ b/internal/batchnode/guarddrains.go
@@ -49,7 +49,7 @@
 // updateDrainComplete updates isDrainComplete, and logs when the last run of a drained worker
 // has ended.
 func (g *Guard) updateDrainComplete() {
-	isDrainComplete := g.machine.Drained() && g.machine.Running() == 0
+	isDrainComplete := g.machine.IsDomainDrained() && g.machine.Running() == 0
 	if isDrainComplete && !g.isDrainComplete {
 		w := g.machine.Worker()
 		g.opt.Log.Info("drained worker has no runs left", "worker", w.ID, "domain", w.Domain)
--- a/internal/batchnode/guardlink.go
+++ b/internal/batchnode/guardlink.go
@@ -228,7 +228,7 @@
 	case f.StopRuns != nil:
 		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.StopJob(now, l.entry, f.StopRuns) })
 	case f.EntryHeartbeat != nil:
-		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.Beat(now, l.entry, f.EntryHeartbeat) })
+		g.stepLocked(func(now time.Duration, m *runs.Machine) { m.HandleBeat(now, l.entry, f.EntryHeartbeat) })
 	case f.DesiredConfig != nil:
 		g.handleConfig(l, f.DesiredConfig)
 	case f.Drains != nil:
--- a/internal/batchnode/memory.go
+++ b/internal/batchnode/memory.go
@@ -48,7 +48,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	rep, err := g.opt.Memory.Load(ctx)
+	rep, err := g.opt.ReportStore.Load(ctx)
 	if errors.Is(err, ErrUnexpectedForm) {
 		g.opt.Metrics.Inc(telemetry.MalformedItems)
 	}
@@ -74,7 +74,7 @@
 func (g *Guard) queueReport(rep *runs.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.opt.Memory == nil || g.lastQueuedReport != nil && sameWorkerState(g.lastQueuedReport, rep) {
+	if g.opt.ReportStore == nil || g.lastQueuedReport != nil && sameWorkerState(g.lastQueuedReport, rep) {
 		return
 	}
 	g.lastQueuedReport = rep
@@ -95,7 +95,7 @@
 func (g *Guard) saveReport(ctx context.Context, rep *runs.Report) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	if err := g.opt.Memory.Save(ctx, rep); err != nil {
+	if err := g.opt.ReportStore.Save(ctx, rep); err != nil {
 		g.opt.Log.Warn("worker report not saved", "err", err)
 		g.mu.Lock()
 		g.lastQueuedReport = nil
--- a/internal/batchnode/node_test.go
+++ b/internal/batchnode/node_test.go
@@ -217,7 +217,7 @@
 		w, reports := newWorker(f, time.Second), new(memoryReportStore)
 		ctx, kill := context.WithCancel(f.ctx)
 		first := NewGuard(GuardOptions{
-			Name: "guard", Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), Memory: reports,
+			Name: "guard", Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), ReportStore: reports,
 			Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go first.Run(ctx)
@@ -226,7 +226,7 @@
 		kill()
 		e := f.entry("a")
 		second := NewGuard(GuardOptions{
-			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), Memory: reports,
+			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(), ReportStore: reports,
 			Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go second.Run(f.ctx)
@@ -247,7 +247,7 @@
 		e := f.entry("a")
 		g := NewGuard(GuardOptions{
 			Name: "guard", Entries: []string{"a"}, Worker: w, Clock: f.clock, Metrics: telemetry.New(), Log: discardLogger(),
-			Memory: &memoryReportStore{rep: rep}, Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
+			ReportStore: &memoryReportStore{rep: rep}, Dial: f.dial, Lookup: func(context.Context) ([]string, error) { return nil, nil },
 		})
 		go g.Run(f.ctx)
 		time.Sleep(time.Second)
--- a/internal/batchnode/status.go
+++ b/internal/batchnode/status.go
@@ -95,7 +95,7 @@
 			Drains: newDrainsStatus(&g.drains, g.drainedSince, g.opt.Clock()),
 		},
 		Entries: len(g.links), Worker: w.ID, Domain: w.Domain, Usable: w.Usable,
-		Drained: g.machine.Drained(), Runs: g.machine.Running(),
+		Drained: g.machine.IsDomainDrained(), Runs: g.machine.Running(),
 	}
 }
 
--- a/internal/confsync/sync.go
+++ b/internal/confsync/sync.go
@@ -46,9 +46,9 @@
 	Logger *log.Logger
 	// MinBackoff and MaxBackoff bound the delay after a failure of the store.
 	MinBackoff, MaxBackoff time.Duration
-	// VerifyEvery is the interval of the checks that the watch has not missed a
+	// VerifyInterval is the interval of the checks that the watch has not missed a
 	// change. A change missed by a stale watch is applied after about this time.
-	VerifyEvery time.Duration
+	VerifyInterval time.Duration
 	// ResolveTimeout bounds how long a write whose response was lost is resolved
 	// and retried; see Put.
 	ResolveTimeout time.Duration
@@ -90,7 +90,7 @@
 func New(opts Options) *Sync {
 	setDefault(&opts.MinBackoff, DefaultMinBackoff)
 	setDefault(&opts.MaxBackoff, DefaultMaxBackoff)
-	setDefault(&opts.VerifyEvery, DefaultVerifyInterval)
+	setDefault(&opts.VerifyInterval, DefaultVerifyInterval)
 	setDefault(&opts.ResolveTimeout, DefaultResolveTimeout)
 	if opts.Registry == nil {
 		opts.Registry = metrics.NewRegistry()
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	e.sync = confsync.New(confsync.Options{
-		Store: kv, Registry: registry, Logger: logger, VerifyEvery: cfg.Store.VerifyEvery, Sealer: sealer,
+		Store: kv, Registry: registry, Logger: logger, VerifyInterval: cfg.Store.VerifyEvery, Sealer: sealer,
 	})
 	if err := e.listen(kv, key, registry); err != nil {
 		return nil, errors.Join(err, e.closeListeners())
--- a/internal/runs/drain.go
+++ b/internal/runs/drain.go
@@ -12,9 +12,9 @@
 // not received the list yet sends one. Tasks that are not at the worker yet are returned as not
 // run; active runs continue.
 func (m *Machine) SetDrains(now time.Duration, latest *wire.Drains) {
-	wasDrained := m.Drained()
+	wasDrained := m.IsDomainDrained()
 	m.drains = *latest
-	switch isDrained := m.Drained(); {
+	switch isDrained := m.IsDomainDrained(); {
 	case isDrained == wasDrained:
 	case isDrained:
 		m.beginDrain(now)
@@ -23,8 +23,10 @@
 	}
 }
 
-// Drained reports whether the failure domain of the worker is being drained.
-func (m *Machine) Drained() bool { return m.worker.ID != "" && m.drains.Contains(m.worker.Domain) }
+// IsDomainDrained reports whether the failure domain of the worker is being drained.
+func (m *Machine) IsDomainDrained() bool {
+	return m.worker.ID != "" && m.drains.Contains(m.worker.Domain)
+}
 
 func (m *Machine) beginDrain(now time.Duration) {
 	m.setUsable(now, false)
--- a/internal/runs/machine.go
+++ b/internal/runs/machine.go
@@ -214,7 +214,7 @@
 // setUsable sets whether the worker accepts new tasks, and announces a change. A worker that
 // is leaving or drained, or whose guard is draining, stays unusable.
 func (m *Machine) setUsable(now time.Duration, isUsable bool) {
-	isUsable = isUsable && !m.isGuardDraining && !m.worker.Leaving && !m.Drained()
+	isUsable = isUsable && !m.isGuardDraining && !m.worker.Leaving && !m.IsDomainDrained()
 	if m.worker.Usable == isUsable {
 		return
 	}
--- a/internal/runs/machine_test.go
+++ b/internal/runs/machine_test.go
@@ -360,7 +360,7 @@
 	r.actions()
 	for i := range int64(5) {
 		r.now += 50 * time.Millisecond
-		r.m.Beat(r.now, testEntry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds()})
+		r.m.HandleBeat(r.now, testEntry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds()})
 		r.answerHold(testWorker, HoldAnswer{Active: []Active{{Key: key(0), Percent: 7}, {Key: key(1), Percent: i}}})
 	}
 	r.Assert(groupActions(r.actions()).stops, qt.DeepEquals, []Key{key(0)})
--- a/internal/runs/offer_test.go
+++ b/internal/runs/offer_test.go
@@ -31,7 +31,7 @@
 }
 
 func (r *rig) sendDemand(entry identity.Incarnation, demand wire.RunDemand) {
-	r.m.Beat(r.now, entry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds(), Demand: demand})
+	r.m.HandleBeat(r.now, entry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds(), Demand: demand})
 }
 
 // finishTask lists a task as ended and returns the free CPU that is announced to each entry.
--- a/internal/runs/pace_test.go
+++ b/internal/runs/pace_test.go
@@ -33,7 +33,7 @@
 // reportProgress advances the clock and lists the runs as active, all at the same percent.
 func (r *rig) reportProgress(after time.Duration, percent int64, keys ...Key) {
 	r.now += after
-	r.m.Beat(r.now, testEntry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds()})
+	r.m.HandleBeat(r.now, testEntry, &wire.EntryHeartbeat{ClockMs: r.now.Milliseconds()})
 	var a HoldAnswer
 	for _, k := range keys {
 		a.Active = append(a.Active, Active{Key: k, Percent: percent})
--- a/internal/runs/tasks.go
+++ b/internal/runs/tasks.go
@@ -77,7 +77,7 @@
 // unavailableKind returns the reason why the worker accepts no new runs, or None.
 func (m *Machine) unavailableKind() errkind.Kind {
 	switch {
-	case m.worker.Leaving || m.Drained():
+	case m.worker.Leaving || m.IsDomainDrained():
 		return errkind.Draining
 	case !m.worker.Usable:
 		return errkind.NoWorkers
@@ -172,9 +172,9 @@
 	}
 }
 
-// Beat handles a heartbeat from an entry. The demand in it replaces the earlier one; if the
+// HandleBeat handles a heartbeat from an entry. The demand in it replaces the earlier one; if the
 // pending offer does not fit it, the entry has declined the offer.
-func (m *Machine) Beat(_ time.Duration, from identity.Incarnation, beat *wire.EntryHeartbeat) {
+func (m *Machine) HandleBeat(_ time.Duration, from identity.Incarnation, beat *wire.EntryHeartbeat) {
 	if ent := m.entries[from]; ent != nil {
 		ent.observeClock(beat.ClockMs)
 		ent.demand, ent.unusedOffers = beat.Demand, 0
@@ -228,7 +228,7 @@
 	if a.Verdict != NoAnswer {
 		m.recordAnswerDelay(now - r.lastSentAt)
 	}
-	if a.Verdict == NoAnswer && r.state == starting && r.startAttempts < maxStartAttempts && !m.Drained() && !m.isOverCapacity() {
+	if a.Verdict == NoAnswer && r.state == starting && r.startAttempts < maxStartAttempts && !m.IsDomainDrained() && !m.isOverCapacity() {
 		// Starts are idempotent: the worker recognizes a run that it already has or
 		// had. A retry either starts the run or finds it running. A copy that is
 		// processed seconds later is refused because of its run number or its lease.
--- a/internal/runs/worker.go
+++ b/internal/runs/worker.go
@@ -142,7 +142,7 @@
 	}
 	m.stopOrphans(now, a.Active)
 	m.instance.needsProbe = m.instance.hasOrphans
-	m.worker.Usable = !m.instance.hasOrphans && !m.worker.Leaving && !m.Drained()
+	m.worker.Usable = !m.instance.hasOrphans && !m.worker.Leaving && !m.IsDomainDrained()
 	m.announceWorker(now)
 }
 
