--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -74,7 +74,7 @@
 	qt.Assert(t, code, qt.Equals, operator.ExitFailed)
 }
 
-// Covers the quickstart command of the README.
+// Guards against a broken quickstart: the README gives this command as the first one to run.
 func TestStandaloneCompletesSampleJobs(t *testing.T) {
 	code, out, errs := run(t, "standalone")
 	qt.Assert(t, code, qt.Equals, operator.ExitOK, qt.Commentf("%s", errs))
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -38,8 +38,8 @@
 	return lines, nil
 }
 
-// appendLog appends the lines of one file that concern id, and reports on stderr how many of them
-// could not be parsed.
+// appendLog appends the lines of one file that concern id or a drain of a failure domain, and reports
+// on stderr how many of them could not be parsed.
 func appendLog(e *commandEnv, lines []explain.Line, name, id string) ([]explain.Line, error) {
 	f, err := os.Open(name)
 	if err != nil {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -21,7 +21,7 @@
 	Host []string `arg:"" help:"Host names or IP addresses under which entries are reached."`
 }
 
-// Run generates the authority and the certificates and writes them to the folder.
+// Run generates the certificate authority and the certificates and writes them to the folder.
 func (c *fleetKeysCmd) Run(*commandEnv) error {
 	return tlsconf.GenerateFleet(c.Dir, c.Host, time.Now())
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -44,8 +44,8 @@
 	Serve  bool   `help:"Continue to serve after the sample jobs, until SIGTERM."`
 }
 
-// startTimeout limits the startup of the standalone system together with its sample jobs.
-const startTimeout = 20 * time.Second
+// sampleJobsTimeout limits the startup of the standalone system together with its sample jobs.
+const sampleJobsTimeout = 20 * time.Second
 
 // Run starts the standalone system, submits one job for each sample member and prints the answers.
 func (c *standaloneCmd) Run(e *commandEnv) error {
@@ -73,7 +73,7 @@
 
 // runSampleJobs submits the sample jobs over HTTP, as a caller does, and prints the answers.
 func (c *standaloneCmd) runSampleJobs(ctx context.Context, e *commandEnv, s *node.Standalone) error {
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	ctx, cancel := context.WithTimeout(ctx, sampleJobsTimeout)
 	defer cancel()
 	defer e.startProgress("waiting for the sample jobs")()
 	if err := s.AwaitReady(ctx); err != nil {
--- a/internal/cli/submit.go
+++ b/internal/cli/submit.go
@@ -119,8 +119,8 @@
 }
 
 // outcomeError returns the error that determines the exit code for an answer.
-func outcomeError(a *client.Response) error {
-	switch e := a.Parsed.Error; {
+func outcomeError(answer *client.Response) error {
+	switch e := answer.Parsed.Error; {
 	case e == nil:
 		return nil
 	case e.Ran == errkind.RanUnknown.String():
--- a/internal/e2e/amend_test.go
+++ b/internal/e2e/amend_test.go
@@ -46,8 +46,8 @@
 	before, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
 	f.Assert(err, qt.IsNil)
 
-	loseAnswer := func() { f.kv.DropResponses(1) }
-	proxy.beforeServiceWrite.Store(&loseAnswer)
+	dropResponse := func() { f.kv.DropResponses(1) }
+	proxy.beforeServiceWrite.Store(&dropResponse)
 	code, revision := f.putService(e, 7, before.Revision)
 	f.Assert(code, qt.Equals, operator.ExitOK)
 	after, err := op.Get(t.Context(), record.KindService, "ayni/reserva")
@@ -60,11 +60,11 @@
 	code, _ = f.putService(e, 8, before.Revision)
 	f.Assert(code, qt.Equals, operator.ExitConflict)
 
-	loseAnswerAndStop := func() {
+	dropResponseAndStop := func() {
 		f.kv.DropResponses(1)
 		proxy.down.Store(true)
 	}
-	proxy.beforeServiceWrite.Store(&loseAnswerAndStop)
+	proxy.beforeServiceWrite.Store(&dropResponseAndStop)
 	code, _ = f.putService(e, 9, revision)
 	f.Assert(code, qt.Equals, operator.ExitUnknown)
 	proxy.down.Store(false)
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -138,8 +138,8 @@
 	f.memberRevision = f.writeRecord(record.KindMember, "ayni", `{"kind":"member","name":"ayni","schema":1,`+fields+`}`, f.memberRevision)
 }
 
-// generateCerts generates an authority and certificates in a new folder with the command
-// "keys fleet".
+// generateCerts generates a certificate authority (CA) and certificates in a new folder with the
+// command "keys fleet" and returns the folder.
 func (f *fleet) generateCerts(name string) string {
 	dir := filepath.Join(f.dir, name)
 	out, err := exec.Command(filepath.Join(binaries, "wigeontray"), "keys", "fleet", dir, "127.0.0.1").CombinedOutput()
@@ -147,8 +147,8 @@
 	return dir
 }
 
-// tls returns the content of the settings section [tls], empty if dir is. The authority is
-// always the fleet's, even if the certificate comes from another one.
+// tls returns the content of the settings section [tls] for the certificate in dir, empty if dir is
+// empty. The CA is always the fleet's, even if another one signed the certificate.
 func (f *fleet) tls(dir, cert, key string) string {
 	if dir == "" {
 		return ""
@@ -157,7 +157,7 @@
 		filepath.Join(f.certDir, tlsconf.CACertFile))
 }
 
-// rootCAs returns the certificate pool with the fleet's authority; nil without TLS.
+// rootCAs returns the certificate pool with the fleet's CA; nil without TLS.
 func (f *fleet) rootCAs() *x509.CertPool {
 	if f.certDir == "" {
 		return nil
@@ -368,7 +368,7 @@
 	return j
 }
 
-// submitAsync submits a job in the background. The channel receives the answer, or nil if
+// submitAsync submits a job in the background. The channel receives the last answer, or nil if
 // there was none. Errors are logged.
 func (f *fleet) submitAsync(c *client.Client, key string, j *client.Job) <-chan *client.Response {
 	out := make(chan *client.Response, 1)
--- a/internal/e2e/regions_test.go
+++ b/internal/e2e/regions_test.go
@@ -26,7 +26,7 @@
 	store http.Handler
 	down  atomic.Bool
 	// beforeServiceWrite is called once, just before the next write of service ayni/reserva
-	// reaches the store. It ignores other writes, because entries may write at any time.
+	// reaches the store. Other writes do not trigger it, because entries may write at any time.
 	beforeServiceWrite atomic.Pointer[func()]
 	refusedRequests    atomic.Int64
 }
--- a/internal/e2e/traces_test.go
+++ b/internal/e2e/traces_test.go
@@ -229,7 +229,8 @@
 	return tr.sendRequest(memberToken, http.MethodPost, e.url()+"/v1/jobs", j.key, bytes.NewReader(b))
 }
 
-// cancelJob cancels a job in the background. The outcome is checked where the job was submitted.
+// cancelJob cancels a job in the background. It checks no outcome: submitAndCheck does this for the
+// answer that the submitter gets.
 func (tr *traceRunner) cancelJob(ev *replay.Event) {
 	url := tr.entries[ev.Other].url() + "/v1/jobs/" + tr.jobs[ev.Target].key
 	tr.pendingCalls.Go(func() {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -50,7 +50,8 @@
 	BirthMs int64
 }
 
-// Parse parses an Idempotency-Key of the form UUIDv7 or "home.UUIDv7".
+// Parse parses an Idempotency-Key of the form UUIDv7 or "home.UUIDv7", with the UUID
+// in lower case. Any other form, or a text longer than MaxKeyLen, is an error.
 func Parse(text string) (Key, error) {
 	if len(text) > MaxKeyLen {
 		return Key{}, fmt.Errorf("identity longer than %d bytes", MaxKeyLen)
--- a/internal/pages/code_test.go
+++ b/internal/pages/code_test.go
@@ -161,8 +161,8 @@
 	}
 	byKind := used["RetryAfter"] // RetryAfter counts the retry reasons that are derived from an error kind
 	for _, name := range metricConstants(c) {
-		counted := used[name] || byKind && strings.HasPrefix(name, "Retry")
-		c.Check(counted, qt.IsTrue, qt.Commentf("telemetry.%s is never updated", name))
+		updated := used[name] || byKind && strings.HasPrefix(name, "Retry")
+		c.Check(updated, qt.IsTrue, qt.Commentf("telemetry.%s is never updated", name))
 	}
 }
 
--- a/internal/pages/tables_test.go
+++ b/internal/pages/tables_test.go
@@ -16,8 +16,9 @@
 // root is the relative path from this package to the root of the repository.
 const root = "../.."
 
-func readFile(c *qt.C, page string) string {
-	b, err := os.ReadFile(filepath.Join(root, page))
+// readFile returns the content of a file, given by its path relative to root.
+func readFile(c *qt.C, name string) string {
+	b, err := os.ReadFile(filepath.Join(root, name))
 	c.Assert(err, qt.IsNil)
 	return string(b)
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For sleeps for d or until ctx is canceled, and reports whether all of d elapsed.
+// For sleeps for d or until ctx is done, and reports whether all of d elapsed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -1,6 +1,6 @@
-// Package sample implements a sample upstream: an http.Handler that takes as
-// long as each task's body demands, counts how often every task was started,
-// and can inject the failures of real upstreams.
+// Package sample implements a sample upstream: an http.Handler that takes the
+// time given in each task's body, counts how often every task was started, and
+// can inject the failures of real upstreams.
 package sample
 
 import (
@@ -20,7 +20,8 @@
 // member/key/task.
 const TaskHeader = "Wigeontray-Task"
 
-// HealthPath returns 200 while the upstream accepts requests, else 503.
+// HealthPath is the path of the health check. Its status is 200 while the
+// upstream is healthy, else 503; see SetHealthy.
 const HealthPath = "/healthz"
 
 const maxBodySize = 8 << 20 // bytes of a request body
@@ -46,12 +47,12 @@
 	Echo    json.RawMessage `json:"echo,omitempty"`  // returned in the response
 }
 
-// Response is the body of a successful response.
+// Response is the JSON body of a response with status 200.
 type Response struct {
-	Task    string          `json:"task"`
-	Worker  string          `json:"worker"`
-	SleptMs int64           `json:"slept_ms"`
-	Echo    json.RawMessage `json:"echo,omitempty"`
+	Task    string          `json:"task"`           // value of TaskHeader
+	Worker  string          `json:"worker"`         // name given to New
+	SleptMs int64           `json:"slept_ms"`       // service time in milliseconds
+	Echo    json.RawMessage `json:"echo,omitempty"` // as in the task
 }
 
 // Upstream is a sample upstream. It serves HealthPath and treats a POST to any
--- a/internal/tlsconf/generate.go
+++ b/internal/tlsconf/generate.go
@@ -45,7 +45,9 @@
 // GenerateFleet writes a CA, a certificate for entries and one for guards to dir,
 // each with its key. hosts are the host names and IP addresses of the entries.
 // Guards are never dialed, so their certificate contains no host and cannot be
-// used as an entry's. Existing files are never overwritten.
+// used as an entry's. The certificates are valid from maxClockSkew before now. It is
+// an error if hosts is empty or if one of the files exists; existing files are never
+// overwritten.
 func GenerateFleet(dir string, hosts []string, now time.Time) error {
 	if len(hosts) == 0 {
 		return fmt.Errorf("generate fleet: no host name or IP address given for the entry certificate")
--- a/internal/tlsconf/tlsconf.go
+++ b/internal/tlsconf/tlsconf.go
@@ -37,7 +37,8 @@
 )
 
 // CallerServer returns the configuration of the listener for callers. Callers
-// authenticate with a token, so no client certificate is requested.
+// authenticate with a token, so no client certificate is requested and f.CA is not
+// used.
 func CallerServer(f Files) (*tls.Config, error) {
 	cert, err := loadKeyPair(f)
 	if err != nil {
