--- a/internal/capacity/callers.go
+++ b/internal/capacity/callers.go
@@ -24,9 +24,9 @@
 	opts         *Options
 	tasks        int // number of tasks per job
 	body         []byte
-	answeredJobs atomic.Int64 // answered completely
-	failedJobs   atomic.Int64 // answered with an error
-	mu           sync.Mutex
+	answeredJobs atomic.Int64    // answered completely
+	failedJobs   atomic.Int64    // answered with an error
+	mu           sync.Mutex      // protects the fields below
 	latencies    []time.Duration // of answered jobs
 	lastFailure  string          // latest error answer, for the report
 }
@@ -51,25 +51,25 @@
 }
 
 // run submits jobs with all callers and waits until they finish.
-func (c *loadGenerator) run(ctx context.Context) error {
-	end := time.Now().Add(c.opts.Load)
-	errs := make(chan error, c.opts.Callers)
-	for range c.opts.Callers {
-		go func() { errs <- c.submitUntil(ctx, end) }()
+func (g *loadGenerator) run(ctx context.Context) error {
+	end := time.Now().Add(g.opts.Load)
+	errs := make(chan error, g.opts.Callers)
+	for range g.opts.Callers {
+		go func() { errs <- g.submitUntil(ctx, end) }()
 	}
 	var joined error
-	for range c.opts.Callers {
+	for range g.opts.Callers {
 		joined = errors.Join(joined, <-errs)
 	}
 	return joined
 }
 
 // submitUntil submits jobs as one caller until end.
-func (c *loadGenerator) submitUntil(ctx context.Context, end time.Time) error {
+func (g *loadGenerator) submitUntil(ctx context.Context, end time.Time) error {
 	var latencies []time.Duration
 	for time.Now().Before(end) {
 		start := time.Now()
-		ok, err := c.submit(ctx)
+		ok, err := g.submit(ctx)
 		if err != nil {
 			return err
 		}
@@ -77,15 +77,15 @@
 			latencies = append(latencies, time.Since(start))
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.latencies = append(c.latencies, latencies...)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.latencies = append(g.latencies, latencies...)
 	return nil
 }
 
 // submit submits one job and reports whether it was answered completely.
-func (c *loadGenerator) submit(ctx context.Context) (bool, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.opts.Target.Callers+"/v1/jobs", bytes.NewReader(c.body))
+func (g *loadGenerator) submit(ctx context.Context) (bool, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, g.opts.Target.Callers+"/v1/jobs", bytes.NewReader(g.body))
 	if err != nil {
 		return false, fmt.Errorf("submit: %w", err)
 	}
@@ -93,9 +93,9 @@
 	if err != nil {
 		return false, fmt.Errorf("submit: %w", err)
 	}
-	req.Header.Set("Authorization", "Bearer "+c.opts.Target.Token)
+	req.Header.Set("Authorization", "Bearer "+g.opts.Target.Token)
 	req.Header.Set("Idempotency-Key", key.String())
-	resp, err := c.client.Do(req)
+	resp, err := g.client.Do(req)
 	if err != nil {
 		return false, fmt.Errorf("submit: %w", err)
 	}
@@ -105,27 +105,27 @@
 		return false, fmt.Errorf("submit: %w", err)
 	}
 	if resp.StatusCode == http.StatusOK {
-		c.answeredJobs.Add(1)
+		g.answeredJobs.Add(1)
 		return true, nil
 	}
-	c.recordFailure(resp.Status, body)
+	g.recordFailure(resp.Status, body)
 	return false, nil
 }
 
 // recordFailure counts an error answer and stores its beginning.
-func (c *loadGenerator) recordFailure(status string, body []byte) {
-	c.failedJobs.Add(1)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lastFailure = status + " " + string(body[:min(len(body), maxFailureBytes)])
+func (g *loadGenerator) recordFailure(status string, body []byte) {
+	g.failedJobs.Add(1)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.lastFailure = status + " " + string(body[:min(len(body), maxFailureBytes)])
 }
 
 // percentile returns the p-quantile (such as 0.5 or 0.99) of the latencies of
 // answered jobs.
-func (c *loadGenerator) percentile(p float64) time.Duration {
-	if len(c.latencies) == 0 {
+func (g *loadGenerator) percentile(p float64) time.Duration {
+	if len(g.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(c.latencies)
-	return c.latencies[int(p*float64(len(c.latencies)-1))]
+	slices.Sort(g.latencies)
+	return g.latencies[int(p*float64(len(g.latencies)-1))]
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -31,10 +31,10 @@
 	Callers  string      // base URL of the API for callers
 	Admin    string      // base URL of /metrics
 	Token    string      // a member's bearer token
-	Member   string
-	Service  string // a service of the member that no other guards serve
-	FleetKey string
-	// Shared is set if the entry runs in this process.
+	Member   string      // name of the member that owns Service
+	Service  string      // a service of the member that no other guards serve
+	FleetKey string      // key that the guards present to the entry in their Hello
+	// InProcess reports whether the entry runs in this process.
 	InProcess bool
 }
 
@@ -47,8 +47,9 @@
 	Jobs   []int         // loads at each size, as numbers of tasks per job
 	// Callers is the number of concurrent callers.
 	Callers int
-	JSON    bool
-	// Progress receives a line for each step; nil disables them.
+	// JSON selects a JSON report instead of tables.
+	JSON bool
+	// Progress receives a line for each step; nil discards them.
 	Progress io.Writer
 
 	settleDelay time.Duration // from the connection of all guards to the start of a measurement
@@ -61,7 +62,7 @@
 	DefaultIdle    = wire.PingInterval
 	DefaultLoad    = 1500 * time.Millisecond
 	DefaultCallers = 32
-	MaxGuards      = 1000 // a link uses two file descriptors and about 50 KB in this process
+	MaxGuards      = 1000 // largest fleet size; a link uses two file descriptors and about 50 KB in this process
 
 	defaultSettleDelay = time.Second
 	linkTimeout        = 20 * time.Second
@@ -107,7 +108,10 @@
 }
 
 // Run measures the entry and writes the report to w. For each fleet size, it takes
-// about the idle window plus the loads: 75 s in total with the defaults.
+// the idle window, the loads, and a settle delay before each of the two: at least
+// 140 s in total with the defaults, of which the idle windows are 120 s. It returns
+// an error if a fleet size is outside 1 to MaxGuards, or if the entry cannot be
+// reached or lacks a metric. Jobs that fail are counted in the report.
 func Run(ctx context.Context, o Options, w io.Writer) error {
 	if err := o.setDefaults(); err != nil {
 		return err
@@ -209,15 +213,15 @@
 	if err != nil {
 		return nil, err
 	}
-	c := newLoadGenerator(m.client, &m.opts, tasks)
-	if err := c.run(ctx); err != nil {
+	g := newLoadGenerator(m.client, &m.opts, tasks)
+	if err := g.run(ctx); err != nil {
 		return nil, err
 	}
 	after, err := m.sample(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return newLoad(c, before, after), nil
+	return newLoad(g, before, after), nil
 }
 
 // resize changes the fleet to n guards, and waits until the entry reports n guards
@@ -237,11 +241,11 @@
 // sample reads the metrics of the entry and the traffic of the fleet at nearly the
 // same time.
 func (m *measurement) sample(ctx context.Context) (*sample, error) {
-	f, err := m.entry.read(ctx)
+	metrics, err := m.entry.read(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return &sample{at: time.Now(), entry: *f, fleet: m.fleet.traffic()}, nil
+	return &sample{at: time.Now(), entry: *metrics, fleet: m.fleet.traffic()}, nil
 }
 
 func (m *measurement) printProgress(format string, args ...any) {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -30,9 +30,9 @@
 	c := qt.New(t)
 	var b bytes.Buffer
 	c.Assert(telemetry.New().WriteText(&b), qt.IsNil)
-	f, err := parseMetrics(strings.NewReader(b.String()))
+	metrics, err := parseMetrics(strings.NewReader(b.String()))
 	c.Assert(err, qt.IsNil)
-	c.Assert(f.Resident > 0, qt.IsTrue)
+	c.Assert(metrics.Resident > 0, qt.IsTrue)
 	cut := strings.ReplaceAll(b.String(), "process_cpu_seconds_total ", "other ")
 	_, err = parseMetrics(strings.NewReader(cut))
 	c.Assert(err, qt.ErrorMatches, ".*no process_cpu_seconds_total")
--- a/internal/capacity/probe.go
+++ b/internal/capacity/probe.go
@@ -53,14 +53,14 @@
 // parseMetrics reads metrics in the Prometheus text format. It returns an error if
 // one of entryMetrics is missing.
 func parseMetrics(r io.Reader) (*entryMetrics, error) {
-	f := new(entryMetrics)
+	metrics := new(entryMetrics)
 	destinations := map[string]*float64{
-		"process_cpu_seconds_total":     &f.CPU,
-		"process_resident_memory_bytes": &f.Resident,
-		"go_heap_live_bytes":            &f.Heap,
-		"go_stack_bytes":                &f.Stacks,
-		"wigeontray_guards":             &f.Guards,
-		"wigeontray_jobs_held":          &f.HeldJobs,
+		"process_cpu_seconds_total":     &metrics.CPU,
+		"process_resident_memory_bytes": &metrics.Resident,
+		"go_heap_live_bytes":            &metrics.Heap,
+		"go_stack_bytes":                &metrics.Stacks,
+		"wigeontray_guards":             &metrics.Guards,
+		"wigeontray_jobs_held":          &metrics.HeldJobs,
 	}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -82,22 +82,22 @@
 	for name := range destinations {
 		return nil, fmt.Errorf("read metrics: no %s", name)
 	}
-	return f, nil
+	return metrics, nil
 }
 
 // waitForGuards polls until the entry reports n connected guards.
 func (p *entryProbe) waitForGuards(ctx context.Context, n int) error {
 	const pollInterval = 50 * time.Millisecond
 	for {
-		f, err := p.read(ctx)
+		metrics, err := p.read(ctx)
 		if err != nil {
 			return err
 		}
-		if int(f.Guards) == n {
+		if int(metrics.Guards) == n {
 			return nil
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
-			return fmt.Errorf("entry reports %v guards, want %d: %w", f.Guards, n, err)
+			return fmt.Errorf("entry reports %v guards, want %d: %w", metrics.Guards, n, err)
 		}
 	}
 }
--- a/internal/capacity/report.go
+++ b/internal/capacity/report.go
@@ -16,8 +16,8 @@
 type Report struct {
 	Software string `json:"software"`
 	Cores    int    `json:"cores"`
-	// Shared is set if the entry runs in the same process as the guards and callers,
-	// so that its CPU time and memory include theirs.
+	// InProcess reports whether the entry runs in the same process as the guards and
+	// callers, so that its CPU time and memory include theirs.
 	InProcess bool   `json:"shared"`
 	Sizes     []Size `json:"sizes"`
 	Slopes    Slopes `json:"slopes"`
@@ -94,9 +94,9 @@
 }
 
 // newLoad computes the cost of tasks from the samples around a load.
-func newLoad(c *loadGenerator, before, after *sample) *Load {
+func newLoad(g *loadGenerator, before, after *sample) *Load {
 	seconds := after.at.Sub(before.at).Seconds()
-	tasks := c.answeredJobs.Load() * int64(c.tasks)
+	tasks := g.answeredJobs.Load() * int64(g.tasks)
 	t := after.fleet.sub(before.fleet)
 	perTask := func(n float64) float64 {
 		if tasks == 0 {
@@ -105,19 +105,19 @@
 		return n / float64(tasks)
 	}
 	return &Load{
-		TasksPerJob:      c.tasks,
+		TasksPerJob:      g.tasks,
 		Seconds:          seconds,
 		Tasks:            tasks,
-		FailedJobs:       c.failedJobs.Load(),
-		LastFailure:      c.lastFailure,
+		FailedJobs:       g.failedJobs.Load(),
+		LastFailure:      g.lastFailure,
 		TasksPerSecond:   float64(tasks) / seconds,
 		CPUMicrosPerTask: perTask((after.entry.CPU - before.entry.CPU) * 1e6),
 		FramesPerTask:    perTask(float64(t.Frames)),
 		BytesPerTask:     perTask(float64(t.Bytes)),
 		WireBytesPerTask: perTask(float64(t.wireBytes())),
 		SegmentsPerTask:  perTask(float64(t.Segments)),
-		JobP50Ms:         milliseconds(c.percentile(0.5)),
-		JobP99Ms:         milliseconds(c.percentile(0.99)),
+		JobP50Ms:         milliseconds(g.percentile(0.5)),
+		JobP99Ms:         milliseconds(g.percentile(0.99)),
 		EntryResident:    after.entry.Resident,
 	}
 }
@@ -162,9 +162,9 @@
 	printf("wigeontray %s, %d cores, entry in this process: %v\n", r.Software, r.Cores, r.InProcess)
 	printf("idle, per guard\tframes/s\tsegments/s\tsocket B/s\twire B/s\tentry core %%\tentry RSS MB\theap MB\tstacks MB\t")
 	for _, s := range r.Sizes {
-		i := s.Idle
-		printf("%d guards\t%.3f\t%.3f\t%.2f\t%.2f\t%.3f\t%.1f\t%.1f\t%.1f\t", s.Guards, i.FramesPerGuard, i.SegmentsPerGuard,
-			i.BytesPerGuard, i.WireBytesPerGuard, 100*i.EntryCPU, i.EntryResident/megabyte, i.EntryHeap/megabyte, i.EntryStacks/megabyte)
+		idle := s.Idle
+		printf("%d guards\t%.3f\t%.3f\t%.2f\t%.2f\t%.3f\t%.1f\t%.1f\t%.1f\t", s.Guards, idle.FramesPerGuard, idle.SegmentsPerGuard,
+			idle.BytesPerGuard, idle.WireBytesPerGuard, 100*idle.EntryCPU, idle.EntryResident/megabyte, idle.EntryHeap/megabyte, idle.EntryStacks/megabyte)
 	}
 	printf("\t\t\t\t\t\t\t\t\t")
 	printf("load\ttasks/job\ttasks/s\tfailed jobs\tentry us/task\tframes/task\tsocket B/task\twire B/task\tjob p50 ms\tjob p99 ms\t")
--- a/internal/explain/drains.go
+++ b/internal/explain/drains.go
@@ -34,8 +34,8 @@
 }
 
 // drainsDuring returns a line for each failure domain that was drained during the
-// time of jobLines, which are in order of time. It contains the entries that had
-// the drain, and since when, relative to the first line of the job.
+// time of jobLines, which are in order of time. The line names the entries that
+// knew of the drain, and since when, in seconds relative to the first of jobLines.
 func drainsDuring(jobLines, drains []Line) []string {
 	if len(jobLines) == 0 {
 		return nil
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -16,8 +16,8 @@
 
 // Line is one log line.
 type Line struct {
-	Time    time.Time
-	Node    string // name of the process that wrote the line
+	Time    time.Time // of the event, which may precede the writing of the line
+	Node    string    // name of the process that wrote the line
 	Level   string
 	Message string
 	Fields  map[string]string // all other fields, with their values as text
@@ -33,7 +33,8 @@
 	fieldRequest = "request" // ID that the caller set for one submission of the job
 )
 
-// maxLineBytes is the maximum length of a line. The processes write no longer ones.
+// maxLineBytes is the maximum length of a line, above which Read returns an error.
+// The processes of this project write no longer lines.
 const maxLineBytes = 1 << 20
 
 // FindJob returns the job that the request with the given ID submitted, or id itself
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,9 +22,9 @@
 // has the delay in its "ago" field.
 func TestWriteOrdersLinesByTime(t *testing.T) {
 	c := qt.New(t)
-	lines, bad, err := Read(nil, strings.NewReader(entryLog), "j1")
+	lines, unreadable, err := Read(nil, strings.NewReader(entryLog), "j1")
 	c.Assert(err, qt.IsNil)
-	c.Assert(bad, qt.Equals, 1)
+	c.Assert(unreadable, qt.Equals, 1)
 	lines, _, err = Read(lines, strings.NewReader(guardLog), "j1")
 	c.Assert(err, qt.IsNil)
 	var b strings.Builder
@@ -70,7 +70,7 @@
 }
 
 // Guards against a refusal without its cause, a drain of a failure domain, which is
-// logged in lines that do not contain the job.
+// logged in lines without a job ID.
 func TestWriteListsDrains(t *testing.T) {
 	c := qt.New(t)
 	const log = `{"time":"2026-01-01T00:00:00Z","msg":"failure domain is drained","node":"edge-1","domain":"z1"}
