--- a/internal/replay/compare.go
+++ b/internal/replay/compare.go
@@ -27,10 +27,10 @@
 // CompareOptions selects what Compare runs. The zero value selects all
 // generated workloads and placements.
 type CompareOptions struct {
-	Seed   uint64
+	Seed   uint64   // of the generated workloads and of the replays
 	Only   string   // substring of the trace or placement names to run
 	Traces []*Trace // run in addition to the generated workloads
-	JSON   bool
+	JSON   bool     // write the reports as JSON instead of as tables
 }
 
 // Compare replays every workload with every placement and writes the measured
--- a/internal/replay/entry.go
+++ b/internal/replay/entry.go
@@ -10,14 +10,15 @@
 	"wigeontray/internal/wire"
 )
 
-// entry simulates an entry process: a dispatch.Dispatcher and a simplified job registry.
+// entry simulates an entry process: a dispatch.Dispatcher and a simplified job
+// registry.
 type entry struct {
 	process
 	sim         *simulation
 	config      Entry
 	index       int
 	incarnation identity.Incarnation
-	core        *dispatch.Dispatcher
+	dispatcher  *dispatch.Dispatcher
 	jobs        map[string]*jobRecord
 	links       map[identity.Incarnation]*link // by guard, from the receipt of its Hello
 	takeovers   map[identity.Incarnation]*takeover
@@ -27,7 +28,7 @@
 	nextTick    time.Time
 }
 
-// jobRecord is the registry entry of one job key.
+// jobRecord is what the registry of an entry stores for one job key.
 type jobRecord struct {
 	answer       *answer // nil while the job runs
 	waitingCalls []*call
@@ -49,7 +50,7 @@
 	p := e.sim.policy
 	p.Domain = e.config.Domain
 	p.Entries = len(e.sim.entries)
-	e.core = dispatch.New(e.sim.trace.Service, p, e.sim.opt.Seed+uint64(e.index)*7919+uint64(e.generation))
+	e.dispatcher = dispatch.New(e.sim.trace.Service, p, e.sim.opt.Seed+uint64(e.index)*7919+uint64(e.generation))
 	e.jobs = make(map[string]*jobRecord)
 	e.links = make(map[identity.Incarnation]*link)
 	e.takeovers = make(map[identity.Incarnation]*takeover)
@@ -63,12 +64,12 @@
 			e.links[h.Incarnation] = l
 		}
 	}
-	e.core.GuardConnected(e.sim.clock.now, h)
+	e.dispatcher.GuardConnected(e.sim.clock.now, h)
 	e.applyActions()
 }
 
 func (e *entry) guardDown(inc identity.Incarnation) {
-	e.core.GuardDisconnected(e.sim.clock.now, inc)
+	e.dispatcher.GuardDisconnected(e.sim.clock.now, inc)
 	e.applyActions()
 }
 
@@ -77,17 +78,17 @@
 	switch {
 	case f.Result != nil:
 		e.sim.handleResult(f.Result)
-		e.core.Result(now, from, f.Result)
+		e.dispatcher.Result(now, from, f.Result)
 	case f.Load != nil:
-		e.core.Load(now, from, f.Load)
+		e.dispatcher.Load(now, from, f.Load)
 	case f.Offer != nil:
-		e.core.Offer(now, from, f.Offer)
+		e.dispatcher.Offer(now, from, f.Offer)
 	case f.FenceReport != nil:
 		e.handleFenceReport(from, f.FenceReport)
 	case f.Collected != nil:
 		e.handleCollected(f.Collected)
 	case f.StopNotice != nil:
-		e.core.GuardDraining(now, from)
+		e.dispatcher.GuardDraining(now, from)
 	}
 	e.applyActions()
 }
@@ -114,7 +115,7 @@
 	}
 	record := &jobRecord{waitingCalls: []*call{c}}
 	e.jobs[c.job.key] = record
-	if err := e.core.Submit(e.sim.clock.now, e.jobSpec(c)); err != nil {
+	if err := e.dispatcher.Submit(e.sim.clock.now, e.jobSpec(c)); err != nil {
 		e.completeJob(record, &answer{kind: err.Kind, ran: err.Ran, retryAfter: err.After})
 	}
 	e.applyActions()
@@ -132,8 +133,9 @@
 	return s
 }
 
-// forward sends a request to the home of its job, the entry that issued the job
-// key. If that incarnation has terminated, the outcome is collected from the guards.
+// forward sends a request to the home of its job, the incarnation of an entry that
+// issued the job key. If that incarnation has terminated, the outcome is collected
+// from the guards.
 func (e *entry) forward(c *call) {
 	homeEntry := e.sim.entryByIncarnation(c.job.home)
 	if homeEntry == nil || !homeEntry.isAlive {
@@ -150,7 +152,7 @@
 }
 
 func (e *entry) cancel(job *jobState) {
-	e.core.Cancel(e.sim.clock.now, job.id())
+	e.dispatcher.Cancel(e.sim.clock.now, job.id())
 	e.applyActions()
 }
 
@@ -163,12 +165,13 @@
 	record.waitingCalls = nil
 }
 
-// applyActions performs the pending actions of the core and schedules its next tick.
+// applyActions performs the pending actions of the dispatcher and schedules its
+// next tick.
 func (e *entry) applyActions() {
-	for _, a := range e.core.Actions() {
+	for _, a := range e.dispatcher.Actions() {
 		e.applyAction(&a)
 	}
-	next := e.core.NextTick()
+	next := e.dispatcher.NextTick()
 	if next.IsZero() || next.Equal(e.nextTick) {
 		return
 	}
@@ -176,7 +179,7 @@
 	e.sim.clock.at(next, e.inGeneration(func() {
 		if e.nextTick.Equal(next) {
 			e.nextTick = time.Time{}
-			e.core.Tick(e.sim.clock.now)
+			e.dispatcher.Tick(e.sim.clock.now)
 			e.applyActions()
 		}
 	}))
@@ -215,6 +218,6 @@
 
 func (e *entry) configure(p dispatch.Policy) {
 	p.Domain, p.Entries = e.config.Domain, len(e.sim.entries)
-	e.core.Configure(e.sim.clock.now, p)
+	e.dispatcher.Configure(e.sim.clock.now, p)
 	e.applyActions()
 }
--- a/internal/replay/fairness.go
+++ b/internal/replay/fairness.go
@@ -14,8 +14,8 @@
 	var sum, squares float64
 	n := 0
 	for _, team := range slices.Sorted(maps.Keys(fairShares)) {
-		if e := fairShares[team]; e > 0 {
-			x := served[team] / e
+		if share := fairShares[team]; share > 0 {
+			x := served[team] / share
 			sum, squares, n = sum+x, squares+x*x, n+1
 		}
 	}
--- a/internal/replay/guard.go
+++ b/internal/replay/guard.go
@@ -79,7 +79,7 @@
 // applyActions performs the pending actions of the ledger and schedules its next tick.
 func (g *guard) applyActions() {
 	for _, a := range g.ledger.Actions() {
-		g.reportRefusal(a.Send)
+		g.checkRefusal(a.Send)
 		if a.Run != nil {
 			g.runTask(a.Run)
 			continue
@@ -121,8 +121,8 @@
 	}))
 }
 
-// reportRefusal records a result that reports a task as not run for the checks.
-func (g *guard) reportRefusal(s *ledger.Send) {
+// checkRefusal passes a result that reports a task as not run to the checker.
+func (g *guard) checkRefusal(s *ledger.Send) {
 	if s != nil && s.Frame.Result != nil && s.Frame.Result.Ran == errkind.RanNo {
 		g.sim.checker.recordRefusal(g.incarnation, s.Frame.Result.Ref)
 	}
--- a/internal/replay/ideal.go
+++ b/internal/replay/ideal.go
@@ -10,8 +10,8 @@
 // idealResponseTimes returns the response time of each job with one central FIFO
 // queue and no delays, failures or refusals. It is a lower bound for dispatchers
 // that use the same order.
-func idealResponseTimes(jobs []Event, slots int) map[string]time.Duration {
-	return simulateCentralQueue(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
+func idealResponseTimes(events []Event, slots int) map[string]time.Duration {
+	return simulateCentralQueue(events, slots, func(q *sched.Queue[centralTask], j *centralJob) {
 		for i := range j.req.Tasks {
 			q.Push("", 1, sched.Item[centralTask]{Value: centralTask{j, i}, Due: int64(j.arrivedAt)})
 		}
@@ -21,8 +21,8 @@
 // idealFairResponseTimes is like idealResponseTimes, but with the order of the
 // dispatch queue: fair between teams, and with small jobs ahead of the last tasks
 // of large ones.
-func idealFairResponseTimes(jobs []Event, slots int) map[string]time.Duration {
-	return simulateCentralQueue(jobs, slots, func(q *sched.Queue[centralTask], j *centralJob) {
+func idealFairResponseTimes(events []Event, slots int) map[string]time.Duration {
+	return simulateCentralQueue(events, slots, func(q *sched.Queue[centralTask], j *centralJob) {
 		spacing := sched.TaskSpacing(j.req.Deadline, len(j.req.Tasks))
 		for i := range j.req.Tasks {
 			due := int64(j.arrivedAt + time.Duration(i)*spacing)
@@ -62,14 +62,14 @@
 	return c
 }
 
-// simulateCentralQueue runs the submissions in jobs on the given number of slots
-// and returns the response times by job name. The order of the queue follows from
-// push.
-func simulateCentralQueue(jobs []Event, slots int, push func(*sched.Queue[centralTask], *centralJob)) map[string]time.Duration {
+// simulateCentralQueue runs the submissions among events on the given number of
+// slots and returns the response times by job name. push adds the tasks of a job to
+// the queue and thus determines their order.
+func simulateCentralQueue(events []Event, slots int, push func(*sched.Queue[centralTask], *centralJob)) map[string]time.Duration {
 	var (
 		queue         sched.Queue[centralTask]
 		running       completions
-		responseTimes = make(map[string]time.Duration, len(jobs))
+		responseTimes = make(map[string]time.Duration, len(events))
 	)
 	startTasks := func(now time.Duration) {
 		for len(running) < slots && queue.Len() > 0 {
@@ -84,8 +84,8 @@
 		}
 		startTasks(c.at)
 	}
-	for i := range jobs {
-		ev := &jobs[i]
+	for i := range events {
+		ev := &events[i]
 		if ev.Op != OpSubmit {
 			continue
 		}
--- a/internal/replay/link.go
+++ b/internal/replay/link.go
@@ -9,9 +9,9 @@
 // Timing of links.
 const (
 	// linkTimeout is the time without messages after which the link to a peer is
-	// closed. Package wire detects a peer that does not respond to work much
-	// sooner, within wire.FailureDetectionTime; the outcomes stated in the traces hold for
-	// this longer timeout.
+	// closed. Package wire detects much earlier, within wire.FailureDetectionTime,
+	// that a peer which was sent work does not respond. The outcomes stated in the
+	// traces hold for this longer timeout.
 	linkTimeout    = 20 * time.Second
 	redialInterval = 100 * time.Millisecond
 )
--- a/internal/replay/main.go
+++ b/internal/replay/main.go
@@ -23,7 +23,7 @@
 	return Parse(strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), f)
 }
 
-// LoadFiles reads several traces.
+// LoadFiles reads several traces, in the order of paths. It stops at the first error.
 func LoadFiles(paths []string) ([]*Trace, error) {
 	var out []*Trace
 	for _, p := range paths {
--- a/internal/replay/parse.go
+++ b/internal/replay/parse.go
@@ -107,15 +107,15 @@
 }
 
 func (t *Trace) readWorker(w *words) error {
-	d := Worker{Slots: slotsPerWorker}
-	if err := intoString(&d.Name)(w); err != nil {
+	worker := Worker{Slots: slotsPerWorker}
+	if err := intoString(&worker.Name)(w); err != nil {
 		return err
 	}
 	err := w.readSettings(map[string]settingReader{
-		"rack": intoString(&d.Rack), "domain": intoString(&d.Domain), "slots": intoInt(&d.Slots),
-		"accelerators": intoInt(&d.Accelerators), "memory_mb": intoInt(&d.MemoryMB),
+		"rack": intoString(&worker.Rack), "domain": intoString(&worker.Domain), "slots": intoInt(&worker.Slots),
+		"accelerators": intoInt(&worker.Accelerators), "memory_mb": intoInt(&worker.MemoryMB),
 	})
-	t.Workers = append(t.Workers, d)
+	t.Workers = append(t.Workers, worker)
 	return err
 }
 
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -21,10 +21,10 @@
 	Unmet       []string `json:"unmet,omitempty"`      // stated outcomes and limits that were not met
 	StatedCount int      `json:"stated"`               // stated outcomes and limits that were checked
 
-	Jobs     int `json:"jobs"` // submissions in the measured window
-	Served   int `json:"served"`
-	Tasks    int `json:"tasks"` // task runs on upstreams
-	Messages int `json:"messages"`
+	Jobs     int `json:"jobs"`     // submissions in the measured window
+	Served   int `json:"served"`   // those of Jobs that were answered completely
+	Tasks    int `json:"tasks"`    // task runs on upstreams
+	Messages int `json:"messages"` // frames between entries and guards
 
 	// OverIdeal is the response time at the caller divided by the ideal one, over
 	// the jobs that were served completely.
@@ -35,8 +35,8 @@
 	ResponseMs Quantiles `json:"response_ms"`
 
 	MessagesPerTask  float64        `json:"messages_per_task"`
-	MessageOverhead  float64        `json:"wasted"` // messages beyond one start and one result per task, as a share of those two
-	ByMessage        map[string]int `json:"by_message"`
+	MessageOverhead  float64        `json:"wasted"`             // messages beyond one start and one result per task, as a share of those two
+	ByMessage        map[string]int `json:"by_message"`         // messages by frame type
 	Refusals         map[string]int `json:"refusals,omitempty"` // error answers, by kind
 	Retries          map[string]int `json:"retries,omitempty"`  // retried task attempts, by error kind
 	Utilisation      float64        `json:"utilisation"`        // share of the slot time with a running task
@@ -138,7 +138,7 @@
 	}
 }
 
-// messages computes the number of messages per task and their overhead.
+// messages sets the number of messages per task and their overhead in r.
 func (sim *simulation) messages(r *Report) {
 	if r.Tasks > 0 {
 		r.MessagesPerTask = float64(r.Messages) / float64(r.Tasks)
@@ -148,8 +148,8 @@
 
 func (sim *simulation) totalSlots() int {
 	n := 0
-	for _, d := range sim.trace.Workers {
-		n += d.Slots
+	for _, worker := range sim.trace.Workers {
+		n += worker.Slots
 	}
 	return n
 }
@@ -165,8 +165,8 @@
 	offeredByTeam, servedByTeam := make(map[string]float64), make(map[string]float64)
 	for _, c := range sim.calls {
 		var workSeconds float64
-		for _, d := range c.job.req.Tasks {
-			workSeconds += d.Seconds()
+		for _, runTime := range c.job.req.Tasks {
+			workSeconds += runTime.Seconds()
 		}
 		team := c.job.req.Team
 		if c.isMeasured {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -79,9 +79,8 @@
 	return sim.traceStart.Add(sim.trace.MeasureFrom), until
 }
 
-// answerSlack returns the time after the deadline within which an answer must
-// arrive: the longest run time of a task, and the network delay from and to the
-// caller.
+// answerSlack returns how long after the deadline an answer may arrive: the
+// longest run time of a task plus the network delay from and to the caller.
 func (sim *simulation) answerSlack(j *jobState) time.Duration {
 	return slices.Max(j.req.Tasks) + 2*sim.trace.Delays.Client
 }
@@ -116,9 +115,9 @@
 }
 
 // accepts reports whether the outcome is one of the expected ones.
-func (w *ExpectedOutcome) accepts(kind errkind.Kind, lost bool) bool {
+func (o *ExpectedOutcome) accepts(kind errkind.Kind, lost bool) bool {
 	if lost {
-		return w.ConnectionLost
+		return o.ConnectionLost
 	}
-	return slices.Contains(w.Kinds, kind)
+	return slices.Contains(o.Kinds, kind)
 }
--- a/internal/replay/scenario.go
+++ b/internal/replay/scenario.go
@@ -32,8 +32,8 @@
 
 // Site is a deployment of the present size.
 type Site struct {
-	Service         string
-	Domains         []string
+	Service         string        // "member/service"
+	Domains         []string      // names of the failure domains
 	Domain          time.Duration // one-way delay between failure domains
 	PolicyWeighting dispatch.Weighting
 }
@@ -246,8 +246,8 @@
 	return t
 }
 
-// domainLosses returns a workload in which the workers of one failure domain after
-// the other are killed, and restarted two seconds later.
+// domainLosses returns a workload in which, every five seconds, the workers of the
+// next failure domain are killed, and restarted two seconds later.
 func (s Site) domainLosses() *Trace {
 	t := s.loadTrace("domain-losses", 0.5)
 	for i := range 11 {
--- a/internal/replay/takeover.go
+++ b/internal/replay/takeover.go
@@ -13,7 +13,7 @@
 // guards fence that incarnation and report which of its tasks they started. A
 // takeover never starts a task.
 type takeover struct {
-	deadHome     identity.Incarnation
+	fencedEntry  identity.Incarnation
 	fencedGuards []identity.Incarnation // guards that the fence was sent to
 	reports      map[identity.Incarnation]*wire.FenceReport
 	calls        []*call
@@ -35,17 +35,17 @@
 		t.calls = append(t.calls, c)
 		return
 	}
-	t = &takeover{deadHome: c.job.home, calls: []*call{c},
+	t = &takeover{fencedEntry: c.job.home, calls: []*call{c},
 		reports: make(map[identity.Incarnation]*wire.FenceReport), collections: make(map[string]*collection)}
 	e.takeovers[c.job.home] = t
 	for _, g := range e.sim.guards {
 		if l := e.links[g.incarnation]; l != nil && l.isUp {
 			t.fencedGuards = append(t.fencedGuards, g.incarnation)
-			l.sendToGuard(&wire.Frame{Fence: &wire.Fence{FencedEntry: t.deadHome}})
+			l.sendToGuard(&wire.Frame{Fence: &wire.Fence{FencedEntry: t.fencedEntry}})
 		}
 	}
 	if len(t.fencedGuards) == 0 {
-		delete(e.takeovers, t.deadHome)
+		delete(e.takeovers, t.fencedEntry)
 		e.sim.answer(c, unknownAnswer)
 	}
 }
@@ -69,9 +69,10 @@
 	}
 }
 
-// answerFromReports answers one call by the reports of the guards: the results if
-// the guards store all of them, "not run" if all guards of the fleet exclude a
-// start, and otherwise an unknown outcome.
+// answerFromReports answers one call by the reports of the guards: with the results
+// if the guards store all of them, with "not run" if every guard of the trace has
+// reported and none can have started a task of the job, and otherwise with an
+// unknown outcome.
 func (e *entry) answerFromReports(t *takeover, c *call) {
 	started, finished, holders := 0, 0, []identity.Incarnation{}
 	provesNotRun := len(t.fencedGuards) == len(e.sim.guards)
@@ -116,7 +117,7 @@
 // handleCollected adds the results that one guard stores, and answers the call when
 // all guards have responded.
 func (e *entry) handleCollected(msg *wire.Collected) {
-	for deadHome, t := range e.takeovers {
+	for fencedEntry, t := range e.takeovers {
 		col := t.collections[msg.Key]
 		if col == nil {
 			continue
@@ -129,7 +130,7 @@
 		}
 		delete(t.collections, msg.Key)
 		if len(t.collections)+len(t.calls) == 0 {
-			delete(e.takeovers, deadHome)
+			delete(e.takeovers, fencedEntry)
 		}
 		e.sim.answer(col.call, col.answer())
 		return
--- a/internal/replay/tally.go
+++ b/internal/replay/tally.go
@@ -12,25 +12,25 @@
 // counters are the counts from which the measures of a replay are computed.
 type counters struct {
 	sim              *simulation
-	messages         map[string]int
-	runs             int
-	busyTime         time.Duration // run time of tasks inside the measured window
-	failedRuns       int           // those of runsAfterFailure that ran on a failing upstream
-	runsAfterFailure int           // runs later than failureDetectionDelay after firstFailureAt
-	retries          map[string]int
+	messages         map[string]int   // by frame type
+	runs             int              // task runs on upstreams
+	busyTime         time.Duration    // run time of tasks inside the measured window
+	failedRuns       int              // those of runsAfterFailure that ran on a failing upstream
+	runsAfterFailure int              // runs later than failureDetectionDelay after firstFailureAt
+	retries          map[string]int   // results that report a task as not run, by error kind
 	startsPerSecond  map[string][]int // by worker, for each second of the trace
 	firstFailureAt   time.Time        // time of the first upstream failure
 }
 
-func (t *counters) init(sim *simulation) {
-	t.sim = sim
-	t.messages = make(map[string]int)
-	t.retries = make(map[string]int)
-	t.startsPerSecond = make(map[string][]int)
+func (c *counters) init(sim *simulation) {
+	c.sim = sim
+	c.messages = make(map[string]int)
+	c.retries = make(map[string]int)
+	c.startsPerSecond = make(map[string][]int)
 }
 
 // countFrame counts a message between an entry and a guard by its type.
-func (t *counters) countFrame(f *wire.Frame) {
+func (c *counters) countFrame(f *wire.Frame) {
 	kind := "other"
 	switch {
 	case f.Start != nil:
@@ -46,38 +46,38 @@
 	case f.Offer != nil:
 		kind = "offer"
 	}
-	t.messages[kind]++
+	c.messages[kind]++
 }
 
-func (t *counters) totalMessages() int {
+func (c *counters) totalMessages() int {
 	sum := 0
-	for _, n := range t.messages {
+	for _, n := range c.messages {
 		sum += n
 	}
 	return sum
 }
 
 // recordRun counts a task run that starts at now.
-func (t *counters) recordRun(g *guard, now time.Time, runTime time.Duration) {
-	t.runs++
-	from, until := t.sim.measuredWindow()
-	t.busyTime += overlap(now, now.Add(runTime), from, until)
-	if !t.firstFailureAt.IsZero() && now.Sub(t.firstFailureAt) > failureDetectionDelay {
-		t.runsAfterFailure++
+func (c *counters) recordRun(g *guard, now time.Time, runTime time.Duration) {
+	c.runs++
+	from, until := c.sim.measuredWindow()
+	c.busyTime += overlap(now, now.Add(runTime), from, until)
+	if !c.firstFailureAt.IsZero() && now.Sub(c.firstFailureAt) > failureDetectionDelay {
+		c.runsAfterFailure++
 		if g.isFailing {
-			t.failedRuns++
+			c.failedRuns++
 		}
 	}
-	sec := int(now.Sub(t.sim.traceStart) / second)
+	sec := int(now.Sub(c.sim.traceStart) / second)
 	if sec < 0 {
 		return
 	}
-	starts := t.startsPerSecond[g.config.Name]
+	starts := c.startsPerSecond[g.config.Name]
 	for len(starts) <= sec {
 		starts = append(starts, 0)
 	}
 	starts[sec]++
-	t.startsPerSecond[g.config.Name] = starts
+	c.startsPerSecond[g.config.Name] = starts
 }
 
 // overlap returns the length of the intersection of the intervals [a0, a1] and
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -15,7 +15,7 @@
 
 // Options configures a replay.
 type Options struct {
-	Seed uint64
+	Seed uint64 // of the random choices of the dispatchers
 	// Placement overrides the placement of the policy, if set.
 	Placement *dispatch.Placement
 	// Weighting overrides the weighting of the policy, if set.
@@ -40,7 +40,7 @@
 	guards     []*guard
 	links      []*link
 	jobs       map[string]*jobState // by name in the trace
-	byKey      map[string]*jobState
+	byKey      map[string]*jobState // by job key
 	calls      []*call
 	checker    invariantChecker
 	counters   counters
@@ -50,7 +50,7 @@
 	keyCount        uint32
 }
 
-// jobState is a job, shared by all its submissions.
+// jobState is a job of the trace. All its submissions share it.
 type jobState struct {
 	name      string
 	key       string
@@ -88,14 +88,14 @@
 	sim.traceStart = epoch.Add(startupDelay)
 	sim.checker.init()
 	sim.counters.init(sim)
-	for i, d := range t.Entries {
-		sim.entries = append(sim.entries, &entry{sim: sim, config: d, index: i})
+	for i, cfg := range t.Entries {
+		sim.entries = append(sim.entries, &entry{sim: sim, config: cfg, index: i})
 	}
-	for _, d := range t.Workers {
-		g := &guard{sim: sim, config: d, runTimeFactor: 1}
+	for _, cfg := range t.Workers {
+		g := &guard{sim: sim, config: cfg, runTimeFactor: 1}
 		sim.guards = append(sim.guards, g)
 		for _, e := range sim.entries {
-			l := &link{sim: sim, entry: e, guard: g, delay: sim.networkDelay(e.config.Domain, d.Domain)}
+			l := &link{sim: sim, entry: e, guard: g, delay: sim.networkDelay(e.config.Domain, cfg.Domain)}
 			g.links = append(g.links, l)
 			sim.links = append(sim.links, l)
 		}
