--- a/cmd/wigeontray-guard/main.go
+++ b/cmd/wigeontray-guard/main.go
@@ -1,4 +1,4 @@
-// Command wigeontray-guard runs a guard: a process beside one upstream that registers
+// Command wigeontray-guard runs a guard: a process next to one upstream that registers
 // the upstream with the entries and executes their tasks on it.
 package main
 
--- a/cmd/wigeontray-guard/main_test.go
+++ b/cmd/wigeontray-guard/main_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against a lost result on SIGTERM while the upstream executes a task. The caller must
-// still receive the result, and the process must exit by itself; otherwise the platform
+// still receive the result, and the process must exit afterwards; otherwise the platform
 // kills it together with all tasks in flight.
 func TestSIGTERMCompletesRunningTasks(t *testing.T) {
 	frames := make(chan *wire.Frame, 16)
--- a/internal/batch/admit_test.go
+++ b/internal/batch/admit_test.go
@@ -30,8 +30,8 @@
 	}}}
 }
 
-// Guards against a job that is refused for good because its worker is temporarily unavailable,
-// and against one that is retried although no worker can ever run it.
+// Guards against a job that is refused permanently because its worker is temporarily
+// unavailable, and against one that is retried although no worker can ever run it.
 func TestNeverFitsIsDistinguishedFromNoWorkers(t *testing.T) {
 	m := newOneWorkerMachine()
 	afterDelay := neverFitsDelay + time.Second
@@ -45,7 +45,7 @@
 
 // Guards against a task started at a second worker while it runs. A job is cancelled and
 // resubmitted to the same entry; the guard's report that the first run was not started arrives
-// only then, and must not be taken for the second run.
+// only then, and must not be applied to the second run.
 func TestLateRunEndOfAnEarlierSubmissionIsIgnored(t *testing.T) {
 	m := newOneWorkerMachine()
 	nextRun := func() int64 {
--- a/internal/batch/advertise.go
+++ b/internal/batch/advertise.go
@@ -20,7 +20,8 @@
 	initialAdvertiseCount = 12
 )
 
-// maxAdvertiseShare is the maximum share of a thin link's bandwidth spent on advertisements.
+// maxAdvertiseShare is the maximum share of a low-bandwidth link's capacity that is spent on
+// advertisements.
 const maxAdvertiseShare = 0.1
 
 // advertiseInterval returns the minimum delay between two advertisements, which grows with the
@@ -34,7 +35,7 @@
 // advertise sends the demand to guards when it is due. Demand that is more urgent than the
 // advertised demand is sent at once: otherwise room would go to less urgent tasks during the
 // interval. The end of the demand is sent to all guards that have received the demand, as they
-// would hold room in vain.
+// would otherwise hold room for tasks that no longer wait.
 func (m *Machine) advertise(now time.Duration) {
 	demand := m.demand()
 	switch {
--- a/internal/batch/api.go
+++ b/internal/batch/api.go
@@ -81,8 +81,8 @@
 	// whole service, in thousandths of a core. Age is the age of the guard's last report.
 	Free int64
 	Age  time.Duration
-	// Wait is the expected wait of an admitted job; Goal is its target duration, counted
-	// from its arrival.
+	// ExpectedWait is the estimated wait of an admitted job. TargetDuration is the job's
+	// target duration, counted from its arrival.
 	ExpectedWait, TargetDuration time.Duration
 }
 
--- a/internal/batch/crash_test.go
+++ b/internal/batch/crash_test.go
@@ -43,7 +43,7 @@
 }
 
 // Guards against a task that crashes one worker after another, and against jobs that are answered
-// as failed because they ran beside it.
+// as failed because they ran on the same worker.
 func TestLoadWithCrashingJobsCrashesFewWorkersAndFailsNoOtherJob(t *testing.T) {
 	all, withoutSeparation, withoutLimit := simulateCrashes(t), simulateCrashes(t, policy.SuspectsApart), simulateCrashes(t, policy.CrashLimit)
 	qt.Check(t, all.crashersFailed >= crashSeeds*crashingJobsPerRun-1, qt.IsTrue)
--- a/internal/batch/machine.go
+++ b/internal/batch/machine.go
@@ -120,8 +120,8 @@
 	LinkBacklog time.Duration // time that the sent frames still need to pass the link
 }
 
-// LinkRate returns the estimated bandwidth to the guards, in bytes a second; 0 if the link has
-// not been found to be thin.
+// LinkRate returns the estimated bandwidth to the guards, in bytes a second; 0 if no
+// bandwidth limit has been detected.
 func (m *Machine) LinkRate() int64 { return int64(m.uplink.rate) }
 
 // Snapshot returns the data that admission decisions are currently based on.
--- a/internal/batch/past.go
+++ b/internal/batch/past.go
@@ -35,8 +35,8 @@
 
 // maxRun returns the highest run number of an ended job's tasks. If the job is resubmitted, its
 // runs get higher numbers. With equal numbers, a guard's delayed report on a run of the first
-// submission would be taken for one on the second, and the task would be started at another
-// worker while it is still running.
+// submission would be attributed to the second, and the task would be started at another worker
+// while it is still running.
 func (e *endedJobs) maxRun(id string) int64 { return e.jobs[id].runNumber }
 
 // stateOf returns the state reported for a job that ended with err. A job without a final outcome
@@ -53,8 +53,8 @@
 	return Unknown
 }
 
-// IsFinalFailure reports whether an error means that the job has failed for good: it would fail
-// again if it were resubmitted.
+// IsFinalFailure reports whether an error means that the job has failed permanently: it would
+// fail again if it were resubmitted.
 func IsFinalFailure(err *errkind.Error) bool {
 	return err.Kind == errkind.UpstreamFailed || err.Kind == errkind.NeverFits
 }
--- a/internal/batch/place.go
+++ b/internal/batch/place.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// recentPriorityAge is how long the most urgent priority of a service's jobs is remembered. It is
+// recentPriorityAge is how long the most urgent priority of a service's jobs is kept. It is
 // longer than the gaps between requests of a type that arrives once every few seconds.
 const recentPriorityAge = 10 * time.Second
 
@@ -158,8 +158,8 @@
 	return b
 }
 
-// chooseGuard returns a guard with room for the task, or nil. On a thin link it prefers guards
-// that already get tasks of the job, as the job's text is sent to them anyway.
+// chooseGuard returns a guard with room for the task, or nil. On a low-bandwidth link it prefers
+// guards that already get tasks of the job, as the job's text is sent to them anyway.
 func (m *Machine) chooseGuard(j *job, s *step, index int, batches []*guardBatch) *guard {
 	t := &s.tasks[index]
 	req := taskRequirements(j.spec.Queue, s.spec)
@@ -236,9 +236,9 @@
 	g.pendingTasks = append(g.pendingTasks, pendingTasks{seq: g.seq, need: needed, sent: sent})
 }
 
-// addText adds the job's text to a RunTasks frame. If the text would take long on a thin link and
-// another guard has it, the frame names that guard as the source instead. The fetch costs a round
-// trip between guards, but saves most of the bytes that this entry sends.
+// addText adds the job's text to a RunTasks frame. If the text would take long on a low-bandwidth
+// link and another guard has it, the frame names that guard as the source instead. The fetch costs
+// a round trip between guards, but saves most of the bytes that this entry sends.
 func (m *Machine) addText(j *job, g *guard, runTasks *wire.RunTasks) {
 	size := len(j.spec.Text)
 	if j.packedText != nil {
--- a/internal/batch/place_test.go
+++ b/internal/batch/place_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against requests that cannot be identified after an entry has lost power and its log.
-// The guards then have the job's identity, but without the caller's request ID nobody can tell
-// which request it was.
+// The guards then have the job's identity, but without the caller's request ID the request that
+// it belongs to cannot be determined.
 func TestRunTasksCarriesTheCallersRequestID(t *testing.T) {
 	m := newOneWorkerMachine()
 	job := testJob("job", 2, 4000)
--- a/internal/batch/random_test.go
+++ b/internal/batch/random_test.go
@@ -84,7 +84,7 @@
 	seeds := []uint64{
 		197,    // a lease computed from an old reading of a slow clock ended later than the guard assumed
 		7,      // an entry resumed from a suspension and started a job whose caller had left
-		10_892, // a late report on a run of the first submission was taken for one on the second
+		10_892, // a late report on a run of the first submission was attributed to the run of the second
 	}
 	for seed := range uint64(60) {
 		seeds = append(seeds, 10_000+seed)
@@ -98,8 +98,8 @@
 	}
 }
 
-// Guards against a task that runs twice because its text was fetched from another guard over thin
-// links while faults occurred.
+// Guards against a task that runs twice because its text was fetched from another guard over
+// low-bandwidth links while faults occurred.
 func TestNoTaskRunsTwiceAtOnceOverThinLinks(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	fetched := 0
--- a/internal/batch/thin_test.go
+++ b/internal/batch/thin_test.go
@@ -113,7 +113,7 @@
 	})
 }
 
-// Guards against congestion collapse at entries with thin links.
+// Guards against congestion collapse at entries with low-bandwidth links.
 func TestLoadOverThinLinksIsServedInTime(t *testing.T) {
 	const minShareOfIdeal = 0.9
 	for _, rate := range linkRates {
--- a/internal/batch/uplink.go
+++ b/internal/batch/uplink.go
@@ -18,7 +18,8 @@
 	minArrivals = 6
 	minRateSpan = 40 * time.Millisecond
 	// maxRateRatio is the limit of the median rate between frames divided by the overall rate. A
-	// thin link delivers frames evenly; a pause does not, and exceeds the ratio.
+	// low-bandwidth link delivers frames evenly; after a process pause they arrive unevenly and
+	// exceed the ratio.
 	maxRateRatio = 2
 	// usedRateShare is the share of a measured rate that is used, so that the queue on the link
 	// shrinks.
@@ -57,10 +58,10 @@
 // beyond the bandwidth wait in connection buffers for hundreds of milliseconds. The entry's data
 // about its workers is then equally old, so that tasks reach full workers and are sent again with
 // the text of their job, and throughput collapses. Guards report the age of frames on arrival,
-// from which uplink measures the rate of a thin link. A job that is held back at the entry can
-// still be refused or overtaken.
+// from which uplink measures the rate of a low-bandwidth link. A job that is held back at the
+// entry can still be refused or overtaken.
 type uplink struct {
-	rate          float64       // bytes a second; 0 if the link has not been found to be thin
+	rate          float64       // bytes a second; 0 if no bandwidth limit has been detected
 	idleAt        time.Duration // time at which all frames sent have passed the link, by rate
 	window        float64       // bytes that may be in flight while the rate is unknown
 	sentBytes     float64       // bytes sent so far
@@ -121,8 +122,8 @@
 	return record
 }
 
-// transferTime returns how long the given bytes take to pass a thin link; 0 if the rate is
-// unknown.
+// transferTime returns how long the given bytes take to pass a low-bandwidth link; 0 if the rate
+// is unknown.
 func (u *uplink) transferTime(bytes float64) time.Duration {
 	if u.rate == 0 {
 		return 0
@@ -186,7 +187,7 @@
 // measuredRate returns the rate over the latest period in which the link was never idle; 0 if the
 // period was too short. A frame that was sent before the preceding one arrived has followed it
 // without a gap. A process pause delays one frame by a long time and the frames behind it hardly
-// at all, so that they seem to arrive at once; it must not be taken for a rate.
+// at all, so that they seem to arrive at once; no rate must be derived from it.
 func (u *uplink) measuredRate() float64 {
 	last := len(u.arrivals) - 1
 	first := last
--- a/internal/batch/uplink_test.go
+++ b/internal/batch/uplink_test.go
@@ -35,7 +35,7 @@
 	return arrived
 }
 
-// Guards against a thin link that is not detected, so that frames queue on it.
+// Guards against a low-bandwidth link that is not detected, so that frames queue on it.
 func TestRateOfAThinLinkIsMeasured(t *testing.T) {
 	var u uplink
 	sendBurst(&u, time.Second, 8, thinRate)
@@ -45,7 +45,7 @@
 	qt.Check(t, u.canSend(u.nextSendAt()), qt.IsTrue)
 }
 
-// Guards against a process pause that is taken for a thin link.
+// Guards against a process pause that is mistaken for a low-bandwidth link.
 func TestProcessPauseIsNotTakenForAThinLink(t *testing.T) {
 	var u uplink
 	now := time.Second
@@ -60,7 +60,8 @@
 	qt.Check(t, u.rate, qt.Equals, 0.0)
 }
 
-// Guards against callers that are refused permanently after the link was thin for a short time.
+// Guards against callers that are refused permanently after the link's bandwidth was low for a
+// short time.
 func TestRateOfAThinLinkIsRaisedAgain(t *testing.T) {
 	var u uplink
 	now := sendBurst(&u, time.Second, 8, thinRate/10)
@@ -94,8 +95,8 @@
 	qt.Check(t, sent >= 2*unlimitedWindow, qt.IsTrue) // each arrival allows more to be sent
 }
 
-// newThinLinkEntry returns the machine of an entry with a thin link and guards with room for two
-// tasks each.
+// newThinLinkEntry returns the machine of an entry with a low-bandwidth link and guards with room
+// for two tasks each.
 func newThinLinkEntry(guards int) *Machine {
 	m := New(0, Options{Seed: 1})
 	for i := range guards {
@@ -131,7 +132,7 @@
 	return j
 }
 
-// Guards against a text that is sent over a thin link once for each guard.
+// Guards against a text that is sent over a low-bandwidth link once for each guard.
 func TestTextOfAJobPassesAThinLinkOnce(t *testing.T) {
 	m := newThinLinkEntry(3)
 	qt.Assert(t, m.Submit(0, longJob("j", 6)) == nil, qt.IsTrue)
--- a/internal/batchnode/guard.go
+++ b/internal/batchnode/guard.go
@@ -45,8 +45,8 @@
 	Texts        *Texts
 	TextsAddress string
 	FetchText    func(ctx context.Context, f *runs.Fetch) (string, error)
-	// Memory stores the last report of the worker for the next process of this guard; nil for
-	// none.
+	// ReportStore stores the last report of the worker for the next process of this guard; nil
+	// for none.
 	ReportStore ReportStore
 }
 
--- a/internal/batchnode/guardlink.go
+++ b/internal/batchnode/guardlink.go
@@ -91,7 +91,7 @@
 // connectTimeoutFor returns the timeout for the TCP connection of the given dial attempt.
 func connectTimeoutFor(attempt int) time.Duration {
 	if attempt%longConnectEvery == 0 {
-		return dialTimeout // the address may be far away
+		return dialTimeout // in case a round trip exceeds quickConnectTimeout
 	}
 	return quickConnectTimeout
 }
--- a/internal/batchnode/memory.go
+++ b/internal/batchnode/memory.go
@@ -107,14 +107,14 @@
 // writes it.
 var ErrUnexpectedForm = errors.New("unexpected form")
 
-// StoredReport implements Memory with one key of the platform's store.
+// StoredReport implements ReportStore with one key of the platform's store.
 type StoredReport struct {
 	Store    store.Store
 	Key      string // used only by the guard of this VM
 	revision int64  // last known revision of the key; 0 if none
 }
 
-// Load implements Memory.
+// Load implements ReportStore.
 func (s *StoredReport) Load(ctx context.Context) (*runs.Report, error) {
 	kvs, _, err := s.Store.Range(ctx, s.Key)
 	if err != nil {
@@ -147,8 +147,8 @@
 	return rep, nil
 }
 
-// Save implements Memory. It overwrites the value on a revision conflict: only the guard of this
-// VM writes the key, so a conflict means that the response to an earlier write was lost.
+// Save implements ReportStore. It overwrites the value on a revision conflict: only the guard of
+// this VM writes the key, so a conflict means that the response to an earlier write was lost.
 func (s *StoredReport) Save(ctx context.Context, rep *runs.Report) error {
 	value, err := json.Marshal(rep)
 	if err != nil {
--- a/internal/batchnode/node_test.go
+++ b/internal/batchnode/node_test.go
@@ -189,7 +189,7 @@
 	})
 }
 
-// memoryReportStore is a Memory that holds the report in a variable.
+// memoryReportStore is a ReportStore that holds the report in a variable.
 type memoryReportStore struct {
 	mu  sync.Mutex
 	rep *runs.Report
--- a/internal/confsync/amend.go
+++ b/internal/confsync/amend.go
@@ -121,7 +121,7 @@
 // Delete removes a record if its current revision is expectedRevision. It returns
 // the same errors as Put. A deletion carries no write ID: if its response is lost
 // and the first change after expectedRevision is a deletion, that deletion is
-// taken for this one.
+// assumed to be this one.
 //
 // Deleting a member invalidates its tokens and deactivates its services, jobs and
 // policies without deleting them; they become active again when the member is
--- a/internal/confsync/amend_test.go
+++ b/internal/confsync/amend_test.go
@@ -146,7 +146,7 @@
 
 // The response is lost, another operator deletes the record, and the store's
 // watches deliver nothing or open too late, so that the history is unreadable. This
-// must not be taken for a history without the write.
+// must not be mistaken for a history without the write.
 func TestUnreadableHistoryLeavesOutcomeUnknown(t *testing.T) {
 	for name, hide := range map[string]func(*fixture){
 		"silent": func(f *fixture) { f.server.StallWatches(true) },
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -163,8 +163,8 @@
 }
 
 // The deadline passes while one task is running and another is waiting for a
-// slot. The caller must be answered at that moment and told which of them may
-// have run.
+// slot. The caller must get an answer at that moment that states which of them
+// may have run.
 func TestDeadlineExpiry(t *testing.T) {
 	h := newHarness(t, 1, 1)
 	h.submitJob("k", 2)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -185,8 +185,8 @@
 }
 
 // Protects against a false answer or a second run when a worker fails with a task
-// on it: it is unknown whether the task ran, so the caller must be told that soon,
-// and the task must not be sent to another worker.
+// on it: it is unknown whether the task ran, so the caller must soon get an answer
+// that says so, and the task must not be sent to another worker.
 func TestTaskOfLostGuardFailsWithRanUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(t)
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -105,8 +105,8 @@
 
 // forward sends the request to its owner. The wait is limited by the job's
 // deadline: an owner that hangs does not answer, but its link stays up for a while.
-// After a failure the outcome is unknown, unless the owner is lost for good and the
-// guards can report it.
+// After a failure the outcome is unknown, unless the owner has been declared gone and
+// the guards can report it.
 func (s *Server) forward(ctx context.Context, owner identity.Incarnation, q *request) reply {
 	timeout, refusal := s.forwardTimeout(q)
 	if refusal != nil {
--- a/internal/guard/fake_test.go
+++ b/internal/guard/fake_test.go
@@ -108,7 +108,7 @@
 	return out
 }
 
-// load returns the newest load report, sent by itself or as part of a result.
+// load returns the newest load report, sent in a frame of its own or as part of a result.
 func (e *fakeEntry) load() (load wire.Load) {
 	e.visitFrames(func(f *wire.Frame) {
 		switch {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,4 +1,4 @@
-// Package guard implements the guard process, which runs beside each upstream.
+// Package guard implements the guard process, which runs next to each upstream.
 // A guard advertises its upstream to all entries in its address list, accepts
 // tasks from them, runs each task on the upstream over HTTP at most once, and
 // drains before a planned stop.
--- a/internal/guard/upstream.go
+++ b/internal/guard/upstream.go
@@ -105,7 +105,7 @@
 	return u.readResponse(ctx, resp)
 }
 
-// newRequest builds a request that net/http cannot resend by itself. When a
+// newRequest builds a request that net/http cannot resend automatically. When a
 // reused connection is closed, Transport retries a request on a new connection
 // if the request is "replayable": its method is safe or it has an
 // Idempotency-Key header, and GetBody can return its body again. If the upstream
--- a/internal/guard/upstream_test.go
+++ b/internal/guard/upstream_test.go
@@ -100,7 +100,7 @@
 
 // The upstream reads a request on a reused connection and then closes it, as when
 // it crashes or restarts while it runs the task. net/http resends such a request
-// by itself if it considers it replayable, and the task runs twice. The guard's
+// automatically if it considers it replayable, and the task runs twice. The guard's
 // client must send it once and report that it may have run. A plain http.Client
 // serves as the control and sends it twice.
 func TestRequestIsNotResent(t *testing.T) {
--- a/internal/httpserve/peer.go
+++ b/internal/httpserve/peer.go
@@ -59,7 +59,8 @@
 // context of the request reports it too, but only once a goroutine of the server has run:
 // after a partition that outlasted the caller's timeout, the request and the end of its
 // connection may be in the receive buffer together. Work started in between would be
-// wasted, and would run beside the same request at the server that the caller tried next.
+// wasted, and would run concurrently with the same request at the server that the caller
+// tried next.
 //
 // The end of the connection is not detected while there are unread bytes before it. A
 // connection that is not a socket counts as open.
--- a/internal/peers/registry.go
+++ b/internal/peers/registry.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// revokeLease revokes the lease on a stop, so that nobody has to wait until it
-// expires.
+// revokeLease revokes the lease on a stop, so that other entries do not have to wait
+// until it expires.
 func (p *Peers) revokeLease(lease store.LeaseID) {
 	if lease == 0 {
 		return
--- a/internal/roster/machine.go
+++ b/internal/roster/machine.go
@@ -314,7 +314,7 @@
 		m.announceLastVersion()
 	case OutcomeConflict:
 		// Either another value was written or an unanswered attempt of this entry has
-		// succeeded; the stored value tells which. The promises stay limited until it
+		// succeeded; the stored value shows which. The promises stay limited until it
 		// is read.
 		p.nextAttempt = now.Add(m.opt.StoreRetryDelay)
 		m.nextRead = time.Time{}
--- a/internal/roster/view.go
+++ b/internal/roster/view.go
@@ -142,7 +142,7 @@
 }
 
 // refuseWithoutMembers returns the error for a birth in version i, which has no
-// members. In a closed version nobody may ever start it; the last version may still
+// members. In a closed version no entry may ever start it; the last version may still
 // get a successor.
 func (v *View) refuseWithoutMembers(i int) *errkind.Error {
 	if i < len(v.versions)-1 {
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -18,8 +18,8 @@
 }
 
 // declaredRunTimeDivisor is the factor by which a declared run time must exceed
-// the time left before it causes a refusal by itself. Declared run times are
-// off by a factor of 8.
+// the time left to cause a refusal without any expected wait. Declared run times
+// are off by a factor of 8.
 const declaredRunTimeDivisor = 10
 
 // Admit reports whether a job is expected to finish before its deadline.
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -21,7 +21,7 @@
 // PlacementRequest describes a task to be placed.
 type PlacementRequest struct {
 	Domain       uint16      // failure domain of the requesting entry
-	Excluded     []int32     // indexes of workers that have refused the task for good
+	Excluded     []int32     // indexes of workers that have refused the task permanently
 	JobLocations LocationSet // failure domains and racks of the job's other tasks
 	Need         Need        // resource requirement of the task
 }
--- a/internal/settings/guard.go
+++ b/internal/settings/guard.go
@@ -25,7 +25,7 @@
 	Log      Log
 }
 
-// Upstream holds the settings of the connection to the member's service beside the guard.
+// Upstream holds the settings of the connection to the member's service next to the guard.
 type Upstream struct {
 	URL            string // base URL
 	Path           string // overrides the path in the service record; empty for none
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -13,8 +13,8 @@
 	"wigeontray/internal/store/etcdjson"
 )
 
-// Watch implements Store. It uses the preferred endpoint and does not fail over
-// by itself: the caller calls Watch again.
+// Watch implements Store. It uses the preferred endpoint and does not fail over:
+// the caller calls Watch again.
 func (e *Etcd) Watch(ctx context.Context, prefix string, revision int64, out chan<- Batch) error {
 	defer close(out)
 	if len(e.endpoints) == 0 {
--- a/internal/wire/liveness.go
+++ b/internal/wire/liveness.go
@@ -31,8 +31,8 @@
 	peerDead
 )
 
-// liveness decides when to ping a peer and when to consider it dead. A peer whose host
-// froze or lost its network does not close the connection, and TCP gives up only after many
+// liveness decides when to ping a peer and when to consider it unreachable. A peer whose
+// host froze or lost its network does not close the connection, and TCP gives up only after many
 // minutes. In that time the peer would be sent tasks whose jobs then time out.
 //
 // An idle link is pinged by the dialing end only. That suffices for both ends, since the
