--- a/internal/batch/random_test.go
+++ b/internal/batch/random_test.go
@@ -75,10 +75,9 @@
 	}
 }
 
-// Guards against a task that runs twice at the same time, a worker that gets more tasks than it
-// has room for, and a job that is answered as not run although a task was started. Entries and
-// guards are killed, suspended and disconnected, workers crash, orders are executed seconds late
-// or without an answer, and callers without an answer resubmit their jobs to another entry.
+// Guards against a task running twice at once, an overfull worker, and "not run" for a started task.
+// Entries and guards are killed, suspended or disconnected, workers crash, orders are executed
+// seconds late or without an answer, and callers without an answer resubmit to another entry.
 func TestNoTaskRunsTwiceAtOnceUnderRandomFaults(t *testing.T) {
 	f := simFaults{lateOrder: 0.02, lostAnswer: 0.02, failRun: 0.01}
 	seeds := []uint64{
--- a/internal/batchnode/guardlink_test.go
+++ b/internal/batchnode/guardlink_test.go
@@ -14,10 +14,9 @@
 	"wigeontray/internal/wire"
 )
 
-// Guards against guards that link late after a power loss of all VMs, which restart within some
-// hundred milliseconds of each other. A guard that restarts first dials the VM of its entry while
-// that is still down and does not answer. If the guard waits for the full dial timeout, the
-// entry is back for a while without a worker, and refuses every request.
+// Guards against an entry without workers after a power loss of all VMs, which restart within some
+// hundred milliseconds of each other. A guard that is up first dials an entry's VM that does not
+// answer yet; if it waits for the full dial timeout, the entry refuses every request meanwhile.
 func TestGuardsLinkSoonAfterEntryPowerReturns(t *testing.T) {
 	const guards = 40
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/batchnode/returns_test.go
+++ b/internal/batchnode/returns_test.go
@@ -66,10 +66,9 @@
 	return func(entries int) time.Duration { return knownTimes[entries] }
 }
 
-// Guards against entries without guards after all processes were killed while the store was
-// unavailable. When the store is back, each entry soon has the configuration, but entries whose
-// addresses are not configured at the guards have no guard until the list of entries is read; for
-// seconds they refuse every request.
+// Guards against entries that refuse every request for seconds after a store outage in which all
+// processes were killed. An entry whose address is not configured at the guards has no guard
+// until they read the list of entries, although it soon has the configuration.
 func TestEntriesAreListedSoonAfterStoreRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const recoveryAt = 5 * time.Second
--- a/internal/confsync/share_test.go
+++ b/internal/confsync/share_test.go
@@ -16,10 +16,9 @@
 	return New(Options{Store: f.newStoreClient(), Sealer: sealer})
 }
 
-// All entries and the store are gone, and only guards still hold the
-// configuration. A new entry must be able to load it from a guard. The guard runs
-// on a member's machine and must be able to read its own service's record but no
-// record of another member.
+// Guards against a new entry without configuration when only guards still hold it, as all entries
+// and the store are gone. A guard runs on a member's machine: it must be able to read its own
+// service's record, but no record of another member.
 func TestNewEntryLoadsSealedSnapshotFromGuard(t *testing.T) {
 	runWithStore(t, func(f *fixture) {
 		_, err := f.newStoreClient().Put(f.t.Context(), record.Key(record.KindService, "ayni/reserva"),
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -235,10 +235,9 @@
 	h.c.Assert(starts, qt.HasLen, 1)
 }
 
-// Every slot is in use and a task is waiting. If it were assigned to a worker
-// now, it could wait behind a slow task while another worker becomes idle. It
-// must be assigned when a slot is offered, and an offered slot that is not
-// needed must be declined immediately.
+// Guards against a task that is assigned while every slot is in use, and so waits behind a slow task
+// while another worker becomes idle. It must be assigned when a slot is offered; an offered slot
+// that is not needed must be declined immediately.
 func TestWaitingTaskUsesFirstOffer(t *testing.T) {
 	h := newHarness(t, 2, 1)
 	h.submitJob("k", 3)
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -41,10 +41,9 @@
 	return startsByGuard
 }
 
-// One worker fails every task at once and therefore always looks idle, so that
-// most jobs would fail although ten other workers are healthy. It must be
-// quarantined after a few failures, probed with single tasks, and be back in
-// full use soon after it has recovered.
+// Guards against one worker failing most jobs: it fails each task at once and so always looks idle,
+// although ten others are healthy. It must be quarantined after a few failures, probed with single
+// tasks, and be in full use soon after it has recovered.
 func TestFailingWorkerIsQuarantinedAndRestored(t *testing.T) {
 	h := newHarness(t, 11, 8)
 	broken := map[identity.Incarnation]bool{guardID(4): true}
--- a/internal/e2e/amend_test.go
+++ b/internal/e2e/amend_test.go
@@ -32,10 +32,9 @@
 	return operator.ExitOK, r.Revision
 }
 
-// Guards against a wrong result of a write whose store response is lost after the write took effect.
-// If the command reports failure, the operator repeats the write and gets a conflict with the
-// operator's own first write. If the entry cannot read the record back, reporting success would be
-// unfounded, and the exit code must be ExitUnknown.
+// Guards against a wrong result of a write that took effect but whose store response is lost. After a
+// false failure, the operator repeats it and conflicts with their own write. If the entry cannot
+// read the record back, success would be unfounded: the exit code must be ExitUnknown.
 func TestRecordPutWithLostStoreResponse(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -13,10 +13,9 @@
 // unreachableURL is the URL of an upstream that accepts no connections.
 const unreachableURL = "http://127.0.0.1:9"
 
-// Guards against tasks sent to a guard without the member's own key. A rival member's guard has the
-// fleet's key and registers for Ayni's booking service: it must receive no tasks. Ayni then
-// removes the key of its own guard, as after decommissioning the guard's VM: the entry must stop using
-// that guard.
+// Guards against tasks sent to a guard without the member's own key: a rival's guard that has the
+// fleet's key and registers for Ayni's service, and Ayni's own guard after its key was removed,
+// as when its VM is decommissioned.
 func TestMemberGuardKeys(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -39,10 +38,9 @@
 	f.eventually("the guard whose key was removed is no longer used", func() bool { return !f.usesGuard(e, "worker-1") })
 }
 
-// Guards against a guard that has the fleet's key but a certificate from another CA; if it were
-// accepted, it could read bookings. The genuine guard is used by both entries, which are
-// linked over TLS, and a job can be submitted over HTTPS to either entry, also when the other one
-// owns its key.
+// Guards against accepting a guard that has the fleet's key but a certificate of another CA; it could
+// read bookings. Over TLS, both entries must use the genuine guard, and a job must be accepted by
+// either entry, also when the other one owns its key.
 func TestFleetOverTLS(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/internal/e2e/regions_test.go
+++ b/internal/e2e/regions_test.go
@@ -86,10 +86,9 @@
 
 const leeuwinMemberToken = "leeuwin-test-token"
 
-// Guards against two faults of a fleet with two regions. A member whose home region is wa-south
-// submits to an entry in lima by mistake: the entry must answer wrong_region and must not claim whether
-// earlier attempts ran. Then wa-south loses its connection to the store: both regions must continue to
-// serve, each with its own roster, for tickets as well as for plain keys.
+// Guards against two faults with two regions. An entry in lima that gets a job of a wa-south member
+// must answer wrong_region, without a claim whether earlier attempts ran. When wa-south loses the
+// store, both regions must serve on with their own rosters, for tickets and plain keys.
 func TestRegions(t *testing.T) {
 	t.Parallel()
 	lima := newFleet(t)
--- a/internal/entry/verify_test.go
+++ b/internal/entry/verify_test.go
@@ -52,10 +52,9 @@
 	})
 }
 
-// Protects against disruption by a key rotation: both keys are listed while guards
-// restart, then the old one is removed while a guard that still uses it runs a
-// task. Its link is closed, the caller is told that the outcome is unknown, and the
-// other guard stays in use.
+// Guards against disruption by a key rotation: both keys are listed, then the old one is removed
+// while a guard that still uses it runs a task. Its link must be closed, the caller told that the
+// outcome is unknown, and the other guard kept in use.
 func TestGuardKeyRotation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(t)
--- a/internal/guard/links_test.go
+++ b/internal/guard/links_test.go
@@ -35,11 +35,9 @@
 	})
 }
 
-// Configures two addresses of the same entry, such as its own and that of a load
-// balancer. The newer link replaces the older one, and a Start read late from the
-// older link must not run, because the entry may have cancelled it since. If both
-// addresses were redialed at once, the entry would lose this worker repeatedly,
-// each time with tasks whose outcome is unknown.
+// Guards against repeated loss of a worker by an entry with two addresses, such as a load balancer's,
+// each time with tasks of unknown outcome, if both are redialed at once. The newer link replaces
+// the older; a Start read late from the older must not run, as it may have been cancelled since.
 func TestDuplicateEntryAddressesKeepOneLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, func(o *Options) { o.Entries = []string{"entry-a:1", "balancer:1"} })
@@ -83,10 +81,9 @@
 	})
 }
 
-// Configures an entry that is unreachable and one that closes each link after
-// its Welcome. The guard must back off, because a fleet of guards would otherwise
-// flood them with connections. An unreachable address that was learned from an
-// entry must be dropped.
+// Guards against a fleet of guards that floods entries with connections. The guard must back off from
+// an unreachable entry and from one that closes each link after its Welcome, and must drop an
+// unreachable address that it learned from an entry.
 func TestUnreachableEntryDialsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var unreachable, closing, learned atomic.Int64
@@ -120,10 +117,9 @@
 	})
 }
 
-// Sends an older configuration, as an entry does whose store serves stale reads,
-// and then reconnects the entry without one, as when it starts while the store is
-// unavailable. Operators saw the newer change accepted, so the guard must neither
-// revert it nor leave the entry without it.
+// Guards against reverting a change that operators saw accepted. An entry whose store serves stale
+// reads sends an older configuration; one that starts while the store is unavailable has none,
+// and must get the newest from the guard.
 func TestOlderConfigIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
@@ -194,10 +190,9 @@
 	})
 }
 
-// Drains the guard by the admin endpoint. The drain must be announced to entries
-// and make /readyz report that the worker is not ready. As any client of the
-// admin endpoints can take the worker out of service, they must be served on
-// loopback only.
+// Guards against a drain by the admin endpoint that is not announced to entries or leaves /readyz
+// reporting ready. Any client of the admin endpoints can take the worker out of service, so they
+// must be served on loopback only.
 func TestAdminHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newTestEnv(t, nil)
--- a/internal/guard/stop_test.go
+++ b/internal/guard/stop_test.go
@@ -12,10 +12,9 @@
 	"wigeontray/internal/wire"
 )
 
-// Stops a guard in two states: with two tasks running, one waiting for a slot and
-// one in transit; and idle with one task in transit. Running tasks must finish and
-// the others be refused. If the stop left any of them without a result, its caller
-// would get "outcome unknown" because of a planned stop.
+// Guards against "outcome unknown" because of a planned stop. Running tasks must finish; a task that
+// waits for a slot or is in transit must be refused. The guard is stopped with two tasks
+// running, one waiting and one in transit, and idle with one in transit.
 func TestStopFinishesOrRefusesEveryTask(t *testing.T) {
 	refused := "draining, ran no, 0"
 	for _, want := range [][]string{{refused, refused, okSummary, okSummary}, {refused}} {
--- a/internal/guard/upstream_test.go
+++ b/internal/guard/upstream_test.go
@@ -98,11 +98,9 @@
 	return okResponse, false
 }
 
-// The upstream reads a request on a reused connection and then closes it, as when
-// it crashes or restarts while it runs the task. net/http resends such a request
-// automatically if it considers it replayable, and the task runs twice. The guard's
-// client must send it once and report that it may have run. A plain http.Client
-// serves as the control and sends it twice.
+// Guards against a task running twice because net/http resends a request it considers replayable when
+// the upstream closes a reused connection after reading it, as in a crash. The client must send it
+// once and report that it may have run; a plain http.Client, the control, sends it twice.
 func TestRequestIsNotResent(t *testing.T) {
 	u := newRawUpstream(t, closeOnReuse)
 	c := u.client(t, nil)
@@ -198,10 +196,9 @@
 	})
 }
 
-// net/http can return an error while its write loop is still about to write the
-// request. If the guard reported RanNo then, the bytes could be written a moment
-// later and the task would run both here and elsewhere. Sealing the connection
-// must prevent that write.
+// Guards against a task running here and elsewhere: net/http can return an error while its write loop
+// is still about to write the request, so that a report of RanNo would be false. Sealing the
+// connection must prevent that write.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	a, b := net.Pipe()
 	_ = b.Close()
--- a/internal/httpserve/leave_test.go
+++ b/internal/httpserve/leave_test.go
@@ -35,10 +35,9 @@
 	return disconnected, paused
 }
 
-// A network partition between callers and an entry, in one direction, heals. A request that
-// it held up is read a moment before the end of its connection arrives. The caller has
-// already sent the job to another entry, where it runs; if it were started here too, its
-// tasks would run on two workers at once.
+// Guards against tasks running on two workers at once after a one-way partition between callers and
+// an entry heals. A request that it held up is read just before the end of its connection
+// arrives, when the caller has already sent the job to another entry, where it runs.
 func TestHeldUpRequestIsRecheckedForDisconnect(t *testing.T) {
 	disconnected, _ := runDisconnectCheck(t, 0)
 	qt.Check(t, disconnected, qt.IsTrue)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -172,10 +172,9 @@
 	qt.Assert(t, h.Stats().Remembered, qt.Equals, 0)
 }
 
-// An entry was declared gone while it was only paused. One of its tasks is running,
-// one is queued, and it sends a third after it resumes. Only the first may run, and
-// the report must list it, or another entry would report it as not run. A Fence
-// above MaxFences gets no report, since storing it would require dropping this one.
+// Guards against a started task being reported as not run after its paused entry was declared gone.
+// The running task must be in the report; a queued one and one sent after the pause must not run.
+// A Fence above MaxFences gets no report, since storing it would require dropping this one.
 func TestFenceStopsStartsAndReportsThem(t *testing.T) {
 	h := newHarness(t, Options{Slots: 1, MaxFences: 1})
 	running := h.startNew(entryA, 0)
@@ -189,10 +188,9 @@
 	h.assertActions("a: 1 none, ran yes", "a: 3 fenced, ran no", "b: collected 1")
 }
 
-// A task arrives from an entry that is not its home, and another one for the
-// upstream of a different member. Running either would duplicate work or expose it
-// to another member, and so would returning the result to an entry other than the
-// home. An entry must not be able to cancel another entry's queued task either.
+// Guards against duplicate work, or exposing it to another member, by a task from an entry that is not
+// its home or for another member's upstream, or by a result sent to another entry than the home.
+// An entry must not be able to cancel another entry's queued task either.
 func TestTasksOfOtherEntriesAndMembersAreRefused(t *testing.T) {
 	h := newHarness(t, Options{Member: "ayni", Slots: 1})
 	s := h.startNew(entryA, 0)
@@ -254,10 +252,9 @@
 	h.assertActions("a: offer 1", "a: 1 none, ran yes", "b: offer 2", "a: 2 none, ran yes")
 }
 
-// An offered slot is reserved for its entry, so that a task which another entry
-// sends at that moment cannot take it; otherwise the offer would be worthless. If
-// the entry does not respond, the slot becomes free after the offer timeout and is
-// not offered to it again, or the worker would stay idle.
+// Guards against an offered slot being taken by a task that another entry sends meanwhile, and against
+// an idle worker: if the entry does not respond, the slot must become free after the offer timeout
+// and must not be offered to it again.
 func TestOfferExpires(t *testing.T) {
 	h := newHarness(t, Options{Slots: 1, OfferTimeout: 20 * time.Millisecond})
 	h.Reserve(h.now, entryA, &wire.Reserve{Want: 2})
--- a/internal/ledger/model_test.go
+++ b/internal/ledger/model_test.go
@@ -270,10 +270,9 @@
 	return m
 }
 
-// Links break and reconnect; entries resend Starts, cancel, fence each other and
-// collect; the upstream fails and records are evicted, in random order. If any order
-// started a task twice or reported a started task as not run, work would be done
-// twice.
+// Guards against work done twice because a task is started twice or a started task is reported as
+// not run. In random order, links break and reconnect, entries resend Starts, cancel, fence each
+// other and collect, the upstream fails, and records are evicted.
 func TestModelInvariants(t *testing.T) {
 	runs, refusals, runsWithFloor := 0, 0, 0
 	for seed := range uint64(modelSeeds) {
--- a/internal/recovery/explore_test.go
+++ b/internal/recovery/explore_test.go
@@ -217,10 +217,9 @@
 	return m
 }
 
-// Entries and guards crash, are paused, disconnected, declared gone while still
-// running, and replaced. Frames are lost with their links, and store writes are
-// delayed, reordered or not answered. A task that starts twice duplicates work; a
-// false "not run" makes the caller submit it again.
+// Guards against a task that starts twice, or a false "not run", after which the caller resubmits it.
+// Entries and guards crash, pause, disconnect, are declared gone while running, and are replaced;
+// frames are lost with their links; store writes are delayed, reordered or not answered.
 func TestNoDoubleStartAndNoFalseNotRun(t *testing.T) {
 	ran, proved := 0, 0
 	for seed := range uint64(seedCount) {
--- a/internal/roster/exhaustive_test.go
+++ b/internal/roster/exhaustive_test.go
@@ -454,10 +454,9 @@
 	return nil
 }
 
-// No two entries may start the same key, or a job that is submitted twice could run
-// twice. Entries pause, crash, are wrongly considered gone and lose messages; their
-// writes to the store are slow or late, or take effect without an answer. All
-// sequences up to searchDepth are covered.
+// Guards against two entries starting the same key, so that a job submitted twice could run twice.
+// Entries pause, crash, are wrongly considered gone and lose messages; their store writes are slow,
+// late, or take effect without an answer. All sequences up to searchDepth are covered.
 func TestExhaustiveSearchFindsNoKeyWithTwoStarters(t *testing.T) {
 	for start := range searchStarts {
 		t.Run(start, func(t *testing.T) {
--- a/internal/roster/machine_test.go
+++ b/internal/roster/machine_test.go
@@ -257,10 +257,9 @@
 	cl.c.Assert(cl.countStarters(cl.now, 300)["entry-3"] > 0, qt.IsTrue)
 }
 
-// An append gets no answer while its request stays queued; a read returns the old
-// value, and the append takes effect afterwards. An appender that took the read as
-// proof of failure would promise beyond the beginning of a roster that gives its
-// births to another entry.
+// Guards against taking a read of the old value as proof that an unanswered append failed. Its queued
+// request takes effect later, and the appender would have promised beyond the beginning of a
+// roster that gives its births to another entry.
 func TestStaleReadDoesNotSettleAppend(t *testing.T) {
 	c := qt.New(t)
 	m := NewMachine(addr("a"), Options{})
